--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -13,9 +13,9 @@
 
 from collections.abc import Iterable
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
 from crocusrouter.work import orders
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import replacement
 from crocusrouter.work import runs
@@ -24,7 +24,7 @@
 _PROVEN_S = 60.0
 
 
-def note_silent(book: books.Book, name: str, now: float) -> None:
+def note_silent(pool_state: pool_states.Book, name: str, now: float) -> None:
     """Note that a worker does not answer.
 
     It may have crashed under what has just begun there. That is kept at once
@@ -37,16 +37,18 @@
         name: The worker.
         now: Steady time in seconds.
     """
-    worker = book.workers.get(name)
+    worker = pool_state.workers.get(name)
     if worker is None or worker.silent_since is not None:
         return
-    book.note_silent(name, now)
-    for run in _list_blamed(book, worker, list(worker.runs.values())):
+    pool_state.note_silent(name, now)
+    for run in _list_blamed(pool_state, worker, list(worker.runs.values())):
         if _is_early(run, worker):
-            _keep(book, run, worker)
+            _keep(pool_state, run, worker)
 
 
-def note_lapsed(book: books.Book, name: str, why: str, now: float) -> None:
+def note_lapsed(
+    pool_state: pool_states.Book, name: str, why: str, now: float
+) -> None:
     """Note that a worker's leases have ended in silence.
 
     It may have crashed and stay away for longer than a lease, or be cut off.
@@ -57,18 +59,18 @@
         why: Told in the log.
         now: Steady time in seconds.
     """
-    worker = book.workers.get(name)
+    worker = pool_state.workers.get(name)
     if worker is None:
         return
-    blamed = _list_blamed(book, worker, list(worker.runs.values()))
+    blamed = _list_blamed(pool_state, worker, list(worker.runs.values()))
     for run in blamed:
-        _keep(book, run, worker)
-    book.note_lapsed(name, why, now)
-    _give_up_crashing(book, blamed, now)
+        _keep(pool_state, run, worker)
+    pool_state.note_lapsed(name, why, now)
+    _give_up_crashing(pool_state, blamed, now)
 
 
 def note_replaced(
-    book: books.Book,
+    pool_state: pool_states.Book,
     name: str,
     now: float,
     successor: str | None = None,
@@ -83,24 +85,24 @@
         successor: The one that answers; None if that isn't known.
         late: Stops of the starts that the successor may carry out late.
     """
-    worker = book.workers.get(name)
+    worker = pool_state.workers.get(name)
     if worker is None:
         return
-    blamed = _list_blamed(book, worker, list(worker.runs.values()))
+    blamed = _list_blamed(pool_state, worker, list(worker.runs.values()))
     for run in blamed:
-        _keep(book, run, worker)
-    _tell_crash(book, worker, blamed)
-    replacement.note_gone(book, name, now, successor, late)
-    _give_up_crashing(book, blamed, now)
+        _keep(pool_state, run, worker)
+    _tell_crash(pool_state, worker, blamed)
+    replacement.note_gone(pool_state, name, now, successor, late)
+    _give_up_crashing(pool_state, blamed, now)
 
 
 def _tell_crash(
-    book: books.Book, worker: runs.Worker, blamed: list[runs.Run]
+    pool_state: pool_states.Book, worker: runs.Worker, blamed: list[runs.Run]
 ) -> None:
     if not blamed:
         return
     early = [run for run in blamed if _is_early(run, worker)]
-    book.note(
+    pool_state.note(
         "worker:crashed",
         worker=worker.entry.id,
         suspects=[str(run.key) for run in early],
@@ -108,7 +110,9 @@
     )
 
 
-def clear_told(book: books.Book, key: model.TaskKey, number: int) -> None:
+def clear_told(
+    pool_state: pool_states.Book, key: model.TaskKey, number: int
+) -> None:
     """Drop a crash under a run of which its worker tells after all.
 
     Args:
@@ -116,18 +120,18 @@
         key: The task.
         number: Of the run that the worker lists as running or ended.
     """
-    work = book.find_work(key)
+    work = pool_state.find_work(key)
     found = work.kept.crashes.get(key.position) if work is not None else None
     if work is None or not found:
         return
     left = [crash for crash in found if crash.run != number]
     if len(left) < len(found):
         work.kept.crashes[key.position] = left
-        book.dirty.add(key.job)
+        pool_state.dirty.add(key.job)
 
 
 def clear_survivor(
-    book: books.Book, run: runs.Run, worker: runs.Worker
+    pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
 ) -> None:
     """Take the suspicion from a step once one of its tasks works.
 
@@ -143,11 +147,13 @@
     survived = _measure_survival(run, worker)
     if survived >= _PROVEN_S and run.key.position in work.kept.crashes:
         del work.kept.crashes[run.key.position]
-        book.dirty.add(run.key.job)
-    clear_step(book, work, run.key.position)
+        pool_state.dirty.add(run.key.job)
+    clear_step(pool_state, work, run.key.position)
 
 
-def clear_step(book: books.Book, work: runs.StepWork, index: int) -> None:
+def clear_step(
+    pool_state: pool_states.Book, work: runs.StepWork, index: int
+) -> None:
     """Count crashes as early ones no more once a task of the step works.
 
     One that has met two crashes must show itself that it works.
@@ -159,7 +165,7 @@
             work.kept.crashes[position] = [
                 crash._replace(early=False) for crash in found
             ]
-            book.dirty.add(work.key.job)
+            pool_state.dirty.add(work.key.job)
 
 
 def _measure_survival(run: runs.Run, worker: runs.Worker) -> float:
@@ -174,7 +180,7 @@
 
 
 def _list_blamed(
-    book: books.Book, worker: runs.Worker, lost: list[runs.Run]
+    pool_state: pool_states.Book, worker: runs.Worker, lost: list[runs.Run]
 ) -> list[runs.Run]:
     """Return the runs that may have crashed a worker.
 
@@ -196,26 +202,28 @@
 
 
 def _give_up_crashing(
-    book: books.Book, blamed: list[runs.Run], now: float
+    pool_state: pool_states.Book, blamed: list[runs.Run], now: float
 ) -> None:
     """Give up the tasks under which too many workers have crashed."""
     for run in blamed:
         assert run.work is not None
         if run.work.kept.is_given_up(run.key.position):
-            _give_up(book, run, now)
+            _give_up(pool_state, run, now)
 
 
-def _keep(book: books.Book, run: runs.Run, worker: runs.Worker) -> None:
-    if run.work is None or run.key.job not in book.live:
+def _keep(
+    pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
+) -> None:
+    if run.work is None or run.key.job not in pool_state.live:
         return
     found = run.work.kept.crashes.setdefault(run.key.position, [])
     if any(crash.run == run.number for crash in found):
         return
     crash = progresses.Crash(run.number, _is_early(run, worker))
     found.append(crash)
-    book.dirty.add(run.key.job)
+    pool_state.dirty.add(run.key.job)
     if crash.early:
-        book.jobs[run.key.job].unsaved_crash = True
+        pool_state.jobs[run.key.job].unsaved_crash = True
 
 
 def _list_crashes(run: runs.Run) -> list[progresses.Crash]:
@@ -223,13 +231,13 @@
     return run.work.kept.crashes.get(run.key.position, [])
 
 
-def _give_up(book: books.Book, run: runs.Run, now: float) -> None:
-    held = book.jobs.get(run.key.job)
+def _give_up(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
+    held = pool_state.jobs.get(run.key.job)
     if held is None or held.is_final:
         return
-    book.note(
+    pool_state.note(
         "task:given-up",
         task=run.key,
         runs=[crash.run for crash in _list_crashes(run)],
     )
-    book.finish(held, model.State.FAILED, now)
+    pool_state.finish(held, model.State.FAILED, now)
--- a/crocusrouter/work/pacing.py
+++ b/crocusrouter/work/pacing.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from crocusrouter.work import book as books
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 _FULL = 100
@@ -36,7 +36,7 @@
     percent: int
 
 
-def choose_paces(book: books.Book, now: float) -> list[Pace]:
+def choose_paces(pool_state: pool_states.Book, now: float) -> list[Pace]:
     """Return the runs that fill whose pace is to change.
 
     Args:
@@ -44,8 +44,8 @@
         now: Steady time in seconds.
     """
     found = []
-    for worker in book.workers.values():
-        fillers, pressure = _read_worker(book, worker)
+    for worker in pool_state.workers.values():
+        fillers, pressure = _read_worker(pool_state, worker)
         for run in fillers:
             if now < run.paced_at + _SETTLE_S:
                 continue
@@ -56,7 +56,7 @@
 
 
 def _read_worker(
-    book: books.Book, worker: runs.Worker
+    pool_state: pool_states.Book, worker: runs.Worker
 ) -> tuple[list[runs.Run], float]:
     """Return the runs that fill, and the worst tail against its bound."""
     fillers = []
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -9,18 +9,18 @@
 from collections.abc import Iterable
 import dataclasses
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
 from crocusrouter.work import packing
-from crocusrouter.work import policy as policies
+from crocusrouter.work import planner_parameters
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
 from crocusrouter.work import racks
-from crocusrouter.work import rescue
+from crocusrouter.work import relocation
 from crocusrouter.work import runs
 from crocusrouter.work import trials
-from crocusrouter.work import turns
-from crocusrouter.work import victims
+from crocusrouter.work import waiting_steps
 
-_DEFAULT = policies.Policy()
+_DEFAULT = planner_parameters.Policy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self._known: set[tuple[model.Room, str]] = set()
 
-    def note(self, waiting: turns.Waiting) -> None:
+    def note(self, waiting: waiting_steps.Waiting) -> None:
         """Note that no worker has room for one task of a step.
 
         Only what stands in the way of any other step as well is noted.
@@ -74,7 +74,7 @@
             step = waiting.work.step
             self._known.add((step.charge, step.label))
 
-    def is_known(self, waiting: turns.Waiting) -> bool:
+    def is_known(self, waiting: waiting_steps.Waiting) -> bool:
         """Tell whether no worker can have room for one task of a step."""
         step = waiting.work.step
         return (step.charge, step.label) in self._known
@@ -85,39 +85,39 @@
 
     def __init__(
         self,
-        book: books.Book,
+        pool_state: pool_states.Book,
         now: float,
         wall: float,
         reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-        policy: policies.Policy = _DEFAULT,
+        policy: planner_parameters.Policy = _DEFAULT,
     ) -> None:
-        self._book = book
+        self._pool_state = pool_state
         self._policy = policy
         self._now = now
         self._wall = wall
         self._plan = Plan()
-        self._stalled = rescue.list_stalled(book, now)
+        self._stalled = relocation.list_stalled(pool_state, now)
         stalled = {run.worker for run in self._stalled}
         self._spaces = {
             name: packing.Space(
                 name, packing.find_rack(worker.entry.labels), worker.free
             )
-            for name, worker in book.workers.items()
+            for name, worker in pool_state.workers.items()
             if worker.may_take(now) and name not in stalled
         }
-        self._racks = racks.Racks(book)
+        self._racks = racks.Racks(pool_state)
         self._held: set[str] = set()
-        self._closed = trials.list_closed(book, now)
+        self._closed = trials.list_closed(pool_state, now)
         self._full = _Full()
-        self._free_times = victims.FreeTimes(book, now)
-        self._losses = victims.Losses(book, now)
-        self._guaranteed_used = victims.count_guaranteed(book)
+        self._free_times = preemption.FreeTimes(pool_state, now)
+        self._losses = preemption.Losses(pool_state, now)
+        self._guaranteed_used = preemption.count_guaranteed(pool_state)
         self._reserved = dict(reserved)
         for key, spots in self._reserved.items():
             self._take_reserved(key, spots)
 
     def _take_reserved(self, key: model.StepKey, spots: dict[int, str]) -> None:
-        work = self._book.find_work(key)
+        work = self._pool_state.find_work(key)
         if work is None:
             return
         for worker in spots.values():
@@ -127,14 +127,14 @@
 
     def run(self) -> Plan:
         """Stop what is lost where it is, and place all steps in order."""
-        rescues = rescue.list_rescues(
-            self._book, self._stalled, self._now, self._wall
+        rescues = relocation.list_rescues(
+            self._pool_state, self._stalled, self._now, self._wall
         )
-        whole = rescue.list_whole(self._book, rescues)
+        whole = relocation.list_whole(self._pool_state, rescues)
         self._plan.stops += list(whole.values())
         holding = 0
-        in_turn = turns.list_waiting(
-            self._book, self._now, self._wall, self._policy
+        in_turn = waiting_steps.list_waiting(
+            self._pool_state, self._now, self._wall, self._policy
         )
         for waiting in in_turn:
             if waiting.work.key in self._reserved:
@@ -148,7 +148,7 @@
             holding += 1
         return self._plan
 
-    def _is_held_back(self, waiting: turns.Waiting) -> bool:
+    def _is_held_back(self, waiting: waiting_steps.Waiting) -> bool:
         """Tell whether a step leaves free room to urgent work to come.
 
         Where the first priority had to stop others a moment ago, more of it
@@ -156,14 +156,14 @@
         at once, and the urgent job waits for that stop. What is late already
         goes all the same, so nothing is held back for good.
         """
-        contended_at = self._book.contended_at
+        contended_at = self._pool_state.contended_at
         if contended_at is None or waiting.held.job.priority == 0:
             return False
         if waiting.late or waiting.work.step.lasting:
             return False
         return self._now < contended_at + self._policy.hold_back_s
 
-    def _place(self, waiting: turns.Waiting) -> bool:
+    def _place(self, waiting: waiting_steps.Waiting) -> bool:
         """Place what can be placed; True if nothing is left waiting."""
         if waiting.work.kept.is_suspect and self._place_suspect(waiting):
             return True
@@ -184,7 +184,7 @@
             return True
         return self._reclaim(waiting, set(waiting.work.waiting) - set(spots))
 
-    def _place_suspect(self, waiting: turns.Waiting) -> bool:
+    def _place_suspect(self, waiting: waiting_steps.Waiting) -> bool:
         """Start a task, or a gang, that may crash its workers, alone there.
 
         It stops nothing of others, and holds no room while it waits.
@@ -199,7 +199,7 @@
             if self._count_bound(waiting, space) > 0
         ]
         trial = trials.choose_trial(
-            self._book, waiting.work, spaces, self._closed, self._now
+            self._pool_state, waiting.work, spaces, self._closed, self._now
         )
         if trial is None:
             return not trials.may_pass(waiting.work, self._now)
@@ -212,7 +212,7 @@
         self._plan.placements.append(placement)
         return True
 
-    def _list_open(self, waiting: turns.Waiting) -> list[packing.Space]:
+    def _list_open(self, waiting: waiting_steps.Waiting) -> list[packing.Space]:
         work = waiting.work
         usable = [
             space
@@ -224,7 +224,9 @@
         fresh = [s for s in usable if s.worker not in work.avoid]
         return fresh or usable
 
-    def _list_fitting(self, waiting: turns.Waiting) -> list[packing.Space]:
+    def _list_fitting(
+        self, waiting: waiting_steps.Waiting
+    ) -> list[packing.Space]:
         """Return the open spaces with room for one task at least."""
         charge = waiting.work.step.charge
         if self._full.is_known(waiting):
@@ -239,27 +241,33 @@
         return found
 
     def _has_label(self, worker: str, label: str) -> bool:
-        return not label or label in self._book.workers[worker].entry.labels
+        return (
+            not label or label in self._pool_state.workers[worker].entry.labels
+        )
 
-    def _is_permitted(self, waiting: turns.Waiting, worker: str) -> bool:
+    def _is_permitted(
+        self, waiting: waiting_steps.Waiting, worker: str
+    ) -> bool:
         if not waiting.held.job.advised:
             return True
         return bool(waiting.work.permits.find_ticket(worker, self._now))
 
-    def _count_bound(self, waiting: turns.Waiting, space: packing.Space) -> int:
+    def _count_bound(
+        self, waiting: waiting_steps.Waiting, space: packing.Space
+    ) -> int:
         """Return how many more tasks of the step a worker may take."""
         bound = waiting.work.step.per_worker
         if not bound:
             return waiting.work.step.count
         here = sum(
             1
-            for key in self._book.workers[space.worker].runs
+            for key in self._pool_state.workers[space.worker].runs
             if model.find_step(key) == waiting.work.key
         )
         return max(0, bound - here - space.count_task(waiting.work.key))
 
     def _choose_spaces(
-        self, waiting: turns.Waiting, count: int
+        self, waiting: waiting_steps.Waiting, count: int
     ) -> list[packing.Space]:
         """Return a space for each task that finds one, the tightest first."""
         step = waiting.work.step
@@ -278,7 +286,7 @@
             chosen += packing.fill_some(far, step.charge, rest, bound)
         return chosen
 
-    def _may_spread(self, waiting: turns.Waiting) -> bool:
+    def _may_spread(self, waiting: waiting_steps.Waiting) -> bool:
         """Tell whether a step has waited long enough for its rack."""
         since = waiting.work.waiting_since
         waited = self._now - since if since is not None else 0.0
@@ -291,7 +299,7 @@
             patience = min(patience, self._policy.guaranteed_rack_patience_s)
         return waited >= patience
 
-    def _place_gang(self, waiting: turns.Waiting) -> bool:
+    def _place_gang(self, waiting: waiting_steps.Waiting) -> bool:
         spots = self._choose_gang(waiting, self._list_fitting(waiting))
         if spots is None:
             return self._reclaim(waiting, set(waiting.work.waiting))
@@ -310,7 +318,7 @@
         return True
 
     def _choose_gang(
-        self, waiting: turns.Waiting, spaces: list[packing.Space]
+        self, waiting: waiting_steps.Waiting, spaces: list[packing.Space]
     ) -> list[packing.Space] | None:
         step = waiting.work.step
 
@@ -332,7 +340,7 @@
 
     # Guarantees.
 
-    def _is_guaranteed(self, waiting: turns.Waiting) -> bool:
+    def _is_guaranteed(self, waiting: waiting_steps.Waiting) -> bool:
         """Tell whether a step is covered by its customer's guarantee."""
         job = waiting.held.job
         if job.priority != 0:
@@ -341,9 +349,11 @@
             waiting.work.waiting
         )
         used = self._guaranteed_used.get(job.customer, 0)
-        return used + wanted <= self._book.guaranteed.get(job.customer, 0)
+        return used + wanted <= self._pool_state.guaranteed.get(job.customer, 0)
 
-    def _reclaim(self, waiting: turns.Waiting, missing: set[int]) -> bool:
+    def _reclaim(
+        self, waiting: waiting_steps.Waiting, missing: set[int]
+    ) -> bool:
         """Stop work of lower priority that is in the way.
 
         Under its guarantee a step may stop whatever is needed. Beyond that
@@ -354,7 +364,7 @@
         factor = self._policy.find_loss_factor(job.priority)
         if not factor or waiting.hopeless or step.lasting:
             return False
-        chosen = victims.choose_victims(
+        chosen = preemption.choose_victims(
             self._losses,
             job.priority,
             step,
@@ -384,7 +394,7 @@
             self._spaces[worker].take(step.charge)
         return True
 
-    def _hold_workers(self, waiting: turns.Waiting) -> None:
+    def _hold_workers(self, waiting: waiting_steps.Waiting) -> None:
         """Keep later steps off the workers that will fit this one first."""
         step = waiting.work.step
         missing = len(waiting.work.waiting)
@@ -397,12 +407,12 @@
 
 
 def plan(
-    book: books.Book,
+    pool_state: pool_states.Book,
     now: float,
     wall: float,
     *,
     reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-    policy: policies.Policy = _DEFAULT,
+    policy: planner_parameters.Policy = _DEFAULT,
 ) -> Plan:
     """Return what to start and stop now.
 
@@ -413,4 +423,4 @@
         reserved: Room kept for guaranteed work whose victims still end.
         policy: Weights and limits.
     """
-    return Planner(book, now, wall, reserved, policy).run()
+    return Planner(pool_state, now, wall, reserved, policy).run()
--- a/crocusrouter/work/advice.py
+++ b/crocusrouter/work/policy_questions.py
@@ -9,9 +9,9 @@
 
 import dataclasses
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
-from crocusrouter.work import turns
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import waiting_steps
 
 # Workers that one question names. The service needs time for each of them,
 # and a job's objective allows for one question about thirty.
@@ -35,7 +35,7 @@
 
 
 def choose_question(
-    book: books.Book, now: float, wall: float
+    pool_state: pool_states.Book, now: float, wall: float
 ) -> Question | None:
     """Return the question that lets the first step in the order begin.
 
@@ -47,23 +47,23 @@
         now: Steady time in seconds.
         wall: Unix time in seconds.
     """
-    for waiting in turns.list_waiting(book, now, wall):
+    for waiting in waiting_steps.list_waiting(pool_state, now, wall):
         if not waiting.held.job.advised:
             continue
-        asked = _choose_workers(book, waiting, now)
+        asked = _choose_workers(pool_state, waiting, now)
         if asked:
             return Question(waiting.work.key, asked)
     return None
 
 
 def _choose_workers(
-    book: books.Book, waiting: turns.Waiting, now: float
+    pool_state: pool_states.Book, waiting: waiting_steps.Waiting, now: float
 ) -> tuple[str, ...]:
     step = waiting.work.step
     permits = waiting.work.permits
     needed = len(waiting.work.waiting)
     unknown: list[tuple[bool, str]] = []
-    for name, worker in book.workers.items():
+    for name, worker in pool_state.workers.items():
         if not worker.may_take(now):
             continue
         if step.label and step.label not in worker.entry.labels:
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/pool_state.py
@@ -12,7 +12,7 @@
 from crocusrouter.work import orders
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import runs
-from crocusrouter.work import stopping
+from crocusrouter.work import stop_durations
 
 # A failed task comes back after this pause, so that a task which fails at
 # once does not spend its attempts on one bad second of the fleet.
@@ -32,7 +32,7 @@
         self.dirty: set[str] = set()
         self.outbox: list[Stopping] = []
         self.guaranteed: dict[str, int] = {}
-        self.stop_times = stopping.StopTimes()
+        self.stop_times = stop_durations.StopTimes()
         self.contended_at: float | None = None
         self.events: collections.deque[tuple[str, dict[str, object]]] = (
             collections.deque(maxlen=2000)
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/preemption.py
@@ -5,9 +5,9 @@
 import heapq
 from typing import NamedTuple
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
 from crocusrouter.work import packing
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 _FAR = 1e9
@@ -34,10 +34,10 @@
     cost: float
 
 
-def count_guaranteed(book: books.Book) -> dict[str, int]:
+def count_guaranteed(pool_state: pool_states.Book) -> dict[str, int]:
     """Return the accelerators that priority 0 uses now, by customer."""
     total: collections.Counter[str] = collections.Counter()
-    for held in book.live.values():
+    for held in pool_state.live.values():
         if held.job.priority != 0:
             continue
         for work in held.steps.values():
@@ -57,20 +57,20 @@
 class FreeTimes:
     """When workers will have room; each worker's ends are listed once."""
 
-    def __init__(self, book: books.Book, now: float) -> None:
+    def __init__(self, pool_state: pool_states.Book, now: float) -> None:
         """Prepare for one plan.
 
         Args:
             book: The pool's book; not changed.
             now: Steady time in seconds.
         """
-        self._book = book
+        self._pool_state = pool_state
         self._now = now
         self._ends: dict[str, list[tuple[float, model.Room]]] = {}
 
     def find(self, worker: str, room: model.Room) -> float:
         """Return in how many seconds a worker will have room for a task."""
-        free = self._book.workers[worker].free
+        free = self._pool_state.workers[worker].free
         if free.holds(room):
             return 0.0
         if worker not in self._ends:
@@ -83,7 +83,7 @@
 
     def _list_ends(self, worker: str) -> list[tuple[float, model.Room]]:
         ends = []
-        for run in self._book.workers[worker].runs.values():
+        for run in self._pool_state.workers[worker].runs.values():
             if run.work is not None:
                 rest = estimate_rest(run, run.work, self._now)
                 ends.append((rest, run.work.step.charge))
@@ -109,14 +109,14 @@
             whoever comes next, at no further loss.
     """
 
-    def __init__(self, book: books.Book, now: float) -> None:
+    def __init__(self, pool_state: pool_states.Book, now: float) -> None:
         """Prepare for one plan.
 
         Args:
             book: The pool's book; not changed.
             now: Steady time in seconds.
         """
-        self.book = book
+        self.pool_state = pool_state
         self.chosen: set[model.TaskKey] = set()
         self._now = now
         self._steps: dict[model.StepKey, float] = {}
@@ -146,9 +146,9 @@
 
     def _find_options(self, worker: str, priority: int) -> list["_Option"]:
         options = []
-        for key, run in self.book.workers[worker].runs.items():
+        for key, run in self.pool_state.workers[worker].runs.items():
             work = run.work
-            held = self.book.jobs.get(key.job)
+            held = self.pool_state.jobs.get(key.job)
             if work is None or held is None:
                 continue
             ending = run.phase is runs.Phase.STOPPING or key in self.chosen
@@ -174,7 +174,7 @@
         if loss is None:
             loss = sum(
                 measure_loss(member, work, self._now)
-                for member in self.book.list_step_runs(work)
+                for member in self.pool_state.list_step_runs(work)
             )
             self._steps[work.key] = loss
         return loss
@@ -338,7 +338,9 @@
             return set()
         touched = set()
         members = (
-            self._losses.book.list_step_runs(work) if work.step.gang else [run]
+            self._losses.pool_state.list_step_runs(work)
+            if work.step.gang
+            else [run]
         )
         for member in members:
             if member.key in self._stopped:
--- a/crocusrouter/work/racks.py
+++ b/crocusrouter/work/racks.py
@@ -3,9 +3,9 @@
 import collections
 import functools
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
 from crocusrouter.work import packing
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 # Share of a pool's accelerators. With more than half of them taken, what a step
@@ -16,20 +16,20 @@
 class Racks:
     """The racks of a pool as they are during one plan."""
 
-    def __init__(self, book: books.Book) -> None:
+    def __init__(self, pool_state: pool_states.Book) -> None:
         """Prepare for one plan.
 
         Args:
             book: The pool's book; not changed.
         """
-        self._book = book
+        self._pool_state = pool_state
         self._known: dict[model.Step, bool] = {}
 
     @functools.cached_property
     def _workers(self) -> dict[str, list[runs.Worker]]:
         """Workers by rack; looked for only when a step waits for a rack."""
         found = collections.defaultdict(list)
-        for held in self._book.workers.values():
+        for held in self._pool_state.workers.values():
             if held.listed and not held.sealed and not held.gone:
                 found[packing.find_rack(held.entry.labels)].append(held)
         return found
--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/relocation.py
@@ -4,10 +4,10 @@
 although the worker answers. Both end far later than a fresh start would.
 """
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
 from crocusrouter.work import runs
-from crocusrouter.work import victims
 
 # Looks come once a second; two without progress are needed to tell a stall
 # from an unlucky moment.
@@ -22,7 +22,10 @@
 
 
 def list_rescues(
-    book: books.Book, stalled: list[runs.Run], now: float, wall: float
+    pool_state: pool_states.Book,
+    stalled: list[runs.Run],
+    now: float,
+    wall: float,
 ) -> list[tuple[runs.Run, str]]:
     """Return the runs to stop now, with the reason.
 
@@ -35,9 +38,9 @@
     found = [
         (run, "it stands still")
         for run in stalled
-        if run.work is not None and _pays(book, run, run.work, now, wall)
+        if run.work is not None and _pays(pool_state, run, run.work, now, wall)
     ]
-    for worker in book.workers.values():
+    for worker in pool_state.workers.values():
         if worker.leaves_at is None:
             continue
         for run in worker.runs.values():
@@ -53,13 +56,13 @@
     return run.phase is runs.Phase.RUNNING and not work.step.lasting
 
 
-def list_stalled(book: books.Book, now: float) -> list[runs.Run]:
+def list_stalled(pool_state: pool_states.Book, now: float) -> list[runs.Run]:
     """Return the runs that stand still.
 
     All runs are looked at in each decision, so most must drop out at once.
     """
     found = []
-    for run in book.runs.values():
+    for run in pool_state.runs.values():
         if now - run.moved_at <= _SHORTEST_STALL_S:
             continue
         work = run.work
@@ -81,7 +84,7 @@
     if worker.leaves_at is None:
         return False
     left = worker.leaves_at - now
-    if victims.estimate_rest(run, work, now) <= left:
+    if preemption.estimate_rest(run, work, now) <= left:
         return False
     return not work.step.checkpoints or left <= 2 * _MOVE_S
 
@@ -99,7 +102,7 @@
 
 
 def _pays(
-    book: books.Book,
+    pool_state: pool_states.Book,
     run: runs.Run,
     work: runs.StepWork,
     now: float,
@@ -115,7 +118,7 @@
     still = now - run.moved_at
     if work.step.checkpoints:
         return still > _LONG_STALL_S
-    job = book.jobs[run.key.job].job
+    job = pool_state.jobs[run.key.job].job
     wanted = job.find_due(run.key.occurrence) + job.objective_s
     rest = work.step.expected_s - (
         run.moved_at - (run.confirmed_at or run.since)
@@ -126,14 +129,14 @@
 
 
 def list_whole(
-    book: books.Book, rescues: list[tuple[runs.Run, str]]
+    pool_state: pool_states.Book, rescues: list[tuple[runs.Run, str]]
 ) -> dict[model.TaskKey, tuple[runs.Run, str]]:
     """Return the runs to stop with the other members of their gangs."""
     whole: dict[model.TaskKey, tuple[runs.Run, str]] = {}
     for run, why in rescues:
         work = run.work
         assert work is not None
-        members = book.list_step_runs(work) if work.step.gang else [run]
+        members = pool_state.list_step_runs(work) if work.step.gang else [run]
         for member in members:
             whole.setdefault(member.key, (member, why))
     return whole
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -7,13 +7,13 @@
 from collections.abc import Iterable
 import dataclasses
 
-from crocusrouter.work import book as books
 from crocusrouter.work import orders
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 
 def add_successor(
-    book: books.Book, worker: str, successor: str, now: float
+    pool_state: pool_states.Book, worker: str, successor: str, now: float
 ) -> None:
     """Take an incarnation into the book that may not be listed yet.
 
@@ -23,17 +23,20 @@
         successor: The one that answers now.
         now: Steady time in seconds.
     """
-    if successor in book.workers:
+    if successor in pool_state.workers:
         return
     entry = dataclasses.replace(
-        book.workers[worker].entry, id=successor, draining=False, stays_s=None
+        pool_state.workers[worker].entry,
+        id=successor,
+        draining=False,
+        stays_s=None,
     )
-    book.set_worker(entry, now)
-    book.unlist_worker(successor)
+    pool_state.set_worker(entry, now)
+    pool_state.unlist_worker(successor)
 
 
 def note_gone(
-    book: books.Book,
+    pool_state: pool_states.Book,
     worker: str,
     now: float,
     successor: str | None = None,
@@ -52,11 +55,11 @@
         successor: The one that answers; None if that isn't known.
         late: Stops of the starts that the successor may carry out late.
     """
-    held = book.workers.get(worker)
+    held = pool_state.workers.get(worker)
     if held is None or held.gone:
         return
     held.gone = True
-    book.note(
+    pool_state.note(
         "worker:restarted",
         worker=worker,
         successor=successor,
@@ -66,23 +69,23 @@
         for order in late:
             run = held.runs.get(order.key)
             if run is not None and run.number == order.run:
-                book.move_run(run, successor)
+                pool_state.move_run(run, successor)
                 why = "its worker has restarted before its start was answered"
-                book.stop_run(run, why, now)
-                _stop_gang(book, run, now)
-    book.note_lapsed(worker, "another incarnation answers", now)
+                pool_state.stop_run(run, why, now)
+                _stop_gang(pool_state, run, now)
+    pool_state.note_lapsed(worker, "another incarnation answers", now)
 
 
-def _stop_gang(book: books.Book, run: runs.Run, now: float) -> None:
+def _stop_gang(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
     """Stop the members that would work for one that is being stopped."""
     if run.work is not None and run.work.step.gang:
-        book.stop_step(run.work, "a member's worker has restarted", now)
+        pool_state.stop_step(run.work, "a member's worker has restarted", now)
 
 
-def map_incarnations(book: books.Book) -> dict[str, str]:
+def map_incarnations(pool_state: pool_states.Book) -> dict[str, str]:
     """Return the listed incarnation of each worker."""
     return {
         held.entry.worker: name
-        for name, held in book.workers.items()
+        for name, held in pool_state.workers.items()
         if held.listed and not held.gone
     }
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -16,31 +16,31 @@
     return work.TaskKey(job, 0, step, index)
 
 
-def _crash(book, worker, at, back_after_s=_RETURN_S):
+def _crash(pool_state, worker, at, back_after_s=_RETURN_S):
     """Crash a worker; another incarnation answers some seconds later."""
-    work.note_silent(book, worker, at)
-    work.note_replaced(book, worker, at + back_after_s)
+    work.note_silent(pool_state, worker, at)
+    work.note_replaced(pool_state, worker, at + back_after_s)
     return at + back_after_s
 
 
-def _lose(book, worker, at):
+def _lose(pool_state, worker, at):
     """Lose a worker for good; its leases end."""
-    work.note_silent(book, worker, at)
-    work.note_lapsed(book, worker, "its lease has ended", at + 6.1)
+    work.note_silent(pool_state, worker, at)
+    work.note_lapsed(pool_state, worker, "its lease has ended", at + 6.1)
     return at + 6.1
 
 
-def _list_kept(book, key):
-    return book.find_work(key).kept.crashes.get(key.position, [])
+def _list_kept(pool_state, key):
+    return pool_state.find_work(key).kept.crashes.get(key.position, [])
 
 
-def _save(book):
-    book.note_crashes_kept(list(book.jobs))
-    book.dirty.clear()
+def _save(pool_state):
+    pool_state.note_crashes_kept(list(pool_state.jobs))
+    pool_state.dirty.clear()
 
 
-def _hear(book, worker, now):
-    build.report(book, worker, now=now, sent_at=now - 0.001)
+def _hear(pool_state, worker, now):
+    build.report(pool_state, worker, now=now, sent_at=now - 0.001)
 
 
 @pytest.mark.parametrize("end", [_crash, _lose], ids=["back", "lost"])
@@ -60,15 +60,15 @@
     lost under its job, 13 starts in a row and no end in sight. The same where
     each stays away for longer than a lease.
     """
-    book = build.make_book(build.make_job("j", step), workers=_WORKERS)
+    pool_state = build.make_book(build.make_job("j", step), workers=_WORKERS)
     now, crashed = 0.0, 0
-    while not book.jobs["j"].is_final and crashed < len(_WORKERS):
-        build.start_planned(book, now)
-        worker = next(iter(book.runs.values())).worker
-        now = end(book, worker, now + 0.01)
+    while not pool_state.jobs["j"].is_final and crashed < len(_WORKERS):
+        build.start_planned(pool_state, now)
+        worker = next(iter(pool_state.runs.values())).worker
+        now = end(pool_state, worker, now + 0.01)
         crashed += 1
-        _save(book)
-    assert book.jobs["j"].progress.final is work.State.FAILED
+        _save(pool_state)
+    assert pool_state.jobs["j"].progress.final is work.State.FAILED
     assert crashed == 3
 
 
@@ -76,12 +76,12 @@
     """A worker is gone before it has answered the start that ended it, so the
     run was never confirmed.
     """
-    book = build.make_book(build.make_job("j", build.make_step()))
-    build.start_planned(book, confirm=False)
-    run = book.runs[_key("j")]
-    book.note_maybe_begun(run.key, run.number)
-    _crash(book, run.worker, 2.5)
-    assert _list_kept(book, _key("j")) == [(run.number, True)]
+    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    build.start_planned(pool_state, confirm=False)
+    run = pool_state.runs[_key("j")]
+    pool_state.note_maybe_begun(run.key, run.number)
+    _crash(pool_state, run.worker, 2.5)
+    assert _list_kept(pool_state, _key("j")) == [(run.number, True)]
 
 
 @pytest.mark.parametrize(
@@ -90,42 +90,42 @@
     ids=["said-it-leaves", "upkeep", "never-sent"],
 )
 def test_end_that_is_no_crash_is_not_counted(sealed, rested, maybe_begun):
-    book = build.make_book(build.make_job("j", build.make_step()))
-    build.start_planned(book, confirm=False)
-    run = book.runs[_key("j")]
-    worker = book.workers[run.worker]
+    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    build.start_planned(pool_state, confirm=False)
+    run = pool_state.runs[_key("j")]
+    worker = pool_state.workers[run.worker]
     worker.sealed, worker.rested = sealed, rested
     if maybe_begun:
-        book.note_taken(run.key, run.number, 0.0)
-    _crash(book, run.worker, 0.1)
-    assert not _list_kept(book, _key("j"))
+        pool_state.note_taken(run.key, run.number, 0.0)
+    _crash(pool_state, run.worker, 0.1)
+    assert not _list_kept(pool_state, _key("j"))
 
 
 def test_worker_that_was_only_cut_off_takes_the_crash_back():
     """A worker is silent right after a start, and tells later that it runs."""
-    book = build.make_book(build.make_job("j", build.make_step()))
-    build.start_planned(book)
-    run = book.runs[_key("j")]
-    work.note_silent(book, run.worker, 0.5)
-    assert _list_kept(book, _key("j"))
-    _hear(book, run.worker, 1.0)
-    assert not _list_kept(book, _key("j"))
+    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    build.start_planned(pool_state)
+    run = pool_state.runs[_key("j")]
+    work.note_silent(pool_state, run.worker, 0.5)
+    assert _list_kept(pool_state, _key("j"))
+    _hear(pool_state, run.worker, 1.0)
+    assert not _list_kept(pool_state, _key("j"))
 
 
 def test_successor_knows_of_a_crash_that_its_predecessor_only_suspected():
     """The owner is lost between the crash and the worker's return: nobody
     else knew who had been running there, and the task had one crash fewer.
     """
-    book = build.make_book(build.make_job("j", build.make_step()))
-    build.start_planned(book)
-    run = book.runs[_key("j")]
-    work.note_silent(book, run.worker, 0.1)
-    assert "j" in book.dirty
+    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    build.start_planned(pool_state)
+    run = pool_state.runs[_key("j")]
+    work.note_silent(pool_state, run.worker, 0.1)
+    assert "j" in pool_state.dirty
     kept = progresses.parse_progress(
-        progresses.dump_progress(book.jobs["j"].progress)
+        progresses.dump_progress(pool_state.jobs["j"].progress)
     )
     successor = build.make_book(workers=_WORKERS)
-    successor.put_job(book.jobs["j"].job, kept, 2, 2.0)
+    successor.put_job(pool_state.jobs["j"].job, kept, 2, 2.0)
     successor.open_due(build.WALL, 2.0)
     build.start_planned(successor, 2.0)
     again = successor.runs[_key("j")]
@@ -152,12 +152,12 @@
     """The owner is lost right after a start that followed a crash, and its
     successor reads no crash.
     """
-    book = build.make_book(build.make_job("j", build.make_step()))
-    build.start_planned(book)
-    now = _crash(book, book.runs[_key("j")].worker, 0.1)
-    assert build.start_planned(book, now).placements == []
-    _save(book)
-    assert build.start_planned(book, now).placements
+    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    build.start_planned(pool_state)
+    now = _crash(pool_state, pool_state.runs[_key("j")].worker, 0.1)
+    assert build.start_planned(pool_state, now).placements == []
+    _save(pool_state)
+    assert build.start_planned(pool_state, now).placements
 
 
 def test_task_beside_a_crashing_one_is_not_given_up():
@@ -167,75 +167,81 @@
     Each gets a worker of its own for its next start, so the second crash
     speaks against one of them only.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("bad", build.make_step(gpu=2)),
         build.make_job("good", build.make_step(gpu=2)),
         workers=("w0",),
     )
-    build.start_planned(book)
-    now = _crash(book, "w0", 0.1)
-    _save(book)
+    build.start_planned(pool_state)
+    now = _crash(pool_state, "w0", 0.1)
+    _save(pool_state)
     for name in _WORKERS[1:]:
-        book.set_worker(build.make_entry(name), now)
-        book.workers[name].reached = True
-    build.start_planned(book, now)
-    bad, good = book.runs[_key("bad")], book.runs[_key("good")]
+        pool_state.set_worker(build.make_entry(name), now)
+        pool_state.workers[name].reached = True
+    build.start_planned(pool_state, now)
+    bad, good = pool_state.runs[_key("bad")], pool_state.runs[_key("good")]
     assert bad.worker != good.worker
-    assert not book.workers[good.worker].may_take(now)
-    now = _crash(book, bad.worker, now + 0.1)
-    _save(book)
-    _hear(book, good.worker, now)
-    build.start_planned(book, now)
-    _crash(book, book.runs[_key("bad")].worker, now + 0.1)
-    assert book.jobs["bad"].progress.final is work.State.FAILED
-    assert not book.jobs["good"].is_final
+    assert not pool_state.workers[good.worker].may_take(now)
+    now = _crash(pool_state, bad.worker, now + 0.1)
+    _save(pool_state)
+    _hear(pool_state, good.worker, now)
+    build.start_planned(pool_state, now)
+    _crash(pool_state, pool_state.runs[_key("bad")].worker, now + 0.1)
+    assert pool_state.jobs["bad"].progress.final is work.State.FAILED
+    assert not pool_state.jobs["good"].is_final
 
 
 def test_long_runs_are_not_blamed_beside_one_that_has_just_begun():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("old", build.make_step(gpu=2)), workers=("w0", "w1")
     )
-    build.start_planned(book)
-    worker = book.runs[_key("old")].worker
-    _hear(book, worker, 8.0)
-    book.runs[_key("old")].moved_at = 8.0
-    build.put(book, build.make_job("new", build.make_step(gpu=2)), now=8.0)
-    build.start_planned(book, 8.0)
-    assert book.runs[_key("new")].worker == worker
-    _crash(book, worker, 8.1)
-    assert [crash.early for crash in _list_kept(book, _key("old"))] == [False]
-    assert [crash.early for crash in _list_kept(book, _key("new"))] == [True]
+    build.start_planned(pool_state)
+    worker = pool_state.runs[_key("old")].worker
+    _hear(pool_state, worker, 8.0)
+    pool_state.runs[_key("old")].moved_at = 8.0
+    build.put(
+        pool_state, build.make_job("new", build.make_step(gpu=2)), now=8.0
+    )
+    build.start_planned(pool_state, 8.0)
+    assert pool_state.runs[_key("new")].worker == worker
+    _crash(pool_state, worker, 8.1)
+    assert [crash.early for crash in _list_kept(pool_state, _key("old"))] == [
+        False
+    ]
+    assert [crash.early for crash in _list_kept(pool_state, _key("new"))] == [
+        True
+    ]
 
 
 def test_task_that_crashes_late_is_given_up_after_four():
     """A task ends its worker only after some seconds of work, each time
     together with others that have run for as long.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step()), workers=_WORKERS
     )
     now, crashed = 0.0, 0
-    while not book.jobs["j"].is_final and crashed < len(_WORKERS):
-        build.start_planned(book, now)
-        worker = book.runs[_key("j")].worker
-        _hear(book, worker, now + 2.5)
-        now = _crash(book, worker, now + 4.0)
+    while not pool_state.jobs["j"].is_final and crashed < len(_WORKERS):
+        build.start_planned(pool_state, now)
+        worker = pool_state.runs[_key("j")].worker
+        _hear(pool_state, worker, now + 2.5)
+        now = _crash(pool_state, worker, now + 4.0)
         crashed += 1
-        _save(book)
+        _save(pool_state)
     assert crashed == 4
 
 
 def test_run_that_has_worked_for_long_is_cleared():
-    book = build.make_book(build.make_job("j", build.make_step()))
-    found = book.find_work(_key("j"))
+    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    found = pool_state.find_work(_key("j"))
     found.kept.crashes[0] = [progresses.Crash(0, True)]
-    build.start_planned(book)
-    run = book.runs[_key("j")]
-    _hear(book, run.worker, 1.0)
+    build.start_planned(pool_state)
+    run = pool_state.runs[_key("j")]
+    _hear(pool_state, run.worker, 1.0)
     assert found.kept.is_suspect
-    _hear(book, run.worker, runs.TRIAL_S)
+    _hear(pool_state, run.worker, runs.TRIAL_S)
     assert not found.kept.is_suspect
-    _hear(book, run.worker, 61.0)
+    _hear(pool_state, run.worker, 61.0)
     assert not found.kept.crashes
 
 
@@ -243,16 +249,16 @@
     """The first tasks of a wide step took one worker each along, and so did
     the second ones: 20 workers of 24.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(4)), workers=_WORKERS
     )
-    found = book.find_work(_key("j"))
+    found = pool_state.find_work(_key("j"))
     found.kept.crashes[2] = [progresses.Crash(0, True)]
-    build.start_planned(book)
+    build.start_planned(pool_state)
     assert list(found.running) == [2]
-    assert build.start_planned(book, 1.0).placements == []
-    _hear(book, found.running[2].worker, 2.5)
-    build.start_planned(book, 2.5)
+    assert build.start_planned(pool_state, 1.0).placements == []
+    _hear(pool_state, found.running[2].worker, 2.5)
+    build.start_planned(pool_state, 2.5)
     assert not found.waiting
 
 
@@ -260,17 +266,17 @@
     """Under load something begins on every worker all the time, and an
     innocent task that was beside a crash never started again.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("busy", build.make_step()), workers=("w0",)
     )
-    build.start_planned(book)
-    build.put(book, build.make_job("j", build.make_step()))
-    found = book.find_work(_key("j"))
+    build.start_planned(pool_state)
+    build.put(pool_state, build.make_job("j", build.make_step()))
+    found = pool_state.find_work(_key("j"))
     found.kept.crashes[0] = [progresses.Crash(0, True)]
-    assert build.start_planned(book, 1.0).placements == []
-    busy = book.runs[_key("busy")]
+    assert build.start_planned(pool_state, 1.0).placements == []
+    busy = pool_state.runs[_key("busy")]
     busy.since = busy.moved_at = 4.5
-    build.start_planned(book, 4.5)
+    build.start_planned(pool_state, 4.5)
     assert found.running
 
 
@@ -283,14 +289,16 @@
         build.make_job(f"s{number}", build.make_step()) for number in range(6)
     ]
     workers = [f"w{number}" for number in range(8)]
-    book = build.make_book(*suspects, workers=workers)
+    pool_state = build.make_book(*suspects, workers=workers)
     for job in suspects:
-        found = book.find_work(_key(job.id))
+        found = pool_state.find_work(_key(job.id))
         found.kept.crashes[0] = [progresses.Crash(0, True)]
     now = 0.0
-    while not all(_key(job.id) in book.runs for job in suspects):
-        build.start_planned(book, now)
-        closed = sum(not held.may_take(now) for held in book.workers.values())
+    while not all(_key(job.id) in pool_state.runs for job in suspects):
+        build.start_planned(pool_state, now)
+        closed = sum(
+            not held.may_take(now) for held in pool_state.workers.values()
+        )
         assert closed <= 2
         now += 0.5
     assert now <= 5.0
@@ -314,11 +322,11 @@
     progress.get(0, 0).crashes[0] = [
         progresses.Crash(run, early) for run, early in crashes
     ]
-    book = build.make_book()
+    pool_state = build.make_book()
     job = build.make_job("j", build.make_step())
-    book.put_job(job, progress, 2, 0.0)
-    assert book.jobs["j"].progress.final is state
-    assert ("j" in book.dirty) is (state is not None)
+    pool_state.put_job(job, progress, 2, 0.0)
+    assert pool_state.jobs["j"].progress.final is state
+    assert ("j" in pool_state.dirty) is (state is not None)
 
 
 def test_trial_heeds_the_bound_on_tasks_of_a_worker():
@@ -326,16 +334,16 @@
     at most: the emptiest worker was the one on which the first still ran.
     """
     step = build.make_step(2, per_worker=1)
-    book = build.make_book(build.make_job("j", step), workers=("w0",))
-    found = book.find_work(_key("j"))
-    build.start_planned(book)
+    pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
+    found = pool_state.find_work(_key("j"))
+    build.start_planned(pool_state)
     found.kept.crashes[1] = [progresses.Crash(0, True)]
-    book.runs[_key("j")].moved_at = 2.5
-    assert build.start_planned(book, 2.5).placements == []
-    book.set_worker(build.make_entry("w1"), 2.5)
-    book.workers["w1"].reached = True
-    build.start_planned(book, 2.5)
-    assert book.runs[_key("j", 1)].worker == "w1"
+    pool_state.runs[_key("j")].moved_at = 2.5
+    assert build.start_planned(pool_state, 2.5).placements == []
+    pool_state.set_worker(build.make_entry("w1"), 2.5)
+    pool_state.workers["w1"].reached = True
+    build.start_planned(pool_state, 2.5)
+    assert pool_state.runs[_key("j", 1)].worker == "w1"
 
 
 def test_innocent_gang_is_not_given_up_where_workers_restart_by_themselves():
@@ -345,18 +353,20 @@
         build.make_job(f"k{number}", build.make_step(1, gpu=8))
         for number in range(6)
     ]
-    book = build.make_book(build.make_job("j", gang), *others, workers=_WORKERS)
+    pool_state = build.make_book(
+        build.make_job("j", gang), *others, workers=_WORKERS
+    )
     now = 0.0
     for _ in range(3):
-        build.start_planned(book, now)
+        build.start_planned(pool_state, now)
         ours = next(
-            run.worker for key, run in book.runs.items() if key.job == "j"
+            run.worker for key, run in pool_state.runs.items() if key.job == "j"
         )
         beside = next(
-            run.worker for run in book.runs.values() if run.worker != ours
+            run.worker for run in pool_state.runs.values() if run.worker != ours
         )
         for worker in (beside, ours):
-            _crash(book, worker, now + 0.4)
+            _crash(pool_state, worker, now + 0.4)
         now += 0.4 + _RETURN_S
-        _save(book)
-    assert book.jobs["j"].progress.final is None
+        _save(pool_state)
+    assert pool_state.jobs["j"].progress.final is None
--- a/crocusrouter/work/tests/test_pacing.py
+++ b/crocusrouter/work/tests/test_pacing.py
@@ -8,15 +8,15 @@
     """Return a book with one worker that serves and fills."""
     serving = build.make_step(1, lasting=True, target_ms=target_ms)
     filling = build.make_step(1, fills=True)
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("s", serving),
         build.make_job("f", filling),
         workers=("w0",),
     )
-    build.start_planned(book)
-    book.runs[work.TaskKey("s", 0, 0, 0)].load = load
-    book.runs[work.TaskKey("f", 0, 0, 0)].pace = pace
-    return book
+    build.start_planned(pool_state)
+    pool_state.runs[work.TaskKey("s", 0, 0, 0)].load = load
+    pool_state.runs[work.TaskKey("f", 0, 0, 0)].pace = pace
+    return pool_state
 
 
 # Users of a serving task wait longer than they were promised, because of what
@@ -41,12 +41,12 @@
 
 
 def test_figure_from_before_the_last_change_is_not_used():
-    book = _make_book(120.0)
-    book.note_paced(work.TaskKey("f", 0, 0, 0), 1, 50, 4.5)
-    run = book.runs[work.TaskKey("f", 0, 0, 0)]
+    pool_state = _make_book(120.0)
+    pool_state.note_paced(work.TaskKey("f", 0, 0, 0), 1, 50, 4.5)
+    run = pool_state.runs[work.TaskKey("f", 0, 0, 0)]
     run.paced_at = 4.5
-    assert work.choose_paces(book, 5.0) == []
-    assert len(work.choose_paces(book, 5.5)) == 1
+    assert work.choose_paces(pool_state, 5.0) == []
+    assert len(work.choose_paces(pool_state, 5.5)) == 1
 
 
 def test_without_a_task_that_serves_nothing_is_slowed():
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -22,27 +22,31 @@
     ],
 )
 def test_small_tasks_leave_whole_workers_free(gpus, free, chosen):
-    book = build.make_book(build.make_job("j", build.make_step(1, gpu=gpus)))
+    pool_state = build.make_book(
+        build.make_job("j", build.make_step(1, gpu=gpus))
+    )
     for name, count in free.items():
-        used = book.workers[name].used
-        book.workers[name].used = used._replace(accelerators=8 - count)
-    plan = work.plan(book, 0.0, build.WALL)
+        used = pool_state.workers[name].used
+        pool_state.workers[name].used = used._replace(accelerators=8 - count)
+    plan = work.plan(pool_state, 0.0, build.WALL)
     assert _find_workers(plan, "j") == [{chosen}]
 
 
 def test_gang_is_placed_whole_or_not_at_all():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(3, gpu=8, gang=True))
     )
-    assert work.plan(book, 0.0, build.WALL).placements == []
+    assert work.plan(pool_state, 0.0, build.WALL).placements == []
 
 
 @pytest.mark.parametrize(("waited", "placed"), [(6.0, False), (11.0, True)])
 def test_gang_waits_for_one_rack_for_a_while(waited, placed):
     """A gang across racks takes three times as long as one in a rack."""
     step = build.make_step(2, gpu=8, gang=True, one_rack=True)
-    book = build.make_book(build.make_job("j", step), racks=("r0-0", "r0-1"))
-    plan = work.plan(book, waited, build.WALL + waited)
+    pool_state = build.make_book(
+        build.make_job("j", step), racks=("r0-0", "r0-1")
+    )
+    plan = work.plan(pool_state, waited, build.WALL + waited)
     assert bool(plan.placements) is placed
 
 
@@ -57,16 +61,18 @@
 )
 def test_where_tasks_may_go(change, expected):
     step = build.make_step(2, gpu=5, **change)
-    book = build.make_book(build.make_job("j", step), racks=("r0-0", "r0-1"))
-    plan = work.plan(book, 0.0, build.WALL)
+    pool_state = build.make_book(
+        build.make_job("j", step), racks=("r0-0", "r0-1")
+    )
+    plan = work.plan(pool_state, 0.0, build.WALL)
     assert set().union(*_find_workers(plan, "j")) == expected
 
 
 def test_tasks_wait_for_the_steps_before():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(2), build.make_step(1, after=(0,)))
     )
-    plan = build.start_planned(book)
+    plan = build.start_planned(pool_state)
     assert [p.step.step for p in plan.placements] == [0]
 
 
@@ -85,49 +91,52 @@
     they have ended, and nothing else takes it. Beyond the guarantee only
     runs are stopped that lose little.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("low", build.make_step(16, gpu=1), priority=2),
         guaranteed={"a": guaranteed},
     )
-    build.start_planned(book)
-    for run in book.runs.values():
+    build.start_planned(pool_state)
+    for run in pool_state.runs.values():
         run.moved_at = ran_s
     build.put(
-        book, build.make_job("high", build.make_step(1, gpu=8), priority=0)
+        pool_state,
+        build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
-    plan = work.plan(book, ran_s, build.WALL)
+    plan = work.plan(pool_state, ran_s, build.WALL)
     assert bool(plan.stops) is stopped
     assert bool(plan.reservations) is stopped
 
 
 def test_victims_are_those_that_lose_least():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("old", build.make_step(1, gpu=8), priority=2),
         build.make_job("new", build.make_step(1, gpu=8), priority=2),
         guaranteed={"a": 8},
     )
-    build.start_planned(book)
-    old = book.runs[work.TaskKey("old", 0, 0, 0)]
-    new = book.runs[work.TaskKey("new", 0, 0, 0)]
+    build.start_planned(pool_state)
+    old = pool_state.runs[work.TaskKey("old", 0, 0, 0)]
+    new = pool_state.runs[work.TaskKey("new", 0, 0, 0)]
     old.confirmed_at, new.confirmed_at = 0.0, 50.0
     old.moved_at = new.moved_at = 60.0
     build.put(
-        book, build.make_job("high", build.make_step(1, gpu=8), priority=0)
+        pool_state,
+        build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
-    plan = work.plan(book, 60.0, build.WALL)
+    plan = work.plan(pool_state, 60.0, build.WALL)
     assert [run for run, _ in plan.stops] == [new]
 
 
 def test_gang_is_stopped_whole():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("g", build.make_step(2, gpu=8, gang=True), priority=2),
         guaranteed={"a": 8},
     )
-    build.start_planned(book)
+    build.start_planned(pool_state)
     build.put(
-        book, build.make_job("high", build.make_step(1, gpu=8), priority=0)
+        pool_state,
+        build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
-    plan = work.plan(book, 1.0, build.WALL)
+    plan = work.plan(pool_state, 1.0, build.WALL)
     assert len(plan.stops) == 2
 
 
@@ -137,14 +146,14 @@
 
     The worker that will have room first is held for it.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("s", build.make_step(1, gpu=1), priority=2),
         workers=("w0",),
     )
-    build.start_planned(book)
-    build.put(book, build.make_job("big", build.make_step(1, gpu=8)))
-    build.put(book, build.make_job("t", build.make_step(1), priority=2))
-    assert work.plan(book, 1.0, build.WALL).placements == []
+    build.start_planned(pool_state)
+    build.put(pool_state, build.make_job("big", build.make_step(1, gpu=8)))
+    build.put(pool_state, build.make_job("t", build.make_step(1), priority=2))
+    assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
 @pytest.mark.parametrize(
@@ -162,34 +171,36 @@
     Until that worker has told, only jobs start that the predecessor cannot
     have known, or had not running there when it wrote the list down.
     """
-    book = build.make_book()
-    book.epoch = 50
-    build.put(book, build.make_job("old", build.make_step()), created=40)
-    build.put(book, build.make_job("other", build.make_step()), created=41)
-    build.put(book, build.make_job("new", build.make_step()), created=60)
-    book.set_worker(build.make_entry("gone"), 0.0)
-    book.workers["gone"].blocks = blocks
-    plan = work.plan(book, 0.0, build.WALL)
+    pool_state = build.make_book()
+    pool_state.epoch = 50
+    build.put(pool_state, build.make_job("old", build.make_step()), created=40)
+    build.put(
+        pool_state, build.make_job("other", build.make_step()), created=41
+    )
+    build.put(pool_state, build.make_job("new", build.make_step()), created=60)
+    pool_state.set_worker(build.make_entry("gone"), 0.0)
+    pool_state.workers["gone"].blocks = blocks
+    plan = work.plan(pool_state, 0.0, build.WALL)
     assert {placement.step.job for placement in plan.placements} == expected
 
 
 def test_draining_and_silent_workers_get_nothing():
-    book = build.make_book(build.make_job("j", build.make_step(4, gpu=4)))
-    book.set_worker(build.make_entry("w0", draining=True), 0.0)
-    book.note_silent("w1", 0.0)
-    assert work.plan(book, 0.0, build.WALL).placements == []
+    pool_state = build.make_book(build.make_job("j", build.make_step(4, gpu=4)))
+    pool_state.set_worker(build.make_entry("w0", draining=True), 0.0)
+    pool_state.note_silent("w1", 0.0)
+    assert work.plan(pool_state, 0.0, build.WALL).placements == []
 
 
 def test_run_that_stops_keeps_its_room():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(1, gpu=8)), workers=("w0",)
     )
-    build.start_planned(book)
-    run = book.runs[work.TaskKey("j", 0, 0, 0)]
-    book.stop_run(run, "test", 1.0)
-    build.put(book, build.make_job("k", build.make_step(1, gpu=8)))
+    build.start_planned(pool_state)
+    run = pool_state.runs[work.TaskKey("j", 0, 0, 0)]
+    pool_state.stop_run(run, "test", 1.0)
+    build.put(pool_state, build.make_job("k", build.make_step(1, gpu=8)))
     assert run.phase is runs.Phase.STOPPING
-    assert work.plan(book, 1.0, build.WALL).placements == []
+    assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
 @pytest.mark.parametrize(("waited", "reclaimed"), [(0.0, False), (2.0, True)])
@@ -201,10 +212,12 @@
     """
     low = build.make_job("low", build.make_step(2, gpu=8), priority=2)
     gang = build.make_step(2, gpu=8, gang=True, one_rack=True)
-    book = build.make_book(low, racks=("r0-0", "r0-1"), guaranteed={"a": 16})
-    build.start_planned(book)
-    build.put(book, build.make_job("high", gang, priority=0))
-    plan = work.plan(book, waited, build.WALL + waited)
+    pool_state = build.make_book(
+        low, racks=("r0-0", "r0-1"), guaranteed={"a": 16}
+    )
+    build.start_planned(pool_state)
+    build.put(pool_state, build.make_job("high", gang, priority=0))
+    plan = work.plan(pool_state, waited, build.WALL + waited)
     assert bool(plan.reservations) is reclaimed
 
 
@@ -213,15 +226,15 @@
 
     Steps whose objective is past go behind those that can still meet it.
     """
-    book = build.make_book(workers=("w0",))
+    pool_state = build.make_book(workers=("w0",))
     build.put(
-        book,
+        pool_state,
         build.make_job(
             "late", build.make_step(1, gpu=8), accepted_at=build.WALL - 8
         ),
     )
-    build.put(book, build.make_job("early", build.make_step(1, gpu=8)))
-    plan = work.plan(book, 0.0, build.WALL)
+    build.put(pool_state, build.make_job("early", build.make_step(1, gpu=8)))
+    plan = work.plan(pool_state, 0.0, build.WALL)
     assert [p.step.job for p in plan.placements] == ["early"]
 
 
@@ -238,26 +251,28 @@
 )
 def test_what_makes_room_for_which_priority(priority, checkpoints, stopped):
     small = build.make_step(16, gpu=1, checkpoints=checkpoints)
-    book = build.make_book(build.make_job("small", small, priority=3))
-    build.start_planned(book)
+    pool_state = build.make_book(build.make_job("small", small, priority=3))
+    build.start_planned(pool_state)
     gang = build.make_step(2, gpu=8, gang=True)
-    build.put(book, build.make_job("gang", gang, priority=priority), now=1.0)
-    plan = work.plan(book, 1.0, build.WALL + 1.0)
+    build.put(
+        pool_state, build.make_job("gang", gang, priority=priority), now=1.0
+    )
+    plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert bool(plan.stops) is stopped
 
 
 # Two claims in one decision stopped two runs where one made room for both.
 def test_room_that_one_claim_frees_serves_the_next_one_too():
     large = build.make_step(1, gpu=8)
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("l0", large, priority=2),
         build.make_job("l1", large, priority=2),
     )
-    build.start_planned(book)
+    build.start_planned(pool_state)
     for number in range(2):
         claim = build.make_step(1, gpu=4)
-        build.put(book, build.make_job(f"c{number}", claim, priority=0))
-    plan = work.plan(book, 1.0, build.WALL + 1.0)
+        build.put(pool_state, build.make_job(f"c{number}", claim, priority=0))
+    plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert len(plan.stops) == 1
     assert len(plan.reservations) == 2
 
@@ -281,24 +296,24 @@
     next gang within a second, and that gang waited for the stop.
     """
     step = build.make_step(1, lasting=lasting)
-    book = build.make_book(build.make_job("j", step, priority=priority))
+    pool_state = build.make_book(build.make_job("j", step, priority=priority))
     now = 10.0
     if after_s is not None:
-        book.note_contention(now - after_s)
-    plan = work.plan(book, now, build.WALL)
+        pool_state.note_contention(now - after_s)
+    plan = work.plan(pool_state, now, build.WALL)
     assert bool(plan.placements) is placed
 
 
 @pytest.mark.parametrize(("priority", "contended"), [(0, True), (1, False)])
 def test_plan_tells_that_the_first_priority_stops_others(priority, contended):
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("low", build.make_step(2, checkpoints=True), priority=2)
     )
-    build.start_planned(book)
-    for worker in book.workers.values():
+    build.start_planned(pool_state)
+    for worker in pool_state.workers.values():
         worker.used = work.Room(0, 0, 8)
     high = build.make_step(1, gpu=1, expected_s=50.0)
-    build.put(book, build.make_job("high", high, priority=priority))
-    plan = work.plan(book, 1.0, build.WALL + 1.0)
+    build.put(pool_state, build.make_job("high", high, priority=priority))
+    plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert len(plan.stops) == 1
     assert plan.contended is contended
--- a/crocusrouter/work/tests/test_advice.py
+++ b/crocusrouter/work/tests/test_policy_questions.py
@@ -12,20 +12,20 @@
     return build.make_book(job, workers=workers)
 
 
-def _answer(book, tickets, asked, until=3.0):
-    book.find_work(STEP).permits.note_answer(asked, tickets, until)
+def _answer(pool_state, tickets, asked, until=3.0):
+    pool_state.find_work(STEP).permits.note_answer(asked, tickets, until)
 
 
-def _fill(book, *workers):
+def _fill(pool_state, *workers):
     for name in workers:
-        book.workers[name].used = book.workers[name].entry.room
+        pool_state.workers[name].used = pool_state.workers[name].entry.room
 
 
 def test_nothing_starts_without_a_ticket():
-    book = _make_book(build.make_step(1))
-    assert work.plan(book, 0.0, build.WALL).placements == []
-    _answer(book, {"w2": "t"}, ("w1", "w2"))
-    [placement] = work.plan(book, 0.0, build.WALL).placements
+    pool_state = _make_book(build.make_step(1))
+    assert work.plan(pool_state, 0.0, build.WALL).placements == []
+    _answer(pool_state, {"w2": "t"}, ("w1", "w2"))
+    [placement] = work.plan(pool_state, 0.0, build.WALL).placements
     assert placement.spots == {0: "w2"}
 
 
@@ -33,9 +33,9 @@
 # is not answered is sent again, so a ticket must hold for a while longer.
 @pytest.mark.parametrize(("now", "placed"), [(2.4, 1), (2.6, 0)])
 def test_ticket_that_ends_soon_is_not_used(now, placed):
-    book = _make_book(build.make_step(1))
-    _answer(book, {"w0": "t"}, ("w0",))
-    plan = work.plan(book, now, build.WALL)
+    pool_state = _make_book(build.make_step(1))
+    _answer(pool_state, {"w0": "t"}, ("w0",))
+    plan = work.plan(pool_state, now, build.WALL)
     assert len(plan.placements) == placed
 
 
@@ -49,9 +49,9 @@
     ],
 )
 def test_workers_with_room_are_asked_about_first(count, full, asked):
-    book = _make_book(build.make_step(count, gpu=8))
-    _fill(book, *full)
-    question = work.choose_question(book, 0.0, build.WALL)
+    pool_state = _make_book(build.make_step(count, gpu=8))
+    _fill(pool_state, *full)
+    question = work.choose_question(pool_state, 0.0, build.WALL)
     assert question == work.Question(STEP, asked)
 
 
@@ -65,9 +65,9 @@
     ],
 )
 def test_what_is_known_is_not_asked_again(tickets, asked, now, expected):
-    book = _make_book(build.make_step(1))
-    _answer(book, tickets, asked)
-    question = work.choose_question(book, now, build.WALL)
+    pool_state = _make_book(build.make_step(1))
+    _answer(pool_state, tickets, asked)
+    question = work.choose_question(pool_state, now, build.WALL)
     assert (question.workers if question else None) == expected
 
 
@@ -75,24 +75,24 @@
     """Its ticket would end before there is room; the service must not be
     asked for ever while a step waits.
     """
-    book = _make_book(build.make_step(1, gpu=8))
-    _fill(book, "w0", "w1", "w2", "w3")
+    pool_state = _make_book(build.make_step(1, gpu=8))
+    _fill(pool_state, "w0", "w1", "w2", "w3")
     names = ("w0", "w1", "w2", "w3")
-    _answer(book, dict.fromkeys(names, "t"), names)
-    assert work.choose_question(book, 9.0, build.WALL) is None
+    _answer(pool_state, dict.fromkeys(names, "t"), names)
+    assert work.choose_question(pool_state, 9.0, build.WALL) is None
 
 
 def test_question_names_no_more_than_the_objective_allows():
     names = tuple(f"w{number:02}" for number in range(40))
-    book = _make_book(build.make_step(30, gpu=8), workers=names)
-    assert len(work.choose_question(book, 0.0, build.WALL).workers) == 30
+    pool_state = _make_book(build.make_step(30, gpu=8), workers=names)
+    assert len(work.choose_question(pool_state, 0.0, build.WALL).workers) == 30
 
 
 def test_refused_ticket_is_asked_for_again():
-    book = _make_book(build.make_step(1), workers=("w0",))
-    _answer(book, {"w0": "t"}, ("w0",))
-    build.start_planned(book, confirm=False)
+    pool_state = _make_book(build.make_step(1), workers=("w0",))
+    _answer(pool_state, {"w0": "t"}, ("w0",))
+    build.start_planned(pool_state, confirm=False)
     key = work.TaskKey(*STEP, 0)
-    number = book.runs[key].number
-    book.note_not_begun(key, number, orders.Why.NO_TICKET, 0.0)
-    assert work.choose_question(book, 1.0, build.WALL).workers == ("w0",)
+    number = pool_state.runs[key].number
+    pool_state.note_not_begun(key, number, orders.Why.NO_TICKET, 0.0)
+    assert work.choose_question(pool_state, 1.0, build.WALL).workers == ("w0",)
--- a/crocusrouter/work/tests/test_racks.py
+++ b/crocusrouter/work/tests/test_racks.py
@@ -24,35 +24,37 @@
     ],
 )
 def test_which_steps_an_empty_rack_takes(step, holds):
-    book = build.make_book(workers=_WORKERS, racks=_RACKS)
-    assert racks.Racks(book).may_hold(step) is holds
+    pool_state = build.make_book(workers=_WORKERS, racks=_RACKS)
+    assert racks.Racks(pool_state).may_hold(step) is holds
 
 
 def test_workers_that_leave_are_not_counted():
-    book = build.make_book(workers=_WORKERS, racks=_RACKS)
-    entry = book.workers["w0"].entry
-    book.set_worker(dataclasses.replace(entry, draining=True), 1.0)
-    assert not racks.Racks(book).may_hold(build.make_step(2, gpu=8, gang=True))
+    pool_state = build.make_book(workers=_WORKERS, racks=_RACKS)
+    entry = pool_state.workers["w0"].entry
+    pool_state.set_worker(dataclasses.replace(entry, draining=True), 1.0)
+    assert not racks.Racks(pool_state).may_hold(
+        build.make_step(2, gpu=8, gang=True)
+    )
 
 
 @pytest.mark.parametrize(("tasks", "crowded"), [(1, False), (2, True)])
 def test_pool_is_crowded_when_more_than_half_is_taken(tasks, crowded):
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(tasks, gpu=8)),
         workers=_WORKERS,
         racks=_RACKS,
     )
-    build.start_planned(book)
-    assert racks.Racks(book).is_crowded is crowded
+    build.start_planned(pool_state)
+    assert racks.Racks(pool_state).is_crowded is crowded
 
 
-def _take_workers(book, job, names):
+def _take_workers(pool_state, job, names):
     """Let each task of a job run on one worker."""
     for index, worker in enumerate(names):
         key = work.TaskKey(job, 0, 0, index)
-        number = len(book.runs) + 1
-        book.add_run(key, number, worker, 0.0)
-        book.note_taken(key, number, 0.0)
+        number = len(pool_state.runs) + 1
+        pool_state.add_run(key, number, worker, 0.0)
+        pool_state.note_taken(key, number, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -74,20 +76,20 @@
     """
     names = [f"w{number}" for number in range(10)]
     halves, rest = ["w0", "w2", "w4"], ["w6", "w7", "w8", "w9"]
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("half", build.make_step(3, gpu=8)),
         build.make_job("rest", build.make_step(4, gpu=8)),
         workers=names,
         racks=[f"r0-{number // 2}" for number in range(10)],
     )
-    _take_workers(book, "half", halves)
+    _take_workers(pool_state, "half", halves)
     if crowded:
-        _take_workers(book, "rest", rest)
+        _take_workers(pool_state, "rest", rest)
     else:
-        book.set_resting(set(rest))
-        book.forget_job("rest")
+        pool_state.set_resting(set(rest))
+        pool_state.forget_job("rest")
     gang = build.make_step(2, gpu=8, gang=True, one_rack=True)
-    build.put(book, build.make_job("gang", gang))
-    plan = work.plan(book, waited_s, build.WALL + waited_s)
+    build.put(pool_state, build.make_job("gang", gang))
+    plan = work.plan(pool_state, waited_s, build.WALL + waited_s)
     started = {placement.step.job for placement in plan.placements}
     assert ("gang" in started) is placed
--- a/crocusrouter/work/tests/test_rescue.py
+++ b/crocusrouter/work/tests/test_relocation.py
@@ -6,8 +6,8 @@
 from crocusrouter.work.tests import build
 
 
-def _run(book, job="j", position=0):
-    return book.runs[work.TaskKey(job, 0, 0, position)]
+def _run(pool_state, job="j", position=0):
+    return pool_state.runs[work.TaskKey(job, 0, 0, position)]
 
 
 @pytest.mark.parametrize(
@@ -27,14 +27,16 @@
     """A worker drains and leaves; a task that would take longer is lost with
     it, and starts elsewhere only after that.
     """
-    book = build.make_book(build.make_job("j", build.make_step(1, **change)))
-    build.start_planned(book)
-    run = _run(book)
-    entry = book.workers[run.worker].entry
+    pool_state = build.make_book(
+        build.make_job("j", build.make_step(1, **change))
+    )
+    build.start_planned(pool_state)
+    run = _run(pool_state)
+    entry = pool_state.workers[run.worker].entry
     leaving = dataclasses.replace(entry, draining=True, stays_s=stays_s)
-    book.set_worker(leaving, 0.0)
+    pool_state.set_worker(leaving, 0.0)
     run.moved_at = ran_s
-    plan = work.plan(book, ran_s, build.WALL)
+    plan = work.plan(pool_state, ran_s, build.WALL)
     assert [one for one, _ in plan.stops] == ([run] if stopped else [])
 
 
@@ -58,23 +60,23 @@
     """
     step = build.make_step(1, **({"expected_s": 8.0} | change))
     job = build.make_job("j", step, slack=slack)
-    book = build.make_book(job, workers=("w0",))
-    build.start_planned(book)
-    run = _run(book)
+    pool_state = build.make_book(job, workers=("w0",))
+    build.start_planned(pool_state)
+    run = _run(pool_state)
     run.moved_at = ran_s
     if ran_s > 50:
         run.percent = 1.0
     now = ran_s + still_s
-    plan = work.plan(book, now, build.WALL + now)
+    plan = work.plan(pool_state, now, build.WALL + now)
     assert [one for one, _ in plan.stops] == ([run] if stopped else [])
 
 
 def test_gang_of_a_stalled_member_is_stopped_whole():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(2, gpu=8, gang=True))
     )
-    build.start_planned(book)
-    _run(book).moved_at = 0.0
-    _run(book, position=1).moved_at = 5.0
-    plan = work.plan(book, 5.0, build.WALL + 5)
+    build.start_planned(pool_state)
+    _run(pool_state).moved_at = 0.0
+    _run(pool_state, position=1).moved_at = 5.0
+    plan = work.plan(pool_state, 5.0, build.WALL + 5)
     assert len(plan.stops) == 2
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -51,10 +51,10 @@
 
 
 def test_vm_whose_emptying_loses_least_goes_first():
-    book = _make_book(build.make_job("j", build.make_step(2, gpu=8)))
-    build.start_planned(book)
+    pool_state = _make_book(build.make_job("j", build.make_step(2, gpu=8)))
+    build.start_planned(pool_state)
     found = upkeep.choose_vm(
-        book, "p", _WAVE, upkeep.WaveRecord(), _list(), 3.0
+        pool_state, "p", _WAVE, upkeep.WaveRecord(), _list(), 3.0
     )
     assert found.name == "m2"
 
@@ -70,10 +70,13 @@
     ],
 )
 def test_what_is_stopped_to_empty_a_worker(step, leave_by, stopped):
-    book = _make_book(build.make_job("j", step))
-    build.start_planned(book)
-    worker = next(iter(book.runs.values())).worker
-    assert len(upkeep.list_evacuations(book, worker, 1.0, leave_by)) == stopped
+    pool_state = _make_book(build.make_job("j", step))
+    build.start_planned(pool_state)
+    worker = next(iter(pool_state.runs.values())).worker
+    assert (
+        len(upkeep.list_evacuations(pool_state, worker, 1.0, leave_by))
+        == stopped
+    )
 
 
 # Users of tasks that last see too many of them away at once: a stop counts
@@ -89,11 +92,11 @@
 )
 def test_tasks_that_last_leave_one_by_one(percents, may_miss, stopped):
     step = build.make_step(4, gpu=2, lasting=True, may_miss=may_miss)
-    book = build.make_book(build.make_job("j", step), workers=("w0",))
-    build.start_planned(book)
-    for run, percent in zip(book.runs.values(), percents, strict=True):
+    pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
+    build.start_planned(pool_state)
+    for run, percent in zip(pool_state.runs.values(), percents, strict=True):
         run.percent = percent
-    found = upkeep.list_evacuations(book, "w0", 1.0, 30.0)
+    found = upkeep.list_evacuations(pool_state, "w0", 1.0, 30.0)
     assert len(found) == stopped
 
 
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -5,9 +5,9 @@
 The emptiest such worker is taken, since a crash ends all that runs there.
 """
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
 from crocusrouter.work import packing
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 # Under load there may be no quiet worker for long; an innocent task would
@@ -18,15 +18,17 @@
 _MOST_CLOSED_SHARE = 0.25
 
 
-def list_closed(book: books.Book, now: float) -> set[str]:
+def list_closed(pool_state: pool_states.Book, now: float) -> set[str]:
     """Return the workers that a suspect has to itself now."""
     return {
-        name for name, held in book.workers.items() if now < held.trial_until
+        name
+        for name, held in pool_state.workers.items()
+        if now < held.trial_until
     }
 
 
 def choose_trial(
-    book: books.Book,
+    pool_state: pool_states.Book,
     work: runs.StepWork,
     spaces: list[packing.Space],
     closed: set[str],
@@ -46,17 +48,19 @@
     """
     if any(_is_on_trial(run, now) for run in work.running.values()):
         return None
-    quiet = [space for space in spaces if _is_quiet(book, space, now)]
+    quiet = [space for space in spaces if _is_quiet(pool_state, space, now)]
     if not quiet and _has_waited(work, now):
-        quiet = [space for space in spaces if not _is_touched(book, space)]
-    quiet.sort(key=lambda space: book.workers[space.worker].used.cores)
+        quiet = [
+            space for space in spaces if not _is_touched(pool_state, space)
+        ]
+    quiet.sort(key=lambda space: pool_state.workers[space.worker].used.cores)
     if work.step.gang:
         trial = _spread_gang(work, quiet)
     elif quiet:
         trial = {_choose_index(work): quiet[0]}
     else:
         trial = None
-    if trial is None or _closes_too_many(book, trial, closed):
+    if trial is None or _closes_too_many(pool_state, trial, closed):
         return None
     return trial
 
@@ -75,14 +79,16 @@
 
 
 def _closes_too_many(
-    book: books.Book, trial: dict[int, packing.Space], closed: set[str]
+    pool_state: pool_states.Book,
+    trial: dict[int, packing.Space],
+    closed: set[str],
 ) -> bool:
     """Tell whether too few workers would be left to others.
 
     A gang larger than that is tried while no other trial is under way.
     """
     wanted = {space.worker for space in trial.values()}
-    usable = sum(held.listed for held in book.workers.values())
+    usable = sum(held.listed for held in pool_state.workers.values())
     most = _MOST_CLOSED_SHARE * usable
     return bool(closed) and len(closed | wanted) > most
 
@@ -91,16 +97,18 @@
     return now - run.since < runs.TRIAL_S
 
 
-def _is_quiet(book: books.Book, space: packing.Space, now: float) -> bool:
+def _is_quiet(
+    pool_state: pool_states.Book, space: packing.Space, now: float
+) -> bool:
     """Tell whether nothing has just begun on a worker, or does in this plan."""
-    if _is_touched(book, space):
+    if _is_touched(pool_state, space):
         return False
-    here = book.workers[space.worker].runs.values()
+    here = pool_state.workers[space.worker].runs.values()
     return not any(_is_on_trial(run, now) for run in here)
 
 
-def _is_touched(book: books.Book, space: packing.Space) -> bool:
-    return space.free != book.workers[space.worker].free
+def _is_touched(pool_state: pool_states.Book, space: packing.Space) -> bool:
+    return space.free != pool_state.workers[space.worker].free
 
 
 def _has_waited(work: runs.StepWork, now: float) -> bool:
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -9,10 +9,10 @@
 
 import cbor2
 
-from crocusrouter.work import book as books
 from crocusrouter.work import model
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
 from crocusrouter.work import runs
-from crocusrouter.work import victims
 from crocusrouter.work import vms
 
 # From the order until the next worker answers: the platform's two seconds of
@@ -68,7 +68,7 @@
 
 
 def choose_vm(
-    book: books.Book,
+    pool_state: pool_states.Book,
     pool: str,
     wave: vms.Wave,
     record: WaveRecord,
@@ -96,21 +96,23 @@
         and vm.name not in record.down
         and vm.pool == pool
         and vm.state is vms.VmState.UP
-        and vm.worker in book.workers
+        and vm.worker in pool_state.workers
     ]
     return min(
         open_vms,
-        key=lambda vm: (_measure_emptying(book, vm.worker, now), vm.name),
+        key=lambda vm: (_measure_emptying(pool_state, vm.worker, now), vm.name),
         default=None,
     )
 
 
-def _measure_emptying(book: books.Book, worker: str, now: float) -> float:
+def _measure_emptying(
+    pool_state: pool_states.Book, worker: str, now: float
+) -> float:
     """Return the core-seconds that are lost if a worker is emptied now."""
     total = 0.0
-    for run in book.workers[worker].runs.values():
+    for run in pool_state.workers[worker].runs.values():
         if run.work is not None:
-            total += victims.measure_loss(run, run.work, now)
+            total += preemption.measure_loss(run, run.work, now)
     return total
 
 
@@ -128,7 +130,7 @@
 
 
 def list_evacuations(
-    book: books.Book, worker: str, now: float, leave_by: float
+    pool_state: pool_states.Book, worker: str, now: float, leave_by: float
 ) -> list[tuple[runs.Run, str]]:
     """Return the runs to stop now so that a worker can go down.
 
@@ -139,16 +141,16 @@
         leave_by: Steady time at which it should be empty.
     """
     found: dict[model.TaskKey, tuple[runs.Run, str]] = {}
-    held = book.workers.get(worker)
+    held = pool_state.workers.get(worker)
     spared: dict[model.StepKey, int] = {}
     for key in sorted(held.runs) if held is not None else ():
-        run = book.runs[key]
+        run = pool_state.runs[key]
         work = run.work
         if work is None or run.phase is not runs.Phase.RUNNING:
             continue
-        if not _may_leave(book, run, work, spared, now, leave_by):
+        if not _may_leave(pool_state, run, work, spared, now, leave_by):
             continue
-        members = book.list_step_runs(work) if work.step.gang else [run]
+        members = pool_state.list_step_runs(work) if work.step.gang else [run]
         for member in members:
             why = "its worker's VM has upkeep"
             found.setdefault(member.key, (member, why))
@@ -156,7 +158,7 @@
 
 
 def _may_leave(
-    book: books.Book,
+    pool_state: pool_states.Book,
     run: runs.Run,
     work: runs.StepWork,
     spared: dict[model.StepKey, int],
@@ -168,20 +170,20 @@
         if not work.step.may_miss:
             return True
         if work.key not in spared:
-            spared[work.key] = work.step.may_miss - count_away(book, work)
+            spared[work.key] = work.step.may_miss - count_away(pool_state, work)
         spared[work.key] -= 1
         return spared[work.key] >= 0
     if work.step.checkpoints:
         return True
-    rest = victims.estimate_rest(run, work, now)
+    rest = preemption.estimate_rest(run, work, now)
     return now >= leave_by or now + rest > leave_by
 
 
-def count_away(book: books.Book, work: runs.StepWork) -> int:
+def count_away(pool_state: pool_states.Book, work: runs.StepWork) -> int:
     """Return how many tasks of a step that lasts are not at work."""
     at_work = sum(
         run.phase is runs.Phase.RUNNING and run.percent >= _AT_WORK_PERCENT
-        for run in book.list_step_runs(work)
+        for run in pool_state.list_step_runs(work)
     )
     return work.step.count - at_work
 
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/waiting_steps.py
@@ -6,11 +6,11 @@
 
 import dataclasses
 
-from crocusrouter.work import book as books
-from crocusrouter.work import policy as policies
+from crocusrouter.work import planner_parameters
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
-_DEFAULT = policies.Policy()
+_DEFAULT = planner_parameters.Policy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -39,10 +39,10 @@
 
 
 def list_waiting(
-    book: books.Book,
+    pool_state: pool_states.Book,
     now: float,
     wall: float,
-    policy: policies.Policy = _DEFAULT,
+    policy: planner_parameters.Policy = _DEFAULT,
 ) -> list[Waiting]:
     """Return the steps with tasks in turn, in order.
 
@@ -53,9 +53,9 @@
         policy: Weights and limits.
     """
     found = []
-    blocked = book.list_blocked()
-    for held in book.live.values():
-        if held.is_final or book.may_run_unseen(held, blocked):
+    blocked = pool_state.list_blocked()
+    for held in pool_state.live.values():
+        if held.is_final or pool_state.may_run_unseen(held, blocked):
             continue
         if held.unsaved_crash:
             continue
@@ -64,7 +64,7 @@
                 continue
             if work.step.gang and len(work.waiting) < work.step.count:
                 continue
-            if book.is_ready(held, work):
+            if pool_state.is_ready(held, work):
                 found.append(_rank(held, work, wall, policy))
     return sorted(found, key=lambda waiting: waiting.rank)
 
@@ -73,7 +73,7 @@
     held: runs.JobWork,
     work: runs.StepWork,
     wall: float,
-    policy: policies.Policy,
+    policy: planner_parameters.Policy,
 ) -> Waiting:
     job = held.job
     due = job.find_due(work.key.occurrence)
