--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -1,14 +1,14 @@
-"""Which tasks are to blame when the workers that run them crash.
+"""Which tasks are suspected when the workers that run them crash.
 
-A task that ends the process of its worker takes along whatever else runs
-there, and does it again wherever it starts next. Nobody sees which of the
-runs on a crashed worker was the cause, so each crash is kept with every run
-that it ended, and the next one tells more: a suspect starts alone, on a worker
-that takes nothing else until the suspect has shown that it works.
+A task that crashes its worker also ends everything else that runs there, and
+does so again wherever it starts next. Which run caused a crash is unknown, so
+each crash is recorded for every run that it ended. A suspected task then starts
+alone, on a worker that takes nothing else until the task has been seen to work;
+a further crash there is stronger evidence.
 
-An innocent task may be on a crashing worker as well, so one crash gives up
-nothing. A worker that falls silent may be cut off; then it tells of its runs
-when it is back, and the crash is taken back.
+An innocent task may be running on a crashing worker too, so a task is not given
+up after one crash. A worker that falls silent may only be cut off. It then
+reports its runs once it is back, and the recorded crash is withdrawn.
 """
 
 from collections.abc import Iterable
@@ -20,210 +20,240 @@
 from crocusrouter.work import replacement
 from crocusrouter.work import runs
 
-# A run that worked for this long did not crash its worker by what it is.
-_PROVEN_S = 60.0
+# A run that has worked for this long did not cause a crash of its worker.
+_CLEARED_AFTER_S = 60.0
 
 
-def note_silent(pool_state: pool_states.Book, name: str, now: float) -> None:
-    """Note that a worker does not answer.
+def note_silent(
+    pool_state: pool_states.Book, worker_id: str, now: float
+) -> None:
+    """Record that a worker does not answer.
 
-    It may have crashed under what has just begun there. That is kept at once
-    and not when it is known, some seconds later: an owner lost meanwhile would
-    take along who was running there, and its successor start it again. A
-    worker that was only cut off tells of its runs when it is back.
+    It may have crashed because of a task that has just started there. Such a
+    crash is recorded now, not some seconds later when it is certain: if this
+    owner were lost in between, nobody would know what was running there, and a
+    new owner would start the task again. The crash is withdrawn if the worker
+    was only cut off and reports the run later.
 
     Args:
-        book: The pool's book.
-        name: The worker.
+        pool_state: State of the pool.
+        worker_id: The worker.
         now: Steady time in seconds.
     """
-    worker = pool_state.workers.get(name)
+    worker = pool_state.workers.get(worker_id)
     if worker is None or worker.silent_since is not None:
         return
-    pool_state.note_silent(name, now)
-    for run in _list_blamed(pool_state, worker, list(worker.runs.values())):
+    pool_state.note_silent(worker_id, now)
+    for run in _list_suspected_runs(
+        pool_state, worker, list(worker.runs.values())
+    ):
         if _is_early(run, worker):
-            _keep(pool_state, run, worker)
+            _record_crash(pool_state, run, worker)
 
 
 def note_lapsed(
-    pool_state: pool_states.Book, name: str, why: str, now: float
+    pool_state: pool_states.Book, worker_id: str, reason: str, now: float
 ) -> None:
-    """Note that a worker's leases have ended in silence.
+    """Record that a worker's leases have expired without an answer.
 
     It may have crashed and stay away for longer than a lease, or be cut off.
 
     Args:
-        book: The pool's book.
-        name: The worker.
-        why: Told in the log.
+        pool_state: State of the pool.
+        worker_id: The worker.
+        reason: Text for the log.
         now: Steady time in seconds.
     """
-    worker = pool_state.workers.get(name)
+    worker = pool_state.workers.get(worker_id)
     if worker is None:
         return
-    blamed = _list_blamed(pool_state, worker, list(worker.runs.values()))
-    for run in blamed:
-        _keep(pool_state, run, worker)
-    pool_state.note_lapsed(name, why, now)
-    _give_up_crashing(pool_state, blamed, now)
+    suspected_runs = _list_suspected_runs(
+        pool_state, worker, list(worker.runs.values())
+    )
+    for run in suspected_runs:
+        _record_crash(pool_state, run, worker)
+    pool_state.note_lapsed(worker_id, reason, now)
+    _fail_crashing_tasks(pool_state, suspected_runs, now)
 
 
 def note_replaced(
     pool_state: pool_states.Book,
-    name: str,
+    worker_id: str,
     now: float,
     successor: str | None = None,
-    late: Iterable[orders.Stop] = (),
+    late_stops: Iterable[orders.Stop] = (),
 ) -> None:
-    """Note that another incarnation answers in place of a worker's.
+    """Record that another incarnation answers in place of a worker's.
 
     Args:
-        book: The pool's book.
-        name: The incarnation that is gone.
+        pool_state: State of the pool.
+        worker_id: The incarnation that has ended.
         now: Steady time in seconds.
-        successor: The one that answers; None if that isn't known.
-        late: Stops of the starts that the successor may carry out late.
+        successor: The incarnation that answers; None if unknown.
+        late_stops: Stops of the starts that the successor may carry out late.
     """
-    worker = pool_state.workers.get(name)
+    worker = pool_state.workers.get(worker_id)
     if worker is None:
         return
-    blamed = _list_blamed(pool_state, worker, list(worker.runs.values()))
-    for run in blamed:
-        _keep(pool_state, run, worker)
-    _tell_crash(pool_state, worker, blamed)
-    replacement.note_gone(pool_state, name, now, successor, late)
-    _give_up_crashing(pool_state, blamed, now)
+    suspected_runs = _list_suspected_runs(
+        pool_state, worker, list(worker.runs.values())
+    )
+    for run in suspected_runs:
+        _record_crash(pool_state, run, worker)
+    _log_crash(pool_state, worker, suspected_runs)
+    replacement.note_gone(pool_state, worker_id, now, successor, late_stops)
+    _fail_crashing_tasks(pool_state, suspected_runs, now)
 
 
-def _tell_crash(
-    pool_state: pool_states.Book, worker: runs.Worker, blamed: list[runs.Run]
+def _log_crash(
+    pool_state: pool_states.Book,
+    worker: runs.Worker,
+    suspected_runs: list[runs.Run],
 ) -> None:
-    if not blamed:
+    if not suspected_runs:
         return
-    early = [run for run in blamed if _is_early(run, worker)]
+    early_runs = [run for run in suspected_runs if _is_early(run, worker)]
     pool_state.note(
         "worker:crashed",
         worker=worker.entry.id,
-        suspects=[str(run.key) for run in early],
-        others=[str(run.key) for run in blamed if run not in early],
+        suspects=[str(run.key) for run in early_runs],
+        others=[
+            str(run.key) for run in suspected_runs if run not in early_runs
+        ],
     )
 
 
-def clear_told(
-    pool_state: pool_states.Book, key: model.TaskKey, number: int
+def withdraw_crash(
+    pool_state: pool_states.Book, key: model.TaskKey, run_number: int
 ) -> None:
-    """Drop a crash under a run of which its worker tells after all.
+    """Remove the crash recorded for a run that its worker still reports.
 
     Args:
-        book: The pool's book.
+        pool_state: State of the pool.
         key: The task.
-        number: Of the run that the worker lists as running or ended.
+        run_number: Number of the run that the worker lists as running or ended.
     """
-    work = pool_state.find_work(key)
-    found = work.kept.crashes.get(key.position) if work is not None else None
-    if work is None or not found:
+    tracked_step = pool_state.find_work(key)
+    crashes = (
+        tracked_step.kept.crashes.get(key.position)
+        if tracked_step is not None
+        else None
+    )
+    if tracked_step is None or not crashes:
         return
-    left = [crash for crash in found if crash.run != number]
-    if len(left) < len(found):
-        work.kept.crashes[key.position] = left
+    remaining_crashes = [crash for crash in crashes if crash.run != run_number]
+    if len(remaining_crashes) < len(crashes):
+        tracked_step.kept.crashes[key.position] = remaining_crashes
         pool_state.dirty.add(key.job)
 
 
-def clear_survivor(
+def clear_working_run(
     pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
 ) -> None:
-    """Take the suspicion from a step once one of its tasks works.
+    """Clear a step of suspicion once one of its tasks is seen to work.
 
-    Its tasks run the same, so the others need no trial of their own. Their
-    crashes stay kept: one of them may differ after all.
+    The tasks of a step run the same program, so the others need no trials of
+    their own. Their crashes stay recorded, since one task may still differ.
     """
-    work = run.work
-    if work is None or not work.kept.crashes or _is_early(run, worker):
+    tracked_step = run.work
+    if (
+        tracked_step is None
+        or not tracked_step.kept.crashes
+        or _is_early(run, worker)
+    ):
         return
-    if work.step.gang and not run.percent:
-        # It waits for the other members, and works only after that.
+    if tracked_step.step.gang and not run.percent:
+        # The task waits for the other members of its gang, and works only after
+        # that.
         return
-    survived = _measure_survival(run, worker)
-    if survived >= _PROVEN_S and run.key.position in work.kept.crashes:
-        del work.kept.crashes[run.key.position]
+    worked_s = _measure_work_time(run, worker)
+    if (
+        worked_s >= _CLEARED_AFTER_S
+        and run.key.position in tracked_step.kept.crashes
+    ):
+        del tracked_step.kept.crashes[run.key.position]
         pool_state.dirty.add(run.key.job)
-    clear_step(pool_state, work, run.key.position)
+    clear_working_step(pool_state, tracked_step, run.key.position)
 
 
-def clear_step(
-    pool_state: pool_states.Book, work: runs.StepWork, index: int
+def clear_working_step(
+    pool_state: pool_states.Book, tracked_step: runs.StepWork, index: int
 ) -> None:
-    """Count crashes as early ones no more once a task of the step works.
+    """Stop counting crashes of a step as early once one of its tasks works.
+
+    A task that has met two crashes must be seen to work itself.
 
-    One that has met two crashes must show itself that it works.
+    Args:
+        pool_state: State of the pool.
+        tracked_step: The step.
+        index: Index of the task that works.
     """
-    for position, found in work.kept.crashes.items():
-        if position != index and len(found) > 1:
+    for crashed_index, crashes in tracked_step.kept.crashes.items():
+        if crashed_index != index and len(crashes) > 1:
             continue
-        if any(crash.early for crash in found):
-            work.kept.crashes[position] = [
-                crash._replace(early=False) for crash in found
+        if any(crash.early for crash in crashes):
+            tracked_step.kept.crashes[crashed_index] = [
+                crash._replace(early=False) for crash in crashes
             ]
-            pool_state.dirty.add(work.key.job)
+            pool_state.dirty.add(tracked_step.key.job)
 
 
-def _measure_survival(run: runs.Run, worker: runs.Worker) -> float:
-    """Return the seconds for which a run was certainly seen to work."""
-    if run.confirmed_at is None or worker.heard_at is None:
+def _measure_work_time(run: runs.Run, worker: runs.Worker) -> float:
+    """Return for how many seconds a run was certainly seen to work."""
+    if run.confirmed_at is None or worker.last_report_at is None:
         return 0.0
-    return max(0.0, worker.heard_at - run.confirmed_at)
+    return max(0.0, worker.last_report_at - run.confirmed_at)
 
 
 def _is_early(run: runs.Run, worker: runs.Worker) -> bool:
-    return _measure_survival(run, worker) < runs.TRIAL_S
+    return _measure_work_time(run, worker) < runs.TRIAL_S
 
 
-def _list_blamed(
-    pool_state: pool_states.Book, worker: runs.Worker, lost: list[runs.Run]
+def _list_suspected_runs(
+    pool_state: pool_states.Book, worker: runs.Worker, lost_runs: list[runs.Run]
 ) -> list[runs.Run]:
     """Return the runs that may have crashed a worker.
 
-    None where it has said that it leaves or has been sent to upkeep.
+    There are none if the worker was draining or emptied for upkeep.
     """
-    if worker.sealed or worker.rested:
+    if worker.sealed or worker.was_evacuated:
         return []
-    return [run for run in lost if _may_blame(run, worker)]
+    return [run for run in lost_runs if _may_have_crashed_worker(run, worker)]
 
 
-def _may_blame(run: runs.Run, worker: runs.Worker) -> bool:
-    """Tell whether a run can have begun, and not long ago."""
-    begun = run.maybe_begun or run.confirmed_at is not None
+def _may_have_crashed_worker(run: runs.Run, worker: runs.Worker) -> bool:
+    """Tell whether a run may have started, and not long ago."""
+    may_have_started = run.maybe_begun or run.confirmed_at is not None
     return (
-        begun
+        may_have_started
         and run.work is not None
-        and _measure_survival(run, worker) < _PROVEN_S
+        and _measure_work_time(run, worker) < _CLEARED_AFTER_S
     )
 
 
-def _give_up_crashing(
-    pool_state: pool_states.Book, blamed: list[runs.Run], now: float
+def _fail_crashing_tasks(
+    pool_state: pool_states.Book, crashed_runs: list[runs.Run], now: float
 ) -> None:
-    """Give up the tasks under which too many workers have crashed."""
-    for run in blamed:
+    """Fail the jobs of tasks under which too many workers have crashed."""
+    for run in crashed_runs:
         assert run.work is not None
         if run.work.kept.is_given_up(run.key.position):
-            _give_up(pool_state, run, now)
+            _fail_job(pool_state, run, now)
 
 
-def _keep(
+def _record_crash(
     pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
 ) -> None:
     if run.work is None or run.key.job not in pool_state.live:
         return
-    found = run.work.kept.crashes.setdefault(run.key.position, [])
-    if any(crash.run == run.number for crash in found):
+    crashes = run.work.kept.crashes.setdefault(run.key.position, [])
+    if any(crash.run == run.number for crash in crashes):
         return
     crash = progresses.Crash(run.number, _is_early(run, worker))
-    found.append(crash)
+    crashes.append(crash)
     pool_state.dirty.add(run.key.job)
     if crash.early:
-        pool_state.jobs[run.key.job].unsaved_crash = True
+        pool_state.jobs[run.key.job].has_unsaved_crash = True
 
 
 def _list_crashes(run: runs.Run) -> list[progresses.Crash]:
@@ -231,13 +261,13 @@
     return run.work.kept.crashes.get(run.key.position, [])
 
 
-def _give_up(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
-    held = pool_state.jobs.get(run.key.job)
-    if held is None or held.is_final:
+def _fail_job(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
+    tracked_job = pool_state.jobs.get(run.key.job)
+    if tracked_job is None or tracked_job.is_final:
         return
     pool_state.note(
         "task:given-up",
         task=run.key,
         runs=[crash.run for crash in _list_crashes(run)],
     )
-    pool_state.finish(held, model.State.FAILED, now)
+    pool_state.finish(tracked_job, model.State.FAILED, now)
--- a/crocusrouter/work/incarnations.py
+++ b/crocusrouter/work/incarnations.py
@@ -1,15 +1,15 @@
 """Names of the incarnations of a worker.
 
-A worker's process may start again under the id that it had. It knows nothing
-of before, so whatever is believed of a worker belongs to one incarnation: the
-id together with the start of the process.
+A worker's process may restart under the same worker id, and then knows nothing
+of the earlier process. State is therefore kept for each incarnation, which is
+identified by the worker id together with the start time of the process.
 """
 
 _SEPARATOR = "@"
 
 
 def build_incarnation(worker: str, born_ms: int | None) -> str:
-    """Return the name of one incarnation.
+    """Return the name of an incarnation.
 
     Args:
         worker: The worker's id, which its incarnations share.
@@ -25,7 +25,7 @@
 
 
 def find_worker(incarnation: str) -> str:
-    """Return the id that an incarnation shares with others.
+    """Return the worker id that an incarnation shares with others.
 
     >>> find_worker("w1@1700000000000"), find_worker("w1")
     ('w1', 'w1')
--- a/crocusrouter/work/model.py
+++ b/crocusrouter/work/model.py
@@ -1,4 +1,4 @@
-"""Jobs as steps of tasks, and what a task asks of a worker."""
+"""Jobs, their steps and tasks, and the room that tasks need."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class State(enum.StrEnum):
-    """What a caller is told of a job."""
+    """State of a job as callers see it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -19,17 +19,17 @@
 FINAL = frozenset({State.DONE, State.FAILED, State.CANCELLED})
 
 
-# How many tasks fit that ask for nothing.
-_NO_BOUND = 1_000_000
+# Number of tasks that fit if a task needs no room at all.
+_UNLIMITED_COUNT = 1_000_000
 
 
 class Room(NamedTuple):
-    """What a task needs, or what a worker has.
+    """Resources that a task needs or that a worker has.
 
     Attributes:
         cpu: Thousandths of a core.
         memory_mb: Megabytes.
-        accelerators: A count.
+        accelerators: Number of accelerators.
     """
 
     cpu: int = 0
@@ -37,7 +37,7 @@
     accelerators: int = 0
 
     def plus(self, other: "Room") -> "Room":
-        """Return the sum."""
+        """Return the sum of two rooms."""
         return Room(
             self.cpu + other.cpu,
             self.memory_mb + other.memory_mb,
@@ -45,7 +45,7 @@
         )
 
     def minus(self, other: "Room") -> "Room":
-        """Return the difference."""
+        """Return the difference of two rooms."""
         return Room(
             self.cpu - other.cpu,
             self.memory_mb - other.memory_mb,
@@ -53,7 +53,7 @@
         )
 
     def holds(self, other: "Room") -> bool:
-        """Tell whether `other` fits.
+        """Tell whether `other` fits into this room.
 
         >>> Room(2000, 512, 1).holds(Room(2000, 256))
         True
@@ -65,47 +65,47 @@
         )
 
     def count(self, other: "Room") -> int:
-        """Return how many times `other` fits.
+        """Return how many times `other` fits into this room.
 
         >>> Room(4000, 512, 8).count(Room(1000, 256, 1))
         2
         """
-        fits = _NO_BOUND
+        count = _UNLIMITED_COUNT
         if other.cpu > 0:
-            fits = self.cpu // other.cpu
+            count = self.cpu // other.cpu
         if other.memory_mb > 0:
-            fits = min(fits, self.memory_mb // other.memory_mb)
+            count = min(count, self.memory_mb // other.memory_mb)
         if other.accelerators > 0:
-            fits = min(fits, self.accelerators // other.accelerators)
-        return fits
+            count = min(count, self.accelerators // other.accelerators)
+        return count
 
     @property
     def cores(self) -> float:
-        """Weight in cores; an accelerator counts as eight of them."""
+        """Weight in cores; an accelerator weighs as much as eight cores."""
         return self.cpu / 1000 + 8 * self.accelerators
 
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """Tasks that ask for the same.
+    """A group of tasks with the same requirements.
 
     Attributes:
-        count: How many tasks.
-        room: What each needs.
-        expected_s: Declared seconds of work of one task; a rough estimate.
-        after: Earlier steps whose tasks must all have ended well before.
-        gang: Whether the tasks work only together, all or none.
+        count: Number of tasks.
+        room: Room that each task needs.
+        expected_s: Declared run time of one task in seconds; a rough estimate.
+        after: Earlier steps whose tasks must all have succeeded before.
+        gang: Whether the tasks must run together, all or none.
         one_rack: Whether tasks on several racks take several times as long.
-        checkpoints: Whether a task can go on from a checkpoint.
+        checkpoints: Whether a task can resume from a checkpoint.
         label: Label that the worker must have; empty for any.
         rack: Rack that holds the data; empty for none.
-        per_worker: Most tasks on one worker; 0 for no bound.
+        per_worker: Maximum number of tasks on one worker; 0 for no limit.
         copies: Whether several runs of a task may overlap.
         lasting: Whether tasks run until the job is cancelled.
-        image: What the tasks run; tasks of one image behave alike.
-        target_ms: Bound on the tail of a lasting task's own answers.
-        fills: Whether it uses only processor time that others leave.
-        may_miss: Lasting tasks that may be away through our own doing.
+        image: Image that the tasks run; tasks of one image behave alike.
+        target_ms: Limit of the tail latency of a lasting task's answers.
+        fills: Whether the tasks use only processor time that others leave.
+        may_miss: How many lasting tasks may be down through our own actions.
     """
 
     count: int
@@ -127,31 +127,32 @@
 
     @functools.cached_property
     def charge(self) -> Room:
-        """What a task takes from a worker's room."""
+        """Room that a task takes from its worker."""
         return self.room._replace(cpu=0) if self.fills else self.room
 
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """One accepted job; what is fixed at its acceptance.
+    """One accepted job, as fixed when it was accepted.
 
     Attributes:
         id: Chosen by the caller.
         queue: Name of the queue.
-        pool: The service whose workers run it.
-        customer: Whose it is; empty on a public queue.
-        priority: 0 goes first.
-        max_attempts: Failed attempts after which it fails.
+        pool: The service whose workers run the job.
+        customer: Owner of the job; empty on a public queue.
+        priority: 0 is the most urgent.
+        max_attempts: Number of failed attempts after which the job fails.
         slack: See `queues.Queue`.
         target_s: See `queues.Queue`.
-        payload: Handed to each task.
-        steps: What runs.
+        payload: Passed to each task.
+        steps: The steps in order.
         accepted_at: Unix time in seconds.
-        repeats: How many times the steps run on a schedule; 0 for at once.
+        repeats: How many times the steps run on a schedule; 0 for one run at
+            once.
         first_due: Unix time in seconds of occurrence 0.
         interval_s: Seconds from one occurrence to the next.
-        cancelled: Whether a caller has cancelled it.
-        advised: Whether its queue's policy chooses workers.
+        cancelled: Whether a caller has cancelled the job.
+        advised: Whether its queue's policy chooses the workers.
     """
 
     id: str
@@ -173,12 +174,12 @@
 
     @functools.cached_property
     def tails(self) -> tuple[float, ...]:
-        """See `measure_tails`; asked at each decision."""
+        """Result of `measure_tails`; cached, since each decision needs it."""
         return measure_tails(self.steps)
 
     @property
     def objective_s(self) -> float:
-        """Seconds from the due time to the wanted end."""
+        """Seconds from the due time to the desired end."""
         return self.slack * max(self.tails, default=0.0) + self.target_s
 
     @property
@@ -194,7 +195,7 @@
 
 
 class TaskKey(NamedTuple):
-    """Names one task of one occurrence."""
+    """Identifies one task of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -202,7 +203,7 @@
     position: int
 
     def __str__(self) -> str:
-        """Return the name by which logs show it; an id finds all of a job.
+        """Return the name in logs; searching for a job id finds its tasks.
 
         >>> str(TaskKey("0a", 0, 1, 17))
         '0a.0.1.17'
@@ -211,14 +212,14 @@
 
 
 class StepKey(NamedTuple):
-    """Names one step of one occurrence."""
+    """Identifies one step of one occurrence of a job."""
 
     job: str
     occurrence: int
     step: int
 
     def __str__(self) -> str:
-        """Return the name by which logs show it.
+        """Return the name in logs.
 
         >>> str(StepKey("0a", 0, 1))
         '0a.0.1'
@@ -227,23 +228,23 @@
 
 
 def find_step(key: TaskKey) -> StepKey:
-    """Return the step that a task belongs to."""
+    """Return the key of the step that a task belongs to."""
     return StepKey(key.job, key.occurrence, key.step)
 
 
 def measure_tails(steps: tuple[Step, ...]) -> tuple[float, ...]:
-    """Return for each step the longest chain of work from its start on.
+    """Return the length of the critical path from each step's start.
 
     >>> one = Step(1, Room(), 2.0)
     >>> measure_tails((one, Step(1, Room(), 3.0, after=(0,))))
     (5.0, 3.0)
 
     Returns:
-        Seconds of declared work, the step's own included.
+        Declared seconds of work for each step, the step itself included.
     """
     tails = [step.expected_s for step in steps]
-    for number in reversed(range(len(steps))):
-        for earlier in steps[number].after:
-            reached = steps[earlier].expected_s + tails[number]
-            tails[earlier] = max(tails[earlier], reached)
+    for index in reversed(range(len(steps))):
+        for earlier_index in steps[index].after:
+            path_s = steps[earlier_index].expected_s + tails[index]
+            tails[earlier_index] = max(tails[earlier_index], path_s)
     return tuple(tails)
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -1,6 +1,6 @@
-"""What a pool's owner asks of a worker, and what a worker answers.
+"""Orders that a pool's owner sends to workers, and the workers' answers.
 
-The port between the deciding core and whatever wire a worker speaks.
+This is the port between the scheduling core and the protocol of the workers.
 """
 
 import dataclasses
@@ -15,23 +15,23 @@
     """How a run ended."""
 
     DONE = "done"
-    FAILED = "failed"  # by its own fault or its worker's
-    STOPPED = "stopped"  # on our order
+    FAILED = "failed"  # through a fault of the task or its worker
+    STOPPED = "stopped"  # by order of the owner
     LAPSED = "lapsed"  # its lease ran out
     BROKEN = "broken"  # another member of its gang ended
-    ALONE = "alone"  # the other members of its gang never came
+    ALONE = "alone"  # the other members of its gang never started
 
 
 @dataclasses.dataclass(frozen=True)
 class Running:
-    """One run as its worker holds it.
+    """One run as its worker reports it.
 
     Attributes:
         key: The task.
-        run: The start's number.
+        run: Number of the start.
         saved: Latest checkpoint; empty for none.
-        percent: How far it says it is.
-        load: The tail of its answers in ms for a serving task, else the
+        percent: Progress as the task reports it.
+        load: Tail latency of its answers in ms for a serving task, else the
             thousandths of a core in use.
     """
 
@@ -44,13 +44,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ended:
-    """One end; the worker lists it until told that it was noted.
+    """One end of a run; the worker lists it until the owner confirms it.
 
     Attributes:
-        number: Rises with each end of this incarnation.
+        number: Rises with each end on this incarnation.
         key: The task.
-        run: The start's number.
-        how: How it ended.
+        run: Number of the start.
+        how: How the run ended.
         saved: Latest checkpoint; empty for none.
     """
 
@@ -63,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What a worker holds.
+    """What a worker reports about its runs.
 
     Attributes:
         clock_ms: The worker's own clock.
         running: All runs.
-        ended: Ends that nobody has confirmed.
-        born_ms: Unix milliseconds at which its process started; None if it
-            does not say.
+        ended: Ends that no owner has confirmed.
+        born_ms: Unix milliseconds at which its process started; None if it does
+            not say.
     """
 
     clock_ms: int
@@ -81,17 +81,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Taken:
-    """The order was carried out."""
+    """The worker carried out the order."""
 
     clock_ms: int
 
 
 class Why(enum.StrEnum):
-    """Why a worker refused."""
+    """Why a worker refused an order."""
 
-    FENCED = "fenced"  # it knows a later owner
+    FENCED = "fenced"  # the worker knows a later owner
     OLD = "old"  # this run or a later one has ended there
-    LATE = "late"  # the lease that the order carries is past
+    LATE = "late"  # the lease in the order has expired
     NO_ROOM = "no-room"
     NO_TICKET = "no-ticket"
     OTHER_INCARNATION = "other-incarnation"
@@ -101,13 +101,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rejected:
-    """The worker refused and did nothing.
+    """The worker refused an order and did nothing.
 
     Attributes:
-        why: Its reason.
-        clock_ms: Its clock.
-        incarnation: Who has answered instead of the one that was meant; None
-            if that isn't known.
+        why: Reason of the refusal.
+        clock_ms: The worker's clock.
+        incarnation: The incarnation that answered in place of the addressed
+            one; None if unknown.
     """
 
     why: Why
@@ -117,7 +117,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Silent:
-    """No answer; the order may be carried out, even seconds later."""
+    """No answer came; the order may still be carried out, even seconds later.
+
+    Attributes:
+        cause: What went wrong.
+        maybe_done: Whether the order may have reached the worker.
+    """
 
     cause: str
     maybe_done: bool = True
@@ -125,14 +130,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Start:
-    """Run a task.
+    """Order to run a task.
 
     Attributes:
         key: The task.
-        run: The start's number; members of a gang share it.
-        payload: Handed to the task.
-        saved: Checkpoint to go on from; empty for none.
-        ticket: The policy service's leave; empty if none is needed.
+        run: Number of the start; members of a gang share it.
+        payload: Passed to the task.
+        saved: Checkpoint to resume from; empty for none.
+        ticket: Permission of the policy service; empty if none is needed.
     """
 
     key: model.TaskKey
@@ -144,7 +149,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Stop:
-    """Stop a run, or keep one that has not come yet from starting."""
+    """Order to stop a run, or to reject its start if that arrives later."""
 
     key: model.TaskKey
     run: int
@@ -152,12 +157,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pace:
-    """Let a run work, and disturb others, at a share of its speed.
+    """Order to limit the speed of a run, and so its load on others.
 
     Attributes:
         key: The task.
-        run: The start's number.
-        percent: 0 to 100.
+        run: Number of the start.
+        percent: Share of full speed, 0 to 100.
     """
 
     key: model.TaskKey
@@ -170,8 +175,9 @@
     """Which workers may run a step.
 
     Attributes:
-        tickets: Ticket by worker; a worker that is missing may not.
-        valid_s: Seconds for which a ticket holds from the answer on.
+        tickets: Ticket by worker; a worker without a ticket may not run the
+            step.
+        valid_s: Seconds for which the tickets are valid after the answer.
     """
 
     tickets: dict[str, str]
@@ -179,14 +185,17 @@
 
 
 class PolicyPort(Protocol):
-    """The service that knows the policy of advised queues."""
+    """The service that decides which workers may run a step.
+
+    It is asked about steps of advised queues.
+    """
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
     ) -> PolicyAnswer | Silent:
         """Ask which of `workers` may run a step.
 
-        The service knows workers by the ids that their incarnations share.
+        The service knows workers by the id that their incarnations share.
         """
         ...
 
@@ -201,7 +210,7 @@
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
     ) -> Report | Rejected | Silent:
-        """Renew the lease, confirm ends up to `seen`, wait for an end."""
+        """Renew the lease, confirm ends up to `seen`, wait for a new end."""
         ...
 
     async def start(
@@ -230,12 +239,12 @@
 class Connection(WorkerPort, Protocol):
     """One connection to the process that answers under a worker's id.
 
-    It is opened by its first call, and ends with that process.
+    The first call opens it; it ends when that process ends.
     """
 
     @property
     def is_open(self) -> bool:
-        """Whether another call may be made; no call was left unanswered."""
+        """Whether another call may be made; False after an unanswered call."""
         ...
 
 
@@ -245,13 +254,14 @@
 
     Attributes:
         id: One incarnation of a worker; see `incarnations`.
-        pool: The service that it belongs to.
+        pool: The service that the worker belongs to.
         address: "IP:port".
-        data_centre: Where it is.
-        draining: Whether it leaves.
-        room: What it has.
-        labels: Its kind and its rack among them.
-        stays_s: Seconds that it stays at least while it drains, if it says.
+        data_centre: Where the worker is.
+        draining: Whether the worker is about to leave.
+        room: Room that the worker offers to tasks.
+        labels: Labels of the worker, among them its kind and its rack.
+        stays_s: Seconds that it stays at least while draining; None if it does
+            not say.
     """
 
     id: str
@@ -265,5 +275,5 @@
 
     @property
     def worker(self) -> str:
-        """The id that all incarnations of the worker share."""
+        """Id that all incarnations of the worker share."""
         return incarnations.find_worker(self.id)
--- a/crocusrouter/work/pacing.py
+++ b/crocusrouter/work/pacing.py
@@ -40,7 +40,7 @@
     """Return the runs that fill whose pace is to change.
 
     Args:
-        book: The pool's book; not changed.
+        pool_state: State of the pool; not changed.
         now: Steady time in seconds.
     """
     found = []
--- a/crocusrouter/work/permit.py
+++ b/crocusrouter/work/permit.py
@@ -1,25 +1,26 @@
-"""Tickets of the policy service for one step."""
+"""Tickets of the policy service for the workers that may run a step."""
 
 import dataclasses
 
-# A ticket travels to the worker with a start, which may be sent again after
-# an order's timeout of 0.35 s.
-_MARGIN_S = 0.5
+# A ticket must stay valid for this long. It is sent to the worker with a start
+# order, which may be repeated after the order's timeout of 0.35 s.
+_MIN_VALIDITY_S = 0.5
 
 
 @dataclasses.dataclass
 class Permits:
-    """What the policy service has said of one step.
+    """Answers of the policy service about one step.
 
     Attributes:
-        tickets: Ticket and end of its validity in steady seconds, by worker.
-        turned_down: Workers that may not run the step.
+        tickets: Ticket and the end of its validity in steady seconds, by
+            worker.
+        rejected_workers: Workers that may not run the step.
     """
 
     tickets: dict[str, tuple[str, float]] = dataclasses.field(
         default_factory=dict
     )
-    turned_down: set[str] = dataclasses.field(default_factory=set)
+    rejected_workers: set[str] = dataclasses.field(default_factory=set)
 
     def note_answer(
         self,
@@ -27,7 +28,7 @@
         tickets: dict[str, str],
         valid_until: float,
     ) -> None:
-        """Take an answer.
+        """Record an answer.
 
         Args:
             asked: Workers that the question named.
@@ -37,21 +38,21 @@
         for worker in asked:
             if worker in tickets:
                 self.tickets[worker] = tickets[worker], valid_until
-                self.turned_down.discard(worker)
+                self.rejected_workers.discard(worker)
             else:
-                self.turned_down.add(worker)
+                self.rejected_workers.add(worker)
 
     def find_ticket(self, worker: str, now: float) -> str:
-        """Return a ticket that outlasts a start; empty if there is none.
+        """Return a ticket that stays valid for a start; empty for none.
 
         >>> permits = Permits()
         >>> permits.note_answer(("w0", "w1"), {"w0": "t"}, 3.0)
         >>> permits.find_ticket("w0", 1.0), permits.find_ticket("w0", 2.9)
         ('t', '')
         """
-        ticket, until = self.tickets.get(worker, ("", 0.0))
-        return ticket if now < until - _MARGIN_S else ""
+        ticket, valid_until = self.tickets.get(worker, ("", 0.0))
+        return ticket if now < valid_until - _MIN_VALIDITY_S else ""
 
     def drop_ticket(self, worker: str) -> None:
-        """Forget a ticket that its worker refused."""
+        """Remove a ticket that its worker refused."""
         self.tickets.pop(worker, None)
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -70,7 +70,7 @@
 
         Only what stands in the way of any other step as well is noted.
         """
-        if not waiting.work.avoid and not waiting.held.job.advised:
+        if not waiting.work.avoided_workers and not waiting.held.job.advised:
             step = waiting.work.step
             self._known.add((step.charge, step.label))
 
@@ -221,7 +221,7 @@
             and self._has_label(space.worker, work.step.label)
             and self._is_permitted(waiting, space.worker)
         ]
-        fresh = [s for s in usable if s.worker not in work.avoid]
+        fresh = [s for s in usable if s.worker not in work.avoided_workers]
         return fresh or usable
 
     def _list_fitting(
@@ -417,7 +417,7 @@
     """Return what to start and stop now.
 
     Args:
-        book: The pool's book; not changed.
+        pool_state: State of the pool; not changed.
         now: Steady time in seconds.
         wall: Unix time in seconds.
         reserved: Room kept for guaranteed work whose victims still end.
--- a/crocusrouter/work/policy_questions.py
+++ b/crocusrouter/work/policy_questions.py
@@ -43,7 +43,7 @@
     has tickets for as many workers as its waiting tasks could need.
 
     Args:
-        book: The pool's book; not changed.
+        pool_state: State of the pool; not changed.
         now: Steady time in seconds.
         wall: Unix time in seconds.
     """
@@ -71,7 +71,7 @@
         fits = worker.free.count(step.charge)
         if permits.find_ticket(name, now):
             needed -= fits
-        elif name in permits.turned_down:
+        elif name in permits.rejected_workers:
             continue
         elif fits or name not in permits.tickets:
             # A ticket for a full worker would end before it is of use; it is
--- a/crocusrouter/work/pool_state.py
+++ b/crocusrouter/work/pool_state.py
@@ -1,8 +1,8 @@
-"""The book of one pool: its jobs, runs and workers in memory.
+"""State of one pool in memory: its jobs, runs and workers.
 
-Methods take an event and the present time. What follows from it is collected
-in `outbox` (orders for workers) and `dirty` (jobs whose progress must be
-journaled). The book does no I/O.
+Methods take an event and the present time. The effects are collected in
+`outbox` (orders for workers) and `dirty` (jobs whose progress must be
+journaled). The module does no I/O.
 """
 
 import collections
@@ -14,14 +14,29 @@
 from crocusrouter.work import runs
 from crocusrouter.work import stop_durations
 
-# A failed task comes back after this pause, so that a task which fails at
-# once does not spend its attempts on one bad second of the fleet.
+# Pause before a failed task starts again, so that a task which fails at once
+# does not use up its attempts during a short disturbance of the workers.
 RETRY_PAUSE_S = 0.3
-Stopping = tuple[str, orders.Stop]
+WorkerStop = tuple[str, orders.Stop]
 
 
 class Book:
-    """Jobs, runs and workers of one pool."""
+    """Jobs, runs and workers of one pool.
+
+    Attributes:
+        epoch: Epoch of this owner.
+        jobs: All known jobs by id.
+        live: The jobs that are not over.
+        workers: Workers by the id of their incarnation.
+        runs: The latest run of each task that may be running.
+        dirty: Ids of the jobs whose progress must be journaled.
+        outbox: Stop orders to send, with the worker that each goes to.
+        guaranteed: Guaranteed accelerators by customer.
+        stop_times: Estimate of how long stops take.
+        contended_at: When the first priority last had to stop other work to
+            find room, on the steady clock; None if it never had to.
+        events: Log lines that the controller has yet to write.
+    """
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
@@ -30,7 +45,7 @@
         self.workers: dict[str, runs.Worker] = {}
         self.runs: dict[model.TaskKey, runs.Run] = {}
         self.dirty: set[str] = set()
-        self.outbox: list[Stopping] = []
+        self.outbox: list[WorkerStop] = []
         self.guaranteed: dict[str, int] = {}
         self.stop_times = stop_durations.StopTimes()
         self.contended_at: float | None = None
@@ -39,11 +54,11 @@
         )
 
     def note(self, what: str, **facts: object) -> None:
-        """Keep one line for the log; the controller writes it."""
+        """Queue one line for the log; the controller writes it."""
         self.events.append((what, facts))
 
     def note_contention(self, now: float) -> None:
-        """Note that the first priority had to stop others to find room."""
+        """Note that the first priority had to stop other work to find room."""
         self.contended_at = now
 
     # Jobs.
@@ -55,249 +70,280 @@
         created: int,
         now: float,
     ) -> None:
-        """Take an accepted job, or its cancelled form."""
-        held = self.jobs.get(job.id)
-        if held is None:
-            held = runs.JobWork(job, progress, created)
-            held.begun = bool(progress.steps) or progress.final is not None
-            held.durable = progress.final is not None
-            self.jobs[job.id] = held
-            if held.is_final:
-                held.over_since = now
+        """Add an accepted job, or record that a known job was cancelled."""
+        tracked_job = self.jobs.get(job.id)
+        if tracked_job is None:
+            tracked_job = runs.JobWork(job, progress, created)
+            tracked_job.begun = (
+                bool(progress.steps) or progress.final is not None
+            )
+            tracked_job.durable = progress.final is not None
+            self.jobs[job.id] = tracked_job
+            if tracked_job.is_final:
+                tracked_job.over_since = now
                 return
-            self.live[job.id] = held
+            self.live[job.id] = tracked_job
             if progress.is_given_up:
-                # Its earlier owner was lost before it could write that down.
-                self.finish(held, model.State.FAILED, now)
+                # A previous owner was lost before it could journal the failure.
+                self.finish(tracked_job, model.State.FAILED, now)
             return
-        if job.cancelled and not held.job.cancelled:
-            held.job = job
-            self._close(held, "cancelled", now)
+        if job.cancelled and not tracked_job.job.cancelled:
+            tracked_job.job = job
+            self._close_job(tracked_job, "cancelled", now)
 
     def open_reported(self, key: model.TaskKey, now: float) -> None:
-        """Open an occurrence that a worker reports before its time has come.
+        """Open an occurrence that a worker reports before it is due.
 
-        A successor hears from workers before its first decision, and its
-        clock may be behind its predecessor's. What it did not know it would
-        take for a stray, and start again after the end it had passed over.
+        Workers report to a new owner before its first decision, and its clock
+        may be behind the previous owner's clock. Without this, it would treat
+        the reported run as a stray, and would start the task again after
+        ignoring its end.
         """
-        held = self.jobs.get(key.job)
-        if held is None or held.is_final:
+        tracked_job = self.jobs.get(key.job)
+        if tracked_job is None or tracked_job.is_final:
             return
-        last = min(key.occurrence + 1, held.job.occurrences)
-        while held.opened < last:
-            self._open(held, held.opened, now)
-            held.opened += 1
+        opened_target = min(key.occurrence + 1, tracked_job.job.occurrences)
+        while tracked_job.opened < opened_target:
+            self._open_occurrence(tracked_job, tracked_job.opened, now)
+            tracked_job.opened += 1
 
     def open_due(self, wall: float, now: float) -> None:
-        """Open the occurrences whose time has come.
+        """Open the occurrences that have become due.
 
         Args:
             wall: Unix time in seconds.
             now: Steady time in seconds.
         """
-        for held in list(self.live.values()):
-            opened = held.opened
-            while held.opened < held.job.occurrences:
-                if held.job.find_due(held.opened) > wall:
+        for tracked_job in list(self.live.values()):
+            opened_before = tracked_job.opened
+            while tracked_job.opened < tracked_job.job.occurrences:
+                if tracked_job.job.find_due(tracked_job.opened) > wall:
                     break
-                self._open(held, held.opened, now)
-                held.opened += 1
-            if held.opened > opened:
-                # An earlier owner may have seen the end of what opens last,
-                # and no other end would come that finishes the job.
-                self.finish_if_done(held, now)
+                self._open_occurrence(tracked_job, tracked_job.opened, now)
+                tracked_job.opened += 1
+            if tracked_job.opened > opened_before:
+                # A previous owner may have recorded the end of the occurrence
+                # that opens last. No further end would then finish the job.
+                self.finish_if_done(tracked_job, now)
 
     def find_next_due(self) -> float | None:
-        """Return the Unix time of the next occurrence."""
+        """Return the Unix time at which the next occurrence is due."""
         return min(
             (
-                held.job.find_due(held.opened)
-                for held in self.live.values()
-                if held.opened < held.job.occurrences
+                tracked_job.job.find_due(tracked_job.opened)
+                for tracked_job in self.live.values()
+                if tracked_job.opened < tracked_job.job.occurrences
             ),
             default=None,
         )
 
-    def _open(self, held: runs.JobWork, number: int, now: float) -> None:
-        for position, step in enumerate(held.job.steps):
-            key = model.StepKey(held.job.id, number, position)
-            kept = held.progress.get(number, position)
-            waiting = set(range(step.count)) - kept.done
-            work = runs.StepWork(key, step, kept, waiting)
-            work.waiting_since = now
-            held.steps[key] = work
-
-    def _close(self, held: runs.JobWork, why: str, now: float) -> None:
-        """Stop all that runs of a job that is over.
+    def _open_occurrence(
+        self, tracked_job: runs.JobWork, number: int, now: float
+    ) -> None:
+        for position, step in enumerate(tracked_job.job.steps):
+            key = model.StepKey(tracked_job.job.id, number, position)
+            progress = tracked_job.progress.get(number, position)
+            waiting = set(range(step.count)) - progress.done
+            tracked_step = runs.StepWork(key, step, progress, waiting)
+            tracked_step.waiting_since = now
+            tracked_job.steps[key] = tracked_step
+
+    def _close_job(
+        self, tracked_job: runs.JobWork, reason: str, now: float
+    ) -> None:
+        """Mark a job as over and stop its runs.
 
-        Members of a gang that has ended well end by themselves; a stop for
-        each of them would be a needless call.
+        Members of a gang that has succeeded end by themselves, so a stop order
+        for each of them would be wasted.
         """
-        self.live.pop(held.job.id, None)
-        held.over_since = now
-        for work in held.steps.values():
-            for run in self.list_step_runs(work):
-                if run.key.position not in work.kept.done:
-                    self.stop_run(run, why, now)
+        self.live.pop(tracked_job.job.id, None)
+        tracked_job.over_since = now
+        for tracked_step in tracked_job.steps.values():
+            for run in self.list_step_runs(tracked_step):
+                if run.key.position not in tracked_step.kept.done:
+                    self.stop_run(run, reason, now)
 
     def list_over(self, before: float) -> list[str]:
-        """Return the jobs that were over before a moment, with no run left.
+        """Return the ids of jobs that ended before a given time.
+
+        Jobs with runs left or with progress to journal are not included.
 
         Args:
             before: Steady time in seconds.
         """
         return [
             job_id
-            for job_id, held in self.jobs.items()
-            if held.over_since is not None
-            and held.over_since < before
+            for job_id, tracked_job in self.jobs.items()
+            if tracked_job.over_since is not None
+            and tracked_job.over_since < before
             and job_id not in self.dirty
-            and not any(map(self.list_step_runs, held.steps.values()))
+            and not any(map(self.list_step_runs, tracked_job.steps.values()))
         ]
 
     def forget_job(self, job_id: str) -> None:
-        """Drop a job that has been over for long enough."""
+        """Remove a job that has been over for long enough."""
         self.jobs.pop(job_id, None)
         self.live.pop(job_id, None)
 
-    def list_step_runs(self, work: runs.StepWork) -> list[runs.Run]:
+    def list_step_runs(self, tracked_step: runs.StepWork) -> list[runs.Run]:
         """Return the runs of a step."""
-        return list(work.running.values())
+        return list(tracked_step.running.values())
 
     def find_work(
         self, key: model.TaskKey | model.StepKey
     ) -> runs.StepWork | None:
-        """Return the step that a task belongs to, if its job is known."""
-        held = self.jobs.get(key.job)
-        if held is None:
+        """Return the step of a task; None if its job is unknown."""
+        tracked_job = self.jobs.get(key.job)
+        if tracked_job is None:
             return None
-        return held.steps.get(model.StepKey(key.job, key.occurrence, key.step))
-
-    def is_ready(self, held: runs.JobWork, work: runs.StepWork) -> bool:
-        """Tell whether all earlier steps of a step have ended well."""
-        key = work.key
-        for earlier in work.step.after:
-            before = held.steps.get(key._replace(step=earlier))
-            if before is None or not before.is_done:
+        return tracked_job.steps.get(
+            model.StepKey(key.job, key.occurrence, key.step)
+        )
+
+    def is_ready(
+        self, tracked_job: runs.JobWork, tracked_step: runs.StepWork
+    ) -> bool:
+        """Tell whether all steps that a step depends on have succeeded."""
+        key = tracked_step.key
+        for earlier_index in tracked_step.step.after:
+            earlier_step = tracked_job.steps.get(
+                key._replace(step=earlier_index)
+            )
+            if earlier_step is None or not earlier_step.is_done:
                 return False
         return True
 
     def count_pending(self, queue: str) -> int:
-        """Return how many jobs of a queue have not begun."""
+        """Return how many jobs of a queue have not started."""
         return sum(
             1
-            for held in self.live.values()
-            if held.job.queue == queue and not held.begun
+            for tracked_job in self.live.values()
+            if tracked_job.job.queue == queue and not tracked_job.begun
         )
 
     # Workers.
 
     def set_worker(self, entry: orders.WorkerEntry, now: float) -> bool:
-        """Note what the platform lists; True if the worker is new."""
-        held = self.workers.get(entry.id)
-        if held is None:
+        """Record a worker as the platform lists it.
+
+        Returns:
+            Whether the worker is new.
+        """
+        worker = self.workers.get(entry.id)
+        if worker is None:
             self.workers[entry.id] = runs.Worker(entry, sealed=entry.draining)
             self.note("worker:listed", worker=entry.id)
             return True
-        if held.entry.draining != entry.draining:
+        if worker.entry.draining != entry.draining:
             self.note("worker:state", worker=entry.id, draining=entry.draining)
-        held.entry = entry
-        held.listed = True
-        held.sealed = held.sealed or entry.draining
+        worker.entry = entry
+        worker.listed = True
+        worker.sealed = worker.sealed or entry.draining
         if entry.stays_s is not None:
-            # Told anew with each heartbeat; the first that came is the least
-            # delayed.
+            # Each heartbeat repeats the time left; the earliest deadline comes
+            # from the least delayed heartbeat.
             stays_until = now + entry.stays_s
-            held.leaves_at = min(held.leaves_at or stays_until, stays_until)
+            worker.leaves_at = min(worker.leaves_at or stays_until, stays_until)
         return False
 
-    def set_resting(self, names: set[str]) -> None:
-        """Note which workers are being emptied; the others take work again."""
-        for name, held in self.workers.items():
-            held.resting = name in names
-            held.rested = held.rested or held.resting
+    def set_resting(self, worker_ids: set[str]) -> None:
+        """Set which workers are being emptied; all others stop being
+        emptied.
+        """
+        for worker_id, worker in self.workers.items():
+            worker.resting = worker_id in worker_ids
+            worker.was_evacuated = worker.was_evacuated or worker.resting
 
     def list_blocked(self) -> frozenset[str] | None:
-        """Return the jobs that an earlier owner may run out of our sight.
+        """Return the jobs that may run on a worker that has not reported yet.
+
+        A previous owner may have started them there.
 
         Returns:
-            Jobs that must not start; None if any job accepted in its time
-            must not.
+            Ids of jobs that must not start; None if no job that a previous
+            owner could have started may start.
         """
-        untold = [held for held in self.workers.values() if held.is_untold]
-        blocked: set[str] = set()
-        for held in untold:
-            if held.blocks is None:
+        unreported_workers = [
+            worker for worker in self.workers.values() if worker.is_untold
+        ]
+        blocked_jobs: set[str] = set()
+        for worker in unreported_workers:
+            if worker.blocks is None:
                 return None
-            blocked |= held.blocks
-        return frozenset(blocked)
+            blocked_jobs |= worker.blocks
+        return frozenset(blocked_jobs)
 
     def may_run_unseen(
-        self, held: runs.JobWork, blocked: frozenset[str] | None
+        self, tracked_job: runs.JobWork, blocked_jobs: frozenset[str] | None
     ) -> bool:
-        """Tell whether a job may run where nobody can look yet.
+        """Tell whether a job may be running on a worker that has not reported.
 
-        An earlier owner may have started it on a worker that has not answered
-        its successor, and it would run twice. Jobs accepted after the
-        successor became owner can't have been started by anyone else.
+        A previous owner may have started it on a worker that has not answered
+        this owner yet; starting it again would run it twice. Nobody else can
+        have started a job that was accepted after this owner took over.
 
         Args:
-            held: The job.
-            blocked: What `list_blocked` returned.
+            tracked_job: The job.
+            blocked_jobs: The result of `list_blocked`.
         """
-        if held.parked:
+        if tracked_job.parked:
             return False
-        if blocked is None:
-            return held.created <= self.epoch
-        return held.job.id in blocked
+        if blocked_jobs is None:
+            return tracked_job.created <= self.epoch
+        return tracked_job.job.id in blocked_jobs
 
-    def unlist_worker(self, worker: str) -> None:
-        """Note that the platform lists a worker no more.
+    def unlist_worker(self, worker_id: str) -> None:
+        """Record that the platform no longer lists a worker.
 
-        Its runs stay counted: a worker that is cut off is dropped from the
-        list too, and runs on until its lease ends.
+        Its runs still count: the platform also drops a worker that is cut off,
+        and such a worker keeps running until its lease ends.
         """
-        held = self.workers.get(worker)
-        if held is not None and held.listed:
-            held.listed = False
-            self.note("worker:unlisted", worker=worker, runs=len(held.runs))
+        worker = self.workers.get(worker_id)
+        if worker is not None and worker.listed:
+            worker.listed = False
+            self.note(
+                "worker:unlisted", worker=worker_id, runs=len(worker.runs)
+            )
 
-    def note_silent(self, worker: str, now: float) -> None:
-        """Note that a worker does not answer."""
-        held = self.workers.get(worker)
-        if held is not None and held.silent_since is None:
-            held.silent_since = now
-            self.note("worker:silent", worker=worker, runs=len(held.runs))
+    def note_silent(self, worker_id: str, now: float) -> None:
+        """Record that a worker does not answer."""
+        worker = self.workers.get(worker_id)
+        if worker is not None and worker.silent_since is None:
+            worker.silent_since = now
+            self.note("worker:silent", worker=worker_id, runs=len(worker.runs))
 
-    def note_lapsed(self, worker: str, why: str, now: float) -> list[runs.Run]:
-        """Note that nothing can run on a worker any more.
+    def note_lapsed(
+        self, worker_id: str, reason: str, now: float
+    ) -> list[runs.Run]:
+        """Record that nothing can be running on a worker any more.
 
         Returns:
-            The runs that ended with it; they are waiting again.
+            The runs that ended with the worker; their tasks wait again.
         """
-        held = self.workers.get(worker)
-        if held is None:
+        worker = self.workers.get(worker_id)
+        if worker is None:
             return []
-        lost = list(held.runs.values())
-        self.note("worker:lapsed", worker=worker, why=why, runs=len(held.runs))
-        for run in lost:
+        lost_runs = list(worker.runs.values())
+        self.note(
+            "worker:lapsed", worker=worker_id, why=reason, runs=len(worker.runs)
+        )
+        for run in lost_runs:
             self.note(
                 "run:lost",
                 task=run.key,
                 run=run.number,
-                worker=worker,
+                worker=worker_id,
                 phase=str(run.phase),
-                ran_s=round((held.silent_since or now) - run.since, 3),
+                ran_s=round((worker.silent_since or now) - run.since, 3),
             )
             self.drop_run(run)
             self.requeue(run, orders.How.LAPSED, now)
-        held.lapsed = True
-        return lost
+        worker.lapsed = True
+        return lost_runs
 
-    def forget_worker(self, worker: str) -> None:
-        """Drop a worker that is unlisted and runs nothing."""
-        self.workers.pop(worker, None)
+    def forget_worker(self, worker_id: str) -> None:
+        """Remove a worker that is unlisted and has no runs."""
+        self.workers.pop(worker_id, None)
 
     # Runs.
 
@@ -305,80 +351,82 @@
         self,
         key: model.TaskKey,
         number: int,
-        worker: str,
+        worker_id: str,
         now: float,
         *,
         alone: bool = False,
     ) -> runs.Run:
-        """Note that a start is about to be ordered.
+        """Add a run whose start is about to be ordered.
 
         Args:
             key: The task.
-            number: Of the start.
-            worker: Where.
+            number: Number of the start.
+            worker_id: Worker that runs it.
             now: Steady time in seconds.
-            alone: Whether the worker takes nothing else for a while.
+            alone: Whether the worker takes no other task for a while.
         """
-        run = runs.Run(key, number, worker, now, moved_at=now)
-        work = self.find_work(key)
-        if work is not None:
-            work.waiting.discard(key.position)
-            work.running[key.position] = run
-            run.work = work
-            run.saved = work.find_saved(key.position)
-            self._charge(run, work, worker)
+        run = runs.Run(key, number, worker_id, now, progressed_at=now)
+        tracked_step = self.find_work(key)
+        if tracked_step is not None:
+            tracked_step.waiting.discard(key.position)
+            tracked_step.running[key.position] = run
+            run.work = tracked_step
+            run.saved = tracked_step.find_checkpoint(key.position)
+            self._assign_run(run, tracked_step, worker_id)
             if alone:
-                self.workers[worker].trial_until = now + runs.TRIAL_S
+                self.workers[worker_id].trial_until = now + runs.TRIAL_S
         self.runs[key] = run
         return run
 
-    def _charge(self, run: runs.Run, work: runs.StepWork, worker: str) -> None:
-        held = self.workers[worker]
-        if run.key not in held.runs:
-            held.used = held.used.plus(work.step.charge)
-            held.runs[run.key] = run
-            held.lapsed = False
-
-    def move_run(self, run: runs.Run, worker: str) -> None:
-        """Count a run on another worker, as one that may still begin there."""
-        work = run.work
-        assert work is not None
-        held = self.workers[run.worker]
-        del held.runs[run.key]
-        held.used = held.used.minus(work.step.charge)
-        run.worker = worker
+    def _assign_run(
+        self, run: runs.Run, tracked_step: runs.StepWork, worker_id: str
+    ) -> None:
+        worker = self.workers[worker_id]
+        if run.key not in worker.runs:
+            worker.used = worker.used.plus(tracked_step.step.charge)
+            worker.runs[run.key] = run
+            worker.lapsed = False
+
+    def move_run(self, run: runs.Run, worker_id: str) -> None:
+        """Assign a run to another worker, where it may still start."""
+        tracked_step = run.work
+        assert tracked_step is not None
+        old_worker = self.workers[run.worker]
+        del old_worker.runs[run.key]
+        old_worker.used = old_worker.used.minus(tracked_step.step.charge)
+        run.worker = worker_id
         run.confirmed_at = None
         run.phase = runs.Phase.ORDERED
-        self._charge(run, work, worker)
+        self._assign_run(run, tracked_step, worker_id)
 
     def drop_run(self, run: runs.Run) -> None:
         """Remove a run that has certainly ended."""
-        held = self.workers.get(run.worker)
-        work = self.find_work(run.key)
+        worker = self.workers.get(run.worker)
+        tracked_step = self.find_work(run.key)
         if self.runs.get(run.key) is run:
             del self.runs[run.key]
-            if work is not None:
-                work.running.pop(run.key.position, None)
-        if held is not None and run.key in held.runs:
-            del held.runs[run.key]
-            if work is not None:
-                held.used = held.used.minus(work.step.charge)
-
-    def stop_run(self, run: runs.Run, why: str, now: float) -> None:
-        """Order a stop; the room is free once the end is listed."""
+            if tracked_step is not None:
+                tracked_step.running.pop(run.key.position, None)
+        if worker is not None and run.key in worker.runs:
+            del worker.runs[run.key]
+            if tracked_step is not None:
+                worker.used = worker.used.minus(tracked_step.step.charge)
+
+    def stop_run(self, run: runs.Run, reason: str, now: float) -> None:
+        """Order a stop; the room becomes free once the worker lists the end."""
         if run.phase is runs.Phase.STOPPING:
             return
         run.phase = runs.Phase.STOPPING
-        run.why = why
-        run.stopped_at = now
-        held = self.workers.get(run.worker)
-        leaves_at = held.leaves_at if held is not None else None
+        run.why = reason
+        run.stop_ordered_at = now
+        worker = self.workers.get(run.worker)
+        leaves_at = worker.leaves_at if worker is not None else None
         self.note(
             "run:stop",
             task=run.key,
             run=run.number,
             worker=run.worker,
-            why=why,
+            why=reason,
             percent=run.percent,
             ran_s=round(now - run.since, 3),
             left_s=round(leaves_at - now, 3) if leaves_at is not None else None,
@@ -386,134 +434,144 @@
         self.outbox.append((run.worker, orders.Stop(run.key, run.number)))
 
     def note_stopped(self, run: runs.Run, now: float) -> None:
-        """Learn from a stop how long stops take; rises are told in the log."""
-        before_s = self.stop_times.expected_s
-        self.stop_times.note(now - run.stopped_at)
+        """Update the estimate of stop durations; log when it rises."""
+        previous_s = self.stop_times.expected_s
+        self.stop_times.note(now - run.stop_ordered_at)
         expected_s = self.stop_times.expected_s
-        if expected_s > before_s:
+        if expected_s > previous_s:
             self.note("stops:slower", expected_s=round(expected_s, 3))
 
-    def stop_step(self, work: runs.StepWork, why: str, now: float) -> None:
+    def stop_step(
+        self, tracked_step: runs.StepWork, reason: str, now: float
+    ) -> None:
         """Stop all runs of a step."""
-        for run in self.list_step_runs(work):
-            self.stop_run(run, why, now)
+        for run in self.list_step_runs(tracked_step):
+            self.stop_run(run, reason, now)
 
     def note_maybe_begun(self, key: model.TaskKey, number: int) -> None:
-        """Note that a start without an answer may have been carried out."""
+        """Record that a start without an answer may have been carried out."""
         run = self.runs.get(key)
         if run is not None and run.number == number:
             run.maybe_begun = True
 
     def note_taken(self, key: model.TaskKey, number: int, now: float) -> None:
-        """Note that a worker has begun a run."""
+        """Record that a worker has started a run."""
         run = self.runs.get(key)
         if run is None or run.number != number:
             return
         if run.confirmed_at is None:
             run.confirmed_at = now
-            run.moved_at = now
+            run.progressed_at = now
         if run.phase is runs.Phase.ORDERED:
             run.phase = runs.Phase.RUNNING
-        held = self.jobs.get(key.job)
-        if held is not None:
-            held.begun = True
+        tracked_job = self.jobs.get(key.job)
+        if tracked_job is not None:
+            tracked_job.begun = True
 
     def note_paced(
         self, key: model.TaskKey, number: int, percent: int, now: float
     ) -> None:
-        """Note that a worker gives a run this share of its speed."""
+        """Record the share of its speed at which a worker runs a task."""
         run = self.runs.get(key)
         if run is not None and run.number == number:
             run.pace = percent
             run.paced_at = now
 
     def note_not_begun(
-        self, key: model.TaskKey, number: int, why: str, now: float
+        self, key: model.TaskKey, number: int, reason: str, now: float
     ) -> None:
-        """Note that an ordered run certainly never begins."""
+        """Record that an ordered run will certainly never start."""
         run = self.runs.get(key)
         if run is None or run.number != number or run.confirmed_at is not None:
             return
         self.note(
-            "run:rejected", task=key, run=number, worker=run.worker, why=why
+            "run:rejected", task=key, run=number, worker=run.worker, why=reason
         )
         self.drop_run(run)
         self.requeue(run, orders.How.STOPPED, now)
-        work = self.find_work(key)
-        if work is None:
+        tracked_step = self.find_work(key)
+        if tracked_step is None:
             return
-        work.not_before = max(work.not_before, now + RETRY_PAUSE_S)
-        if why == orders.Why.NO_TICKET:
-            work.permits.drop_ticket(run.worker)
+        tracked_step.not_before = max(
+            tracked_step.not_before, now + RETRY_PAUSE_S
+        )
+        if reason == orders.Why.NO_TICKET:
+            tracked_step.permits.drop_ticket(run.worker)
         else:
-            work.avoid.add(run.worker)
+            tracked_step.avoided_workers.add(run.worker)
 
     def withdraw_run(self, key: model.TaskKey, number: int) -> None:
-        """Take back a run whose start was never sent."""
+        """Remove a run whose start order was never sent."""
         run = self.runs.get(key)
-        work = self.find_work(key)
-        if run is None or run.number != number or work is None:
+        tracked_step = self.find_work(key)
+        if run is None or run.number != number or tracked_step is None:
             return
         self.drop_run(run)
-        if key.position not in work.kept.done:
-            work.waiting.add(key.position)
+        if key.position not in tracked_step.kept.done:
+            tracked_step.waiting.add(key.position)
 
-    def requeue(self, run: runs.Run, how: orders.How, now: float) -> None:
-        """Put a task back after a run that has not ended well."""
-        work = self.find_work(run.key)
-        if work is None or run.key.position in work.kept.done:
+    def requeue(self, run: runs.Run, outcome: orders.How, now: float) -> None:
+        """Let a task wait again after a run that has not succeeded."""
+        tracked_step = self.find_work(run.key)
+        if tracked_step is None or run.key.position in tracked_step.kept.done:
             return
-        work.waiting.add(run.key.position)
-        work.waiting_since = now
-        self.keep_checkpoint(work, run.key, run.saved)
-        if work.step.gang:
-            # Members that are left would wait for this one, or run without
-            # use; all of them start again together.
-            self.stop_step(work, f"a member ended: {how}", now)
+        tracked_step.waiting.add(run.key.position)
+        tracked_step.waiting_since = now
+        self.keep_checkpoint(tracked_step, run.key, run.saved)
+        if tracked_step.step.gang:
+            # The remaining members would wait for this one or do useless work,
+            # so the gang is stopped and starts again as a whole.
+            self.stop_step(
+                tracked_step, f"a member of its gang ended: {outcome}", now
+            )
 
     def keep_checkpoint(
-        self, work: runs.StepWork, key: model.TaskKey, saved: str
+        self, tracked_step: runs.StepWork, key: model.TaskKey, checkpoint: str
     ) -> None:
-        """Note where a task or its gang goes on when it starts again."""
-        index = 0 if work.step.gang else key.position
-        if saved and saved != work.kept.saved.get(index):
-            work.kept.saved[index] = saved
+        """Store the checkpoint from which a task or its gang resumes."""
+        index = 0 if tracked_step.step.gang else key.position
+        if checkpoint and checkpoint != tracked_step.kept.saved.get(index):
+            tracked_step.kept.saved[index] = checkpoint
             self.dirty.add(key.job)
 
     # Ends of jobs.
 
     def finish(
-        self, held: runs.JobWork, state: model.State, now: float
+        self, tracked_job: runs.JobWork, state: model.State, now: float
     ) -> None:
-        """Give a job its final state; told once the journal has it."""
-        if held.is_final:
+        """Set a job's final state; callers see it once it is journaled."""
+        if tracked_job.is_final:
             return
-        held.progress.final = state
-        self.dirty.add(held.job.id)
-        self.note("job:final", job=held.job.id, state=str(state))
-        self._close(held, f"job {state}", now)
-
-    def finish_if_done(self, held: runs.JobWork, now: float) -> None:
-        """Give a job its final state if all of its tasks have ended well."""
-        if held.opened < held.job.occurrences:
+        tracked_job.progress.final = state
+        self.dirty.add(tracked_job.job.id)
+        self.note("job:final", job=tracked_job.job.id, state=str(state))
+        self._close_job(tracked_job, f"job {state}", now)
+
+    def finish_if_done(self, tracked_job: runs.JobWork, now: float) -> None:
+        """Finish a job if all of its tasks have succeeded."""
+        if tracked_job.opened < tracked_job.job.occurrences:
             return
-        if all(work.is_done for work in held.steps.values()):
-            self.finish(held, model.State.DONE, now)
+        if all(
+            tracked_step.is_done for tracked_step in tracked_job.steps.values()
+        ):
+            self.finish(tracked_job, model.State.DONE, now)
 
     def check_gangs(self, now: float) -> None:
-        """Stop gangs of which an earlier owner had started only a part."""
-        for held in self.live.values():
-            for work in held.steps.values():
-                if not work.step.gang or not work.waiting:
+        """Stop gangs of which a previous owner had started only a part."""
+        for tracked_job in self.live.values():
+            for tracked_step in tracked_job.steps.values():
+                if not tracked_step.step.gang or not tracked_step.waiting:
                     continue
-                if len(work.waiting) < work.step.count:
-                    self.stop_step(work, "members are missing", now)
+                if len(tracked_step.waiting) < tracked_step.step.count:
+                    self.stop_step(
+                        tracked_step, "members of its gang are missing", now
+                    )
 
     def note_settled(self, key: model.TaskKey, number: int, now: float) -> None:
-        """Note that a worker has taken a stop.
+        """Record that a worker has accepted a stop order.
 
-        A run that had not begun is rejected from now on and is never listed
-        as ended; the next report that leaves it out settles it.
+        From then on the worker rejects a run that had not started, and never
+        lists it as ended. The next report without the run settles it.
         """
         run = self.runs.get(key)
         if run is None or run.number != number:
@@ -522,15 +580,18 @@
             run.confirmed_at = now
 
     def note_crashes_kept(self, job_ids: Iterable[str]) -> None:
-        """Note that the journal holds the crashes under these jobs' tasks."""
+        """Record that the journal holds the crashes under these jobs' tasks."""
         for job_id in job_ids:
-            held = self.jobs.get(job_id)
-            if held is not None:
-                held.unsaved_crash = False
+            tracked_job = self.jobs.get(job_id)
+            if tracked_job is not None:
+                tracked_job.has_unsaved_crash = False
 
     def note_durable(self, job_ids: Iterable[str]) -> None:
-        """Note that the journal holds what these jobs' progress says."""
+        """Record that the journal holds the progress of these jobs."""
         for job_id in job_ids:
-            held = self.jobs.get(job_id)
-            if held is not None and held.progress.final is not None:
-                held.durable = True
+            tracked_job = self.jobs.get(job_id)
+            if (
+                tracked_job is not None
+                and tracked_job.progress.final is not None
+            ):
+                tracked_job.durable = True
--- a/crocusrouter/work/preemption.py
+++ b/crocusrouter/work/preemption.py
@@ -61,7 +61,7 @@
         """Prepare for one plan.
 
         Args:
-            book: The pool's book; not changed.
+            pool_state: State of the pool; not changed.
             now: Steady time in seconds.
         """
         self._pool_state = pool_state
@@ -113,7 +113,7 @@
         """Prepare for one plan.
 
         Args:
-            book: The pool's book; not changed.
+            pool_state: State of the pool; not changed.
             now: Steady time in seconds.
         """
         self.pool_state = pool_state
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -1,7 +1,7 @@
-"""What the journal keeps of a job that has begun.
+"""Progress of a job that has started, as the journal keeps it.
 
-Only ends are kept. What runs is known to the workers themselves: a successor
-asks them. So a start costs no write.
+Only ends of runs are kept. The workers themselves know what is running, and a
+new owner asks them, so a start needs no write to the journal.
 """
 
 import dataclasses
@@ -11,23 +11,24 @@
 
 from crocusrouter.work import model
 
-# Crashes of workers at any time after which a task starts alone.
+# Number of worker crashes, early or late, after which a task starts alone.
 _CRASHES_TO_SUSPECT = 3
-# Crashes that give a task up: right after its start, and at any time. One may
-# come beside a task that crashes its worker, be a cut, or be the worker's own;
-# the next two are trials, in which an innocent task would have to meet two more
-# within seconds of its start.
-_MOST_EARLY_CRASHES = 3
-_MOST_CRASHES = 4
+# Numbers of worker crashes after which a task does not start again: crashes
+# right after its start, and crashes at any time. The first crash may have been
+# caused by another task, by the worker itself or by a lost connection. The next
+# two happen during trials, so an innocent task would have to meet two more
+# crashes within seconds of its starts.
+_MAX_EARLY_CRASHES = 3
+_MAX_CRASHES = 4
 
 
 class Crash(NamedTuple):
-    """A worker that has crashed under a run.
+    """A crash of a worker during a run.
 
     Attributes:
         run: Number of the run.
-        early: Whether that was right after its start, and no task of its step
-            has been seen to work since.
+        early: Whether the crash came right after the start, and no task of the
+            step has been seen to work since.
     """
 
     run: int
@@ -36,19 +37,19 @@
 
 @dataclasses.dataclass
 class StepProgress:
-    """What has ended of one step of one occurrence.
+    """Progress of one step of one occurrence.
 
     Attributes:
-        done: Indices of tasks that ended well.
-        failed: Numbers of the runs that failed, by index; a gang's under
-            index 0. Numbers rather than a count: a worker lists an end until
-            it is confirmed, and a successor may read one that is journaled
-            already; counted twice, a job would fail before its attempts are
-            spent.
-        saved: Latest checkpoint by index; a gang's under index 0.
-        crashes: Crashes of workers by index of the task that ran there, in a
-            gang too: the others only broke with it. A successor that did not
-            know them would start the task as often again.
+        done: Indices of tasks that succeeded.
+        failed: Numbers of the runs that failed, by index of the task; a gang's
+            under index 0. Numbers instead of a count, because a worker lists an
+            end until it is confirmed, and a new owner may read an end that is
+            journaled already. If it counted twice, a job would fail before it
+            has used up its attempts.
+        saved: Latest checkpoint by index of the task; a gang's under index 0.
+        crashes: Worker crashes by index of the task that ran there, also for
+            gangs, whose other members only ended as a consequence. A new owner
+            that did not know of them would start the task as many times again.
     """
 
     done: set[int] = dataclasses.field(default_factory=set)
@@ -60,26 +61,26 @@
     def is_suspect(self) -> bool:
         """Whether its tasks must start one by one, each alone on a worker."""
         return any(
-            len(found) >= _CRASHES_TO_SUSPECT
-            or any(crash.early for crash in found)
-            for found in self.crashes.values()
+            len(crashes) >= _CRASHES_TO_SUSPECT
+            or any(crash.early for crash in crashes)
+            for crashes in self.crashes.values()
         )
 
     def is_given_up(self, index: int) -> bool:
-        """Tell whether a task must not start again after so many crashes."""
-        found = self.crashes.get(index, [])
-        early = sum(crash.early for crash in found)
-        return early >= _MOST_EARLY_CRASHES or len(found) >= _MOST_CRASHES
+        """Tell whether a task has met too many crashes to start again."""
+        crashes = self.crashes.get(index, [])
+        early_count = sum(crash.early for crash in crashes)
+        return early_count >= _MAX_EARLY_CRASHES or len(crashes) >= _MAX_CRASHES
 
 
 @dataclasses.dataclass
 class Progress:
-    """What has ended of one job.
+    """Progress of one job.
 
     Attributes:
-        steps: By occurrence and step.
-        final: The job's final state, once it has one.
-        finished_at: Unix time in seconds of that.
+        steps: Progress by occurrence and index of the step.
+        final: Final state of the job; None while it has none.
+        finished_at: Unix time in seconds of the final state.
     """
 
     steps: dict[tuple[int, int], StepProgress] = dataclasses.field(
@@ -90,20 +91,20 @@
 
     @property
     def is_given_up(self) -> bool:
-        """Whether workers have crashed under one of its tasks too often."""
+        """Whether one of the job's tasks has met too many worker crashes."""
         return any(
-            kept.is_given_up(index)
-            for kept in self.steps.values()
-            for index in kept.crashes
+            step_progress.is_given_up(index)
+            for step_progress in self.steps.values()
+            for index in step_progress.crashes
         )
 
     def get(self, occurrence: int, step: int) -> StepProgress:
-        """Return one step's progress, opening it if need be."""
+        """Return the progress of a step, adding an empty one if necessary."""
         return self.steps.setdefault((occurrence, step), StepProgress())
 
 
 def dump_progress(progress: Progress) -> bytes:
-    """Encode for the store.
+    """Encode progress for the store.
 
     >>> parse_progress(dump_progress(Progress(final=model.State.DONE))).final
     <State.DONE: 'done'>
@@ -113,17 +114,17 @@
         if progress.final is not None
         else [
             [
-                k,
-                s,
-                sorted(kept.done),
-                kept.failed,
-                kept.saved,
+                occurrence,
+                step,
+                sorted(step_progress.done),
+                step_progress.failed,
+                step_progress.saved,
                 {
-                    index: list(map(list, kept.crashes[index]))
-                    for index in kept.crashes
+                    index: list(map(list, step_progress.crashes[index]))
+                    for index in step_progress.crashes
                 },
             ]
-            for (k, s), kept in progress.steps.items()
+            for (occurrence, step), step_progress in progress.steps.items()
         ]
     )
     final = str(progress.final) if progress.final is not None else None
@@ -134,19 +135,19 @@
     """Decode what `dump_progress` encoded.
 
     Raises:
-        ValueError: The bytes are no progress record.
+        ValueError: The bytes are not a progress record.
     """
     try:
         final, finished_at, steps = cbor2.loads(data)
         return Progress(
             {
-                (k, s): StepProgress(
+                (occurrence, step): StepProgress(
                     set(done),
                     dict(failed),
                     dict(saved),
                     _parse_crashes(crashes),
                 )
-                for k, s, done, failed, saved, *crashes in steps
+                for occurrence, step, done, failed, saved, *crashes in steps
             },
             model.State(final) if final is not None else None,
             finished_at,
@@ -162,6 +163,6 @@
     if not rows:
         return {}
     return {
-        index: [Crash(*crash) for crash in found]
-        for index, found in rows[0].items()
+        index: [Crash(*crash) for crash in crashes]
+        for index, crashes in rows[0].items()
     }
--- a/crocusrouter/work/racks.py
+++ b/crocusrouter/work/racks.py
@@ -20,7 +20,7 @@
         """Prepare for one plan.
 
         Args:
-            book: The pool's book; not changed.
+            pool_state: State of the pool; not changed.
         """
         self._pool_state = pool_state
         self._known: dict[model.Step, bool] = {}
--- a/crocusrouter/work/relocation.py
+++ b/crocusrouter/work/relocation.py
@@ -30,7 +30,7 @@
     """Return the runs to stop now, with the reason.
 
     Args:
-        book: The pool's book; not changed.
+        pool_state: State of the pool; not changed.
         stalled: What `list_stalled` has found.
         now: Steady time in seconds.
         wall: Unix time in seconds.
@@ -63,7 +63,7 @@
     """
     found = []
     for run in pool_state.runs.values():
-        if now - run.moved_at <= _SHORTEST_STALL_S:
+        if now - run.progressed_at <= _SHORTEST_STALL_S:
             continue
         work = run.work
         if work is None or not _may_rescue(run, work):
@@ -91,13 +91,13 @@
 
 def is_stalled(run: runs.Run, work: runs.StepWork, now: float) -> bool:
     """Tell whether a run has shown no progress for longer than chance."""
-    still = now - run.moved_at
+    still = now - run.progressed_at
     total = work.step.expected_s
     if still <= _SHORTEST_STALL_S or still <= _STALL_SHARE * total:
         return False
     if run.percent < 5:
         return True
-    ran = run.moved_at - (run.confirmed_at or run.since)
+    ran = run.progressed_at - (run.confirmed_at or run.since)
     return still > _STALL_SHARE * ran * 100 / run.percent
 
 
@@ -115,13 +115,13 @@
     then and a fresh start would not: stopping all stalled gangs threw 5,000
     core-seconds away in a day whose hangs they could have sat out.
     """
-    still = now - run.moved_at
+    still = now - run.progressed_at
     if work.step.checkpoints:
         return still > _LONG_STALL_S
     job = pool_state.jobs[run.key.job].job
     wanted = job.find_due(run.key.occurrence) + job.objective_s
     rest = work.step.expected_s - (
-        run.moved_at - (run.confirmed_at or run.since)
+        run.progressed_at - (run.confirmed_at or run.since)
     )
     waits_until = wall + still + max(0.0, rest)
     anew_until = wall + _MOVE_S + work.step.expected_s
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -1,7 +1,7 @@
-"""Incarnations that answer in place of others.
+"""Replacement of a worker's incarnation by the next one.
 
-What ran on the earlier incarnation has ended with it. A start that it left
-unanswered may still be carried out by the later one.
+Everything that ran on the previous incarnation has ended with it. A start that
+it left unanswered may still be carried out by the next one.
 """
 
 from collections.abc import Iterable
@@ -13,20 +13,20 @@
 
 
 def add_successor(
-    pool_state: pool_states.Book, worker: str, successor: str, now: float
+    pool_state: pool_states.Book, worker_id: str, successor: str, now: float
 ) -> None:
-    """Take an incarnation into the book that may not be listed yet.
+    """Add an incarnation that the platform may not list yet.
 
     Args:
-        book: The pool's book.
-        worker: The incarnation in whose place it has answered.
-        successor: The one that answers now.
+        pool_state: State of the pool.
+        worker_id: The incarnation that the successor replaces.
+        successor: The incarnation that answers now.
         now: Steady time in seconds.
     """
     if successor in pool_state.workers:
         return
     entry = dataclasses.replace(
-        pool_state.workers[worker].entry,
+        pool_state.workers[worker_id].entry,
         id=successor,
         draining=False,
         stays_s=None,
@@ -37,55 +37,57 @@
 
 def note_gone(
     pool_state: pool_states.Book,
-    worker: str,
+    worker_id: str,
     now: float,
     successor: str | None = None,
-    late: Iterable[orders.Stop] = (),
+    late_stops: Iterable[orders.Stop] = (),
 ) -> None:
-    """Note that another incarnation answers in place of a worker's.
+    """Record that another incarnation answers in place of a worker's.
 
-    The platform may list the one that is gone for some seconds more. Its runs
-    are waiting again, but for late ones: they count as the successor's until
-    that has stopped them.
+    The platform may list the previous incarnation for some seconds more. Its
+    tasks wait again, except those whose start may be carried out late: their
+    runs are assigned to the successor until it has stopped them.
 
     Args:
-        book: The pool's book.
-        worker: The incarnation that is gone.
+        pool_state: State of the pool.
+        worker_id: The incarnation that has ended.
         now: Steady time in seconds.
-        successor: The one that answers; None if that isn't known.
-        late: Stops of the starts that the successor may carry out late.
+        successor: The incarnation that answers; None if unknown.
+        late_stops: Stops of the starts that the successor may carry out late.
     """
-    held = pool_state.workers.get(worker)
-    if held is None or held.gone:
+    worker = pool_state.workers.get(worker_id)
+    if worker is None or worker.gone:
         return
-    held.gone = True
+    worker.gone = True
     pool_state.note(
         "worker:restarted",
-        worker=worker,
+        worker=worker_id,
         successor=successor,
-        runs=len(held.runs),
+        runs=len(worker.runs),
     )
     if successor is not None:
-        for order in late:
-            run = held.runs.get(order.key)
-            if run is not None and run.number == order.run:
+        for stop in late_stops:
+            run = worker.runs.get(stop.key)
+            if run is not None and run.number == stop.run:
                 pool_state.move_run(run, successor)
-                why = "its worker has restarted before its start was answered"
-                pool_state.stop_run(run, why, now)
+                reason = (
+                    "its worker has restarted before its start was answered"
+                )
+                pool_state.stop_run(run, reason, now)
                 _stop_gang(pool_state, run, now)
-    pool_state.note_lapsed(worker, "another incarnation answers", now)
+    pool_state.note_lapsed(worker_id, "another incarnation answers", now)
 
 
 def _stop_gang(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
-    """Stop the members that would work for one that is being stopped."""
+    """Stop a run's gang, since the other members need this one."""
     if run.work is not None and run.work.step.gang:
         pool_state.stop_step(run.work, "a member's worker has restarted", now)
 
 
 def map_incarnations(pool_state: pool_states.Book) -> dict[str, str]:
-    """Return the listed incarnation of each worker."""
+    """Return the listed incarnation of each worker, by the worker's id."""
     return {
-        held.entry.worker: name
-        for name, held in pool_state.workers.items()
-        if held.listed and not held.gone
+        worker.entry.worker: worker_id
+        for worker_id, worker in pool_state.workers.items()
+        if worker.listed and not worker.gone
     }
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -1,4 +1,4 @@
-"""What a worker tells of its runs, taken into the book of its pool."""
+"""Updates of a pool's state from the reports of its workers."""
 
 from crocusrouter.work import crashes
 from crocusrouter.work import model
@@ -7,113 +7,141 @@
 from crocusrouter.work import runs
 from crocusrouter.work import worker_failures
 
-# A task that ends by itself leaves its worker running.
-_OWN_ENDS = frozenset({orders.How.DONE, orders.How.FAILED})
+# These ends are caused by the task itself and leave its worker running.
+_ENDS_BY_TASK = frozenset({orders.How.DONE, orders.How.FAILED})
 
 
 def take_report(
     pool_state: pool_states.Book,
-    worker: str,
+    worker_id: str,
     report: orders.Report,
     sent_at: float,
     now: float,
 ) -> None:
-    """Take what a worker says that it holds.
+    """Apply a worker's report to the state of its pool.
 
     Args:
-        book: The pool's book.
-        worker: Which.
-        report: What it said.
-        sent_at: Steady time at which it was asked; what was ordered
-            after that may be missing from the report.
-        now: Steady time.
+        pool_state: State of the pool.
+        worker_id: The worker that sent the report.
+        report: The report.
+        sent_at: Steady time at which the report was requested; runs ordered
+            later may be missing from it.
+        now: Steady time in seconds.
     """
-    held = pool_state.workers.get(worker)
-    if held is None:
+    worker = pool_state.workers.get(worker_id)
+    if worker is None:
         return
-    if held.silent_since is not None or not held.reached:
+    if worker.silent_since is not None or not worker.reached:
         pool_state.note(
             "worker:reached",
-            worker=worker,
+            worker=worker_id,
             clock_ms=report.clock_ms,
-            noted=held.noted,
-            ends=[ended.number for ended in report.ended],
+            noted=worker.noted,
+            ends=[run_end.number for run_end in report.ended],
         )
-    held.silent_since = None
-    held.reached = True
-    held.heard_at = now
-    for ended in report.ended:
-        # An end is listed again until it is confirmed.
-        if ended.number > held.noted:
-            held.noted = ended.number
-            _note_end(pool_state, worker, ended, now)
-    listed = {row.key: row for row in report.running}
-    held.strays.clear()
-    ended_keys = {(row.key, row.run) for row in report.ended}
-    for row in report.running:
-        if (row.key, row.run) not in ended_keys:
-            _note_running(pool_state, held, row, now)
-    _find_missing(pool_state, held, listed, sent_at, now)
-
-
-def _note_running(
+    worker.silent_since = None
+    worker.reached = True
+    worker.last_report_at = now
+    for run_end in report.ended:
+        # The worker lists an end until it is confirmed.
+        if run_end.number > worker.noted:
+            worker.noted = run_end.number
+            _apply_end(pool_state, worker_id, run_end, now)
+    running_by_key = {
+        reported_run.key: reported_run for reported_run in report.running
+    }
+    worker.strays.clear()
+    ended_keys = {
+        (reported_run.key, reported_run.run) for reported_run in report.ended
+    }
+    for reported_run in report.running:
+        if (reported_run.key, reported_run.run) not in ended_keys:
+            _apply_running(pool_state, worker, reported_run, now)
+    _drop_missing_runs(pool_state, worker, running_by_key, sent_at, now)
+
+
+def _apply_running(
     pool_state: pool_states.Book,
-    held: runs.Worker,
-    row: orders.Running,
+    worker: runs.Worker,
+    reported_run: orders.Running,
     now: float,
 ) -> None:
-    worker = held.entry.id
-    pool_state.open_reported(row.key, now)
-    crashes.clear_told(pool_state, row.key, row.run)
-    run = pool_state.runs.get(row.key)
-    if run is not None and run.number == row.run and run.worker == worker:
-        pool_state.note_taken(row.key, row.run, now)
-        if row.percent != run.percent:
-            run.moved_at = now
-        run.percent = row.percent
-        run.load = row.load
-        run.saved = row.saved or run.saved
-        crashes.clear_survivor(pool_state, run, held)
+    """Update a run, adopt it after a takeover, or stop it as a stray."""
+    worker_id = worker.entry.id
+    pool_state.open_reported(reported_run.key, now)
+    crashes.withdraw_crash(pool_state, reported_run.key, reported_run.run)
+    run = pool_state.runs.get(reported_run.key)
+    if (
+        run is not None
+        and run.number == reported_run.run
+        and run.worker == worker_id
+    ):
+        pool_state.note_taken(reported_run.key, reported_run.run, now)
+        if reported_run.percent != run.percent:
+            run.progressed_at = now
+        run.percent = reported_run.percent
+        run.load = reported_run.load
+        run.saved = reported_run.saved or run.saved
+        crashes.clear_working_run(pool_state, run, worker)
         return
-    if run is None and _may_adopt(pool_state, row.key):
-        adopted = pool_state.add_run(row.key, row.run, worker, now)
-        adopted.saved = row.saved or adopted.saved
-        adopted.percent = row.percent
-        pool_state.note_taken(row.key, row.run, now)
-        pool_state.note("run:adopted", task=row.key, run=row.run, worker=worker)
+    if run is None and _may_adopt(pool_state, reported_run.key):
+        adopted_run = pool_state.add_run(
+            reported_run.key, reported_run.run, worker_id, now
+        )
+        adopted_run.saved = reported_run.saved or adopted_run.saved
+        adopted_run.percent = reported_run.percent
+        pool_state.note_taken(reported_run.key, reported_run.run, now)
+        pool_state.note(
+            "run:adopted",
+            task=reported_run.key,
+            run=reported_run.run,
+            worker=worker_id,
+        )
         return
-    held.strays.add((row.key, row.run))
-    pool_state.outbox.append((worker, orders.Stop(row.key, row.run)))
-    pool_state.note("run:stray", task=row.key, run=row.run, worker=worker)
+    worker.strays.add((reported_run.key, reported_run.run))
+    pool_state.outbox.append(
+        (worker_id, orders.Stop(reported_run.key, reported_run.run))
+    )
+    pool_state.note(
+        "run:stray",
+        task=reported_run.key,
+        run=reported_run.run,
+        worker=worker_id,
+    )
 
 
 def _may_adopt(pool_state: pool_states.Book, key: model.TaskKey) -> bool:
-    held = pool_state.jobs.get(key.job)
-    work = pool_state.find_work(key)
+    """Tell whether a run that a previous owner started is still wanted."""
+    tracked_job = pool_state.jobs.get(key.job)
+    tracked_step = pool_state.find_work(key)
     return (
-        held is not None
-        and not held.is_final
-        and work is not None
-        and key.position in work.waiting
+        tracked_job is not None
+        and not tracked_job.is_final
+        and tracked_step is not None
+        and key.position in tracked_step.waiting
     )
 
 
-def _find_missing(
+def _drop_missing_runs(
     pool_state: pool_states.Book,
-    held: runs.Worker,
-    listed: dict[model.TaskKey, orders.Running],
+    worker: runs.Worker,
+    running_by_key: dict[model.TaskKey, orders.Running],
     sent_at: float,
     now: float,
 ) -> None:
     """Drop runs that their worker no longer knows.
 
-    An end may have been confirmed by an earlier owner that died before
-    it could tell; without this the task would count as running for ever.
+    A previous owner may have confirmed an end and died before it could record
+    it. Without this, the task would count as running for ever.
     """
-    for key in list(held.runs):
+    for key in list(worker.runs):
         run = pool_state.runs[key]
-        confirmed = run.confirmed_at
-        if key in listed or confirmed is None or confirmed >= sent_at:
+        confirmed_at = run.confirmed_at
+        if (
+            key in running_by_key
+            or confirmed_at is None
+            or confirmed_at >= sent_at
+        ):
             continue
         pool_state.note(
             "run:missing",
@@ -121,95 +149,121 @@
             run=run.number,
             worker=run.worker,
             ran_s=round(now - run.since, 3),
-            noted=held.noted,
+            noted=worker.noted,
         )
         pool_state.drop_run(run)
         pool_state.requeue(run, orders.How.LAPSED, now)
 
 
-def _note_end(
-    pool_state: pool_states.Book, worker: str, ended: orders.Ended, now: float
+def _apply_end(
+    pool_state: pool_states.Book,
+    worker_id: str,
+    run_end: orders.Ended,
+    now: float,
 ) -> None:
-    key = ended.key
+    """Record the end of a run."""
+    key = run_end.key
     pool_state.open_reported(key, now)
-    crashes.clear_told(pool_state, key, ended.run)
+    crashes.withdraw_crash(pool_state, key, run_end.run)
     run = pool_state.runs.get(key)
-    ours = run is not None and run.number == ended.run and run.worker == worker
-    work = pool_state.find_work(key)
-    held = pool_state.jobs.get(key.job)
-    if ours and run is not None:
-        run.saved = ended.saved or run.saved
+    is_current = (
+        run is not None
+        and run.number == run_end.run
+        and run.worker == worker_id
+    )
+    tracked_step = pool_state.find_work(key)
+    tracked_job = pool_state.jobs.get(key.job)
+    if is_current and run is not None:
+        run.saved = run_end.saved or run.saved
         pool_state.drop_run(run)
-        if ended.how is orders.How.STOPPED and run.stopped_at:
+        if run_end.how is orders.How.STOPPED and run.stop_ordered_at:
             pool_state.note_stopped(run, now)
-    if held is None or work is None:
+    if tracked_job is None or tracked_step is None:
         return
-    held.begun = True
-    if key.position in work.kept.done:
+    tracked_job.begun = True
+    if key.position in tracked_step.kept.done:
         return
     pool_state.note(
         "run:ended",
         task=key,
-        run=ended.run,
-        worker=worker,
-        how=str(ended.how),
+        run=run_end.run,
+        worker=worker_id,
+        how=str(run_end.how),
     )
-    if ended.how in _OWN_ENDS:
-        crashes.clear_step(pool_state, work, key.position)
-    if ended.how is orders.How.DONE:
-        _note_done(pool_state, held, work, key, worker, now)
+    if run_end.how in _ENDS_BY_TASK:
+        crashes.clear_working_step(pool_state, tracked_step, key.position)
+    if run_end.how is orders.How.DONE:
+        _apply_success(
+            pool_state, tracked_job, tracked_step, key, worker_id, now
+        )
         return
-    if ended.how is orders.How.FAILED:
-        _note_failed(pool_state, held, work, ended, worker, now)
-    if ours and run is not None:
-        pool_state.requeue(run, ended.how, now)
+    if run_end.how is orders.How.FAILED:
+        _apply_failure(
+            pool_state, tracked_job, tracked_step, run_end, worker_id, now
+        )
+    if is_current and run is not None:
+        pool_state.requeue(run, run_end.how, now)
     elif run is None:
-        pool_state.keep_checkpoint(work, key, ended.saved)
+        pool_state.keep_checkpoint(tracked_step, key, run_end.saved)
 
 
-def _note_done(
+def _apply_success(
     pool_state: pool_states.Book,
-    held: runs.JobWork,
-    work: runs.StepWork,
+    tracked_job: runs.JobWork,
+    tracked_step: runs.StepWork,
     key: model.TaskKey,
-    worker: str,
+    worker_id: str,
     now: float,
 ) -> None:
-    worker_failures.note_good(pool_state.workers.get(worker))
-    if work.step.lasting:
-        # It must run until cancelled, however it ends.
-        work.waiting.add(key.position)
+    """Record that a task has succeeded."""
+    worker_failures.note_success(pool_state.workers.get(worker_id))
+    if tracked_step.step.lasting:
+        # A lasting task runs again until its job is cancelled, however it ends.
+        tracked_step.waiting.add(key.position)
         return
-    indices = range(work.step.count) if work.step.gang else (key.position,)
+    indices = (
+        range(tracked_step.step.count)
+        if tracked_step.step.gang
+        else (key.position,)
+    )
     for index in indices:
-        work.kept.done.add(index)
-        work.kept.saved.pop(index, None)
-        work.waiting.discard(index)
-        other = pool_state.runs.get(key._replace(position=index))
-        if other is not None and not work.step.gang:
-            pool_state.stop_run(other, "its task has ended elsewhere", now)
-    pool_state.dirty.add(held.job.id)
-    pool_state.finish_if_done(held, now)
+        tracked_step.kept.done.add(index)
+        tracked_step.kept.saved.pop(index, None)
+        tracked_step.waiting.discard(index)
+        other_run = pool_state.runs.get(key._replace(position=index))
+        if other_run is not None and not tracked_step.step.gang:
+            pool_state.stop_run(other_run, "its task has ended elsewhere", now)
+    pool_state.dirty.add(tracked_job.job.id)
+    pool_state.finish_if_done(tracked_job, now)
 
 
-def _note_failed(
+def _apply_failure(
     pool_state: pool_states.Book,
-    held: runs.JobWork,
-    work: runs.StepWork,
-    ended: orders.Ended,
-    worker: str,
+    tracked_job: runs.JobWork,
+    tracked_step: runs.StepWork,
+    run_end: orders.Ended,
+    worker_id: str,
     now: float,
 ) -> None:
+    """Record that a task has failed; fail its job after the last attempt."""
     worker_failures.note_failure(
-        pool_state.workers.get(worker), held.job.id, now, pool_state.note
+        pool_state.workers.get(worker_id),
+        tracked_job.job.id,
+        now,
+        pool_state.note,
+    )
+    tracked_step.avoided_workers.add(worker_id)
+    tracked_step.not_before = max(
+        tracked_step.not_before, now + pool_states.RETRY_PAUSE_S
     )
-    work.avoid.add(worker)
-    work.not_before = max(work.not_before, now + pool_states.RETRY_PAUSE_S)
-    index = 0 if work.step.gang else ended.key.position
-    failed = work.kept.failed.setdefault(index, [])
-    if ended.run in failed:
+    index = 0 if tracked_step.step.gang else run_end.key.position
+    failed_runs = tracked_step.kept.failed.setdefault(index, [])
+    if run_end.run in failed_runs:
         return
-    failed.append(ended.run)
-    pool_state.dirty.add(held.job.id)
-    if len(failed) >= held.job.max_attempts and not work.step.lasting:
-        pool_state.finish(held, model.State.FAILED, now)
+    failed_runs.append(run_end.run)
+    pool_state.dirty.add(tracked_job.job.id)
+    if (
+        len(failed_runs) >= tracked_job.job.max_attempts
+        and not tracked_step.step.lasting
+    ):
+        pool_state.finish(tracked_job, model.State.FAILED, now)
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks, workers and steps as the owner of a pool knows them."""
+"""Mutable records of runs, workers, steps and jobs in the state of a pool."""
 
 import dataclasses
 import enum
@@ -8,18 +8,18 @@
 from crocusrouter.work import permit
 from crocusrouter.work import progress as progresses
 
-# For so long a suspected run has its worker to itself. One that was not seen to
-# work for longer may have ended its worker by its start; a worker with runs is
-# looked at once a second.
+# A task suspected of crashing its worker runs there alone for this long. Its
+# worker is polled once a second while it has runs, so a run that was seen to
+# work for less time may have crashed its worker by its start.
 TRIAL_S = 2.0
 
 
 class Phase(enum.StrEnum):
-    """Where a run stands."""
+    """Phase of a run."""
 
-    ORDERED = "ordered"  # a start is under way; it may be carried out late
+    ORDERED = "ordered"  # a start was ordered; it may be carried out late
     RUNNING = "running"
-    STOPPING = "stopping"  # a stop is under way; the room is still taken
+    STOPPING = "stopping"  # a stop was ordered; the room is still taken
 
 
 @dataclasses.dataclass
@@ -28,21 +28,23 @@
 
     Attributes:
         key: The task.
-        number: Of the start; rises, and is shared by the members of a gang.
-        worker: Where.
-        since: When it was ordered, on the steady clock.
-        phase: Where it stands.
-        confirmed_at: When its worker first said that it runs.
+        number: Number of the start; it rises, and the members of a gang share
+            it.
+        worker: Id of the worker.
+        since: When the start was ordered, on the steady clock.
+        phase: Present phase.
+        confirmed_at: When the worker first reported the run as running.
         saved: Latest checkpoint.
-        percent: How far it says it is.
-        moved_at: When `percent` last changed.
+        percent: Progress as the task reports it.
+        progressed_at: When `percent` last changed.
         load: See `orders.Running`.
-        maybe_begun: Whether an order to start it was sent and not refused.
-        why: Why it is being stopped.
-        stopped_at: Steady time at which that was decided; 0 if it isn't.
-        work: Its step; None if its job is not known.
-        pace: Percent of its speed that its worker was last told to give it.
-        paced_at: Steady time at which that was answered.
+        maybe_begun: Whether a start order was sent and not refused.
+        why: Reason for the stop, for the log.
+        stop_ordered_at: Steady time at which the stop was decided; 0 if no stop
+            was decided.
+        work: Step of the task; None if its job is unknown.
+        pace: Percent of its speed that the worker was last told to give it.
+        paced_at: Steady time at which the worker confirmed `pace`.
     """
 
     key: model.TaskKey
@@ -53,11 +55,11 @@
     confirmed_at: float | None = None
     saved: str = ""
     percent: float = 0.0
-    moved_at: float = 0.0
+    progressed_at: float = 0.0
     load: float = 0.0
     maybe_begun: bool = False
     why: str = ""
-    stopped_at: float = 0.0
+    stop_ordered_at: float = 0.0
     work: "StepWork | None" = None
     pace: int = 100
     paced_at: float = 0.0
@@ -68,36 +70,39 @@
     """One incarnation of a worker.
 
     Attributes:
-        entry: As the platform lists it.
-        listed: Whether the platform still lists it.
-        reached: Whether it has answered under this owner's epoch.
-        silent_since: Since when it has not answered; None if it does.
-        heard_at: When it last told what it runs; None if it never did.
-        lapsed: Whether all that ran there has certainly ended.
-        gone: Whether another incarnation answers at its address.
+        entry: The worker as the platform lists it.
+        listed: Whether the platform still lists the worker.
+        reached: Whether the worker has answered under this owner's epoch.
+        silent_since: Since when the worker has not answered; None if it does.
+        last_report_at: When the worker last reported its runs; None if never.
+        lapsed: Whether everything that ran there has certainly ended.
+        gone: Whether another incarnation answers at the worker's address.
         used: Room that runs take.
-        runs: Runs there by task, in the order of their starts. Sets of keys
-            would be walked in another order in each process, and equal books
-            would lead to different plans.
-        strays: Runs there that no book counts, and that are being stopped.
-        failures: Jobs whose tasks failed here since a task last ended well.
-        suspect_until: Until when nothing new goes there.
-        noted: Number of the last end that the book has taken in.
+        runs: Runs there by task, in the order of their starts. Iterating over a
+            set of keys would differ between processes, and equal states would
+            lead to different plans.
+        strays: Runs there that belong to no task of this pool's state, and that
+            are being stopped.
+        failed_jobs: Jobs whose tasks failed here since a task last succeeded.
+        suspect_until: Steady time until which nothing new starts there.
+        noted: Number of the last end that was taken into the pool's state.
         leaves_at: Steady time until which a draining worker stays at least;
             None if it does not say.
-        sealed: Whether it has been draining; it gets nothing new ever after.
-        resting: Whether it is being emptied for its VM's upkeep.
-        rested: Whether it ever was; its end is then our own doing.
-        trial_until: Until when a suspect runs there alone.
-        blocks: Jobs that may run there as far as an earlier owner knew, if
-            it has not been reached; None for any job.
+        sealed: Whether the worker has ever been draining; it never gets new
+            tasks again.
+        resting: Whether it is being emptied for the upkeep of its VM.
+        was_evacuated: Whether it was ever emptied for upkeep, in which case its
+            end is expected and no crash.
+        trial_until: Steady time until which a suspected task runs there alone.
+        blocks: Jobs that may run there according to the previous owner's
+            records, while the worker has not been reached; None for any job.
     """
 
     entry: orders.WorkerEntry
     listed: bool = True
     reached: bool = False
     silent_since: float | None = None
-    heard_at: float | None = None
+    last_report_at: float | None = None
     lapsed: bool = False
     gone: bool = False
     used: model.Room = model.Room()
@@ -105,43 +110,47 @@
     strays: set[tuple[model.TaskKey, int]] = dataclasses.field(
         default_factory=set
     )
-    failures: set[str] = dataclasses.field(default_factory=set)
+    failed_jobs: set[str] = dataclasses.field(default_factory=set)
     suspect_until: float = 0.0
     noted: int = 0
     leaves_at: float | None = None
     sealed: bool = False
     resting: bool = False
-    rested: bool = False
+    was_evacuated: bool = False
     trial_until: float = 0.0
     blocks: frozenset[str] | None = None
 
     @property
     def is_untold(self) -> bool:
-        """Whether nobody knows yet what an earlier owner runs there."""
+        """Whether a previous owner's runs there are still unknown."""
         return not self.reached and not self.lapsed
 
     @property
     def free(self) -> model.Room:
-        """Room that no run takes; less than none if the worker has shrunk."""
+        """Room that no run takes; negative if the worker has shrunk."""
         return self.entry.room.minus(self.used)
 
     def is_over(self, charge: model.Room) -> bool:
-        """Tell whether its runs take more than it has of what a run needs."""
+        """Tell whether its runs take more than it has of what a run needs.
+
+        Args:
+            charge: Room of the run; what it does not need is ignored.
+        """
         return any(
             needed and left < 0
             for needed, left in zip(charge, self.free, strict=True)
         )
 
     def may_take(self, now: float) -> bool:
-        """Tell whether new work may go there."""
+        """Tell whether new tasks may start there."""
         return (
             self.listed
             and self.reached
             and not self.sealed
             and not self.resting
             and not self.gone
-            # The room of a stray is taken until it has ended, and a worker
-            # that does not check would start more than it has room for.
+            # A stray run takes room until it has ended. A worker that does not
+            # check its room would start more tasks than it has room for.
             and not self.strays
             and self.silent_since is None
             and now >= self.suspect_until
@@ -151,18 +160,19 @@
 
 @dataclasses.dataclass
 class StepWork:
-    """One step of one occurrence, while its job lives.
+    """One step of one occurrence of a job that is not over.
 
     Attributes:
-        key: Which.
-        step: What its tasks ask for.
-        kept: What has ended of it.
-        waiting: Tasks that neither run nor have ended well.
-        running: Its runs by index of the task.
-        avoid: Workers on which one of its tasks failed.
-        not_before: Steady time before which nothing of it starts again.
-        waiting_since: Steady time since which tasks have waited in turn.
-        permits: What the policy service has said of it.
+        key: Identifies the step.
+        step: Requirements of the step's tasks.
+        kept: Progress that the journal keeps.
+        waiting: Indices of tasks that are neither running nor done.
+        running: Runs by index of the task.
+        avoided_workers: Workers on which a task of the step failed or was
+            rejected.
+        not_before: Steady time before which no task of the step starts again.
+        waiting_since: Steady time since which tasks have been waiting.
+        permits: Answers of the policy service about the step.
     """
 
     key: model.StepKey
@@ -170,18 +180,18 @@
     kept: progresses.StepProgress
     waiting: set[int]
     running: dict[int, Run] = dataclasses.field(default_factory=dict)
-    avoid: set[str] = dataclasses.field(default_factory=set)
+    avoided_workers: set[str] = dataclasses.field(default_factory=set)
     not_before: float = 0.0
     waiting_since: float | None = None
     permits: permit.Permits = dataclasses.field(default_factory=permit.Permits)
 
     @property
     def is_done(self) -> bool:
-        """Whether all tasks have ended well."""
+        """Whether all tasks have succeeded."""
         return len(self.kept.done) == self.step.count
 
-    def find_saved(self, index: int) -> str:
-        """Return the checkpoint from which a task goes on."""
+    def find_checkpoint(self, index: int) -> str:
+        """Return the checkpoint from which a task resumes; empty for none."""
         return self.kept.saved.get(0 if self.step.gang else index, "")
 
 
@@ -190,19 +200,19 @@
     """One accepted job.
 
     Attributes:
-        job: What is fixed.
-        progress: What has ended.
-        created: Revision of its acceptance.
-        steps: The steps of occurrences that are not over.
-        opened: Occurrences that have come due so far.
-        begun: Whether a task of it has started.
+        job: The job as it was accepted.
+        progress: Progress that the journal keeps.
+        created: Store revision at which the job was accepted.
+        steps: Steps of the occurrences that have been opened.
+        opened: How many occurrences have become due so far.
+        begun: Whether a task of the job has started.
         durable: Whether the final state is in the journal.
-        over_since: Steady time at which it was first known to be over.
-        unsaved_crash: Whether a crash under one of its tasks is not in the
-            journal yet. It starts nothing until then: after the loss of this
-            owner nobody would know of the crash.
-        parked: Whether nothing of it ran when this owner began, as the one
-            before has recorded.
+        over_since: Steady time at which the job was first known to be over.
+        has_unsaved_crash: Whether a worker crash under one of its tasks is not
+            in the journal yet. The job starts nothing until it is: if this
+            owner were lost, nobody would know of the crash.
+        parked: Whether none of its tasks ran when this owner took over,
+            according to the previous owner's records.
     """
 
     job: model.Job
@@ -215,19 +225,19 @@
     begun: bool = False
     durable: bool = False
     over_since: float | None = None
-    unsaved_crash: bool = False
+    has_unsaved_crash: bool = False
     parked: bool = False
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing of it will start any more."""
+        """Whether no task of the job will start any more."""
         return self.job.cancelled or self.progress.final is not None
 
     def show_state(self) -> model.State:
-        """Return what its caller is told.
+        """Return the state that callers see.
 
-        A final state is told only once it is durable: a successor that had
-        not read it would say "running" after "done".
+        A final state is shown only once it is durable: otherwise a new owner
+        that has not read the last end would say "running" after "done".
         """
         if self.progress.final is not None and self.durable:
             return self.progress.final
--- a/crocusrouter/work/stop_durations.py
+++ b/crocusrouter/work/stop_durations.py
@@ -1,24 +1,26 @@
-"""How long stops take on the workers of a pool, as the owner sees them."""
+"""Estimate of how long the workers of a pool take to stop a run."""
 
 import dataclasses
 
-# What a stop is taken to need before the first one was seen.
-_FIRST_GUESS_S = 0.4
-# A worker that is cut off ends its runs seconds later; that is no stop.
-_LONGEST_S = 3.0
-# A slow stop counts at once; each faster one brings the figure down by this
-# share of the difference.
-_FADING = 0.1
+# Estimate before the first stop was seen.
+_INITIAL_ESTIMATE_S = 0.4
+# Upper limit of a sample. A worker that is cut off ends its runs seconds later,
+# which says nothing about the duration of a stop.
+_MAX_SAMPLE_S = 3.0
+# A slow stop raises the estimate at once; a faster one lowers it by this share
+# of the difference.
+_DECAY = 0.1
 
 
 @dataclasses.dataclass
 class StopTimes:
-    """Seconds from the decision to stop a run to its listed end.
+    """Seconds from the decision to stop a run until its end is listed.
 
-    Not kept over a takeover: the first stops of a successor tell again.
+    The estimate is not kept over a takeover; a new owner learns it from its
+    first stops.
 
     Attributes:
-        expected_s: What stops hardly ever exceed.
+        expected_s: Duration that stops rarely exceed.
 
     >>> times = StopTimes()
     >>> times.note(0.9)
@@ -27,12 +29,12 @@
     0.85
     """
 
-    expected_s: float = _FIRST_GUESS_S
+    expected_s: float = _INITIAL_ESTIMATE_S
 
-    def note(self, took_s: float) -> None:
-        """Note how long one stop took."""
-        took_s = min(took_s, _LONGEST_S)
-        if took_s > self.expected_s:
-            self.expected_s = took_s
+    def note(self, duration_s: float) -> None:
+        """Update the estimate with the duration of one stop."""
+        duration_s = min(duration_s, _MAX_SAMPLE_S)
+        if duration_s > self.expected_s:
+            self.expected_s = duration_s
         else:
-            self.expected_s += _FADING * (took_s - self.expected_s)
+            self.expected_s += _DECAY * (duration_s - self.expected_s)
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -85,16 +85,18 @@
 
 
 @pytest.mark.parametrize(
-    ("sealed", "rested", "maybe_begun"),
+    ("sealed", "was_evacuated", "maybe_begun"),
     [(True, False, True), (False, True, True), (False, False, False)],
     ids=["said-it-leaves", "upkeep", "never-sent"],
 )
-def test_end_that_is_no_crash_is_not_counted(sealed, rested, maybe_begun):
+def test_end_that_is_no_crash_is_not_counted(
+    sealed, was_evacuated, maybe_begun
+):
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.start_planned(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
     worker = pool_state.workers[run.worker]
-    worker.sealed, worker.rested = sealed, rested
+    worker.sealed, worker.was_evacuated = sealed, was_evacuated
     if maybe_begun:
         pool_state.note_taken(run.key, run.number, 0.0)
     _crash(pool_state, run.worker, 0.1)
@@ -198,7 +200,7 @@
     build.start_planned(pool_state)
     worker = pool_state.runs[_key("old")].worker
     _hear(pool_state, worker, 8.0)
-    pool_state.runs[_key("old")].moved_at = 8.0
+    pool_state.runs[_key("old")].progressed_at = 8.0
     build.put(
         pool_state, build.make_job("new", build.make_step(gpu=2)), now=8.0
     )
@@ -275,7 +277,7 @@
     found.kept.crashes[0] = [progresses.Crash(0, True)]
     assert build.start_planned(pool_state, 1.0).placements == []
     busy = pool_state.runs[_key("busy")]
-    busy.since = busy.moved_at = 4.5
+    busy.since = busy.progressed_at = 4.5
     build.start_planned(pool_state, 4.5)
     assert found.running
 
@@ -338,7 +340,7 @@
     found = pool_state.find_work(_key("j"))
     build.start_planned(pool_state)
     found.kept.crashes[1] = [progresses.Crash(0, True)]
-    pool_state.runs[_key("j")].moved_at = 2.5
+    pool_state.runs[_key("j")].progressed_at = 2.5
     assert build.start_planned(pool_state, 2.5).placements == []
     pool_state.set_worker(build.make_entry("w1"), 2.5)
     pool_state.workers["w1"].reached = True
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -97,7 +97,7 @@
     )
     build.start_planned(pool_state)
     for run in pool_state.runs.values():
-        run.moved_at = ran_s
+        run.progressed_at = ran_s
     build.put(
         pool_state,
         build.make_job("high", build.make_step(1, gpu=8), priority=0),
@@ -117,7 +117,7 @@
     old = pool_state.runs[work.TaskKey("old", 0, 0, 0)]
     new = pool_state.runs[work.TaskKey("new", 0, 0, 0)]
     old.confirmed_at, new.confirmed_at = 0.0, 50.0
-    old.moved_at = new.moved_at = 60.0
+    old.progressed_at = new.progressed_at = 60.0
     build.put(
         pool_state,
         build.make_job("high", build.make_step(1, gpu=8), priority=0),
--- a/crocusrouter/work/tests/test_relocation.py
+++ b/crocusrouter/work/tests/test_relocation.py
@@ -35,7 +35,7 @@
     entry = pool_state.workers[run.worker].entry
     leaving = dataclasses.replace(entry, draining=True, stays_s=stays_s)
     pool_state.set_worker(leaving, 0.0)
-    run.moved_at = ran_s
+    run.progressed_at = ran_s
     plan = work.plan(pool_state, ran_s, build.WALL)
     assert [one for one, _ in plan.stops] == ([run] if stopped else [])
 
@@ -63,7 +63,7 @@
     pool_state = build.make_book(job, workers=("w0",))
     build.start_planned(pool_state)
     run = _run(pool_state)
-    run.moved_at = ran_s
+    run.progressed_at = ran_s
     if ran_s > 50:
         run.percent = 1.0
     now = ran_s + still_s
@@ -76,7 +76,7 @@
         build.make_job("j", build.make_step(2, gpu=8, gang=True))
     )
     build.start_planned(pool_state)
-    _run(pool_state).moved_at = 0.0
-    _run(pool_state, position=1).moved_at = 5.0
+    _run(pool_state).progressed_at = 0.0
+    _run(pool_state, position=1).progressed_at = 5.0
     plan = work.plan(pool_state, 5.0, build.WALL + 5)
     assert len(plan.stops) == 2
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -37,7 +37,7 @@
     """Return where to try a suspected step.
 
     Args:
-        book: The pool's book; not changed.
+        pool_state: State of the pool; not changed.
         work: The step. One task of it at a time is tried; a gang whole.
         spaces: Workers with room for a task.
         closed: Workers that other suspects have to themselves.
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -78,7 +78,7 @@
     """Return the VM whose emptying costs least; None if none may go now.
 
     Args:
-        book: The pool's book; not changed.
+        pool_state: State of the pool; not changed.
         pool: Only VMs of this pool are chosen.
         wave: What the operators want.
         record: How far it is.
@@ -135,7 +135,7 @@
     """Return the runs to stop now so that a worker can go down.
 
     Args:
-        book: The pool's book; not changed.
+        pool_state: State of the pool; not changed.
         worker: The worker to empty.
         now: Steady time in seconds.
         leave_by: Steady time at which it should be empty.
--- a/crocusrouter/work/waiting_steps.py
+++ b/crocusrouter/work/waiting_steps.py
@@ -47,7 +47,7 @@
     """Return the steps with tasks in turn, in order.
 
     Args:
-        book: The pool's book.
+        pool_state: State of the pool.
         now: Steady time in seconds.
         wall: Unix time in seconds.
         policy: Weights and limits.
@@ -57,7 +57,7 @@
     for held in pool_state.live.values():
         if held.is_final or pool_state.may_run_unseen(held, blocked):
             continue
-        if held.unsaved_crash:
+        if held.has_unsaved_crash:
             continue
         for work in held.steps.values():
             if not work.waiting or work.not_before > now:
--- a/crocusrouter/work/worker_failures.py
+++ b/crocusrouter/work/worker_failures.py
@@ -1,42 +1,44 @@
-"""Which workers fail what they start, and which tasks stand still.
+"""Detection of workers that fail the tasks they start.
 
-A failure may be the job's fault or the worker's. Failures of different jobs
-on one worker, with nothing ended well between them, are the worker's.
+A failure may be the fault of the job or of the worker. If tasks of different
+jobs fail on a worker and none succeeds in between, the worker is at fault.
 """
 
 from collections.abc import Callable
 
 from crocusrouter.work import runs
 
-# Two different jobs: with 2% of tasks failing by themselves, two in a row on
-# one worker are its own fault far more often than chance.
+# Number of different jobs whose failures make a worker suspect. About 2% of
+# tasks fail by themselves, so failures of two jobs in a row on one worker are
+# far more often the worker's fault than chance.
 _JOBS_TO_SUSPECT = 2
-# A worker that fails all does so for some seconds; afterwards one job's tasks
-# tell again, since a single failure renews the suspicion.
+# A worker that fails all tasks does so for some seconds. After that, the tasks
+# of a single job are enough to tell, since one more failure renews the
+# suspicion.
 _SUSPECT_S = 4.0
 
 
-def note_good(worker: runs.Worker | None) -> None:
-    """Note that a task ended well on a worker."""
+def note_success(worker: runs.Worker | None) -> None:
+    """Record that a task succeeded on a worker."""
     if worker is not None:
-        worker.failures.clear()
+        worker.failed_jobs.clear()
 
 
 def note_failure(
     worker: runs.Worker | None,
-    job: str,
+    job_id: str,
     now: float,
     note: Callable[..., None],
 ) -> None:
-    """Note that a task failed on a worker; suspect it if others did too."""
+    """Record that a task failed, and suspect the worker if it is at fault."""
     if worker is None:
         return
-    worker.failures.add(job)
-    if len(worker.failures) >= _JOBS_TO_SUSPECT:
+    worker.failed_jobs.add(job_id)
+    if len(worker.failed_jobs) >= _JOBS_TO_SUSPECT:
         worker.suspect_until = now + _SUSPECT_S
         note(
             "worker:suspected",
             worker=worker.entry.id,
-            jobs=len(worker.failures),
+            jobs=len(worker.failed_jobs),
             until=worker.suspect_until,
         )
