--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs of steps and tasks: the book of a pool and what it decides."""
+"""Scheduling core: the state of a pool, and the decisions based on it."""
 
 from crocusrouter.work.crashes import note_lapsed
 from crocusrouter.work.crashes import note_replaced
--- a/crocusrouter/work/pacing.py
+++ b/crocusrouter/work/pacing.py
@@ -1,9 +1,10 @@
-"""How fast tasks that fill may work beside tasks that serve users.
+"""Pacing: limits the speed of filling tasks beside tasks that serve users.
 
-Tasks that fill take the processor time that others leave, and disturb tasks
-that serve on the same worker by amounts that change within seconds. The tail
-of a serving task's answers tells; what fills is slowed at once when the tail
-comes near its bound, and let go again in steps.
+Filling tasks (see `model.Step.fills`) use the processor time that others leave.
+They disturb serving tasks on the same worker by amounts that change within
+seconds, which shows in the tail latency of the serving tasks. Filling tasks are
+slowed at once when that latency comes near its limit, and sped up again in
+steps.
 """
 
 from typing import NamedTuple
@@ -11,24 +12,26 @@
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
-_FULL = 100
-# A tail over its bound for four seconds counts as harm, and looks come each
-# second: at the bound what fills stops, near it works at half its share.
-_AT_BOUND = 1.0
-_NEAR_BOUND = 0.85
-# Below this share of the bound there is room for more disturbance.
-_CALM = 0.6
-_STEP_UP = 20
-# The worker's figure is for its last half second, and a pace takes a tenth to
-# act: sooner than this, the figure is from before the last change.
-_SETTLE_S = 0.9
+_MAX_PERCENT = 100
+# Pressure is a tail latency as a share of its limit. A latency over its limit
+# for four seconds counts as harm, and workers are polled once a second. Filling
+# tasks therefore stop at the limit and run at half their pace near it.
+_LIMIT_PRESSURE = 1.0
+_HIGH_PRESSURE = 0.85
+# Below this pressure there is room for more disturbance.
+_LOW_PRESSURE = 0.6
+_STEP_UP_PERCENT = 20
+# Time after a change of pace during which reported latencies are ignored. A
+# report covers the last half second, and a new pace takes a tenth of a second
+# to have an effect, so an earlier report predates the change.
+_PACE_DELAY_S = 0.9
 
 
 class Pace(NamedTuple):
-    """A share of its speed that a run is to have.
+    """A new share of its speed for a run.
 
     Attributes:
-        run: Which run.
+        run: The run.
         percent: 0 to 100.
     """
 
@@ -37,57 +40,57 @@
 
 
 def choose_paces(pool_state: pool_states.Book, now: float) -> list[Pace]:
-    """Return the runs that fill whose pace is to change.
+    """Return the filling runs whose pace must change.
 
     Args:
         pool_state: State of the pool; not changed.
         now: Steady time in seconds.
     """
-    found = []
+    paces = []
     for worker in pool_state.workers.values():
-        fillers, pressure = _read_worker(pool_state, worker)
-        for run in fillers:
-            if now < run.paced_at + _SETTLE_S:
+        filling_runs, pressure = _read_worker(pool_state, worker)
+        for run in filling_runs:
+            if now < run.paced_at + _PACE_DELAY_S:
                 continue
             percent = choose_percent(run.pace, pressure)
             if percent != run.pace:
-                found.append(Pace(run, percent))
-    return found
+                paces.append(Pace(run, percent))
+    return paces
 
 
 def _read_worker(
     pool_state: pool_states.Book, worker: runs.Worker
 ) -> tuple[list[runs.Run], float]:
-    """Return the runs that fill, and the worst tail against its bound."""
-    fillers = []
+    """Return a worker's filling runs and the highest pressure on it."""
+    filling_runs = []
     pressure = 0.0
     for run in worker.runs.values():
-        work = run.work
-        if work is None or run.phase is not runs.Phase.RUNNING:
+        tracked_step = run.work
+        if tracked_step is None or run.phase is not runs.Phase.RUNNING:
             continue
-        if work.step.fills:
-            fillers.append(run)
-        elif work.step.target_ms:
-            pressure = max(pressure, run.load / work.step.target_ms)
-    return fillers, pressure
+        if tracked_step.step.fills:
+            filling_runs.append(run)
+        elif tracked_step.step.target_ms:
+            pressure = max(pressure, run.load / tracked_step.step.target_ms)
+    return filling_runs, pressure
 
 
 def choose_percent(pace: int, pressure: float) -> int:
-    """Return the next pace of a run that fills.
+    """Return the next pace of a filling run.
 
     Args:
         pace: Its present pace in percent.
-        pressure: Worst tail beside it, as a share of its bound.
+        pressure: Highest tail latency beside it, as a share of its limit.
 
     >>> choose_percent(100, 1.2), choose_percent(100, 0.9)
     (0, 50)
     >>> choose_percent(40, 0.7), choose_percent(40, 0.2)
     (40, 60)
     """
-    if pressure >= _AT_BOUND:
+    if pressure >= _LIMIT_PRESSURE:
         return 0
-    if pressure >= _NEAR_BOUND:
+    if pressure >= _HIGH_PRESSURE:
         return pace // 2
-    if pressure < _CALM:
-        return min(_FULL, pace + _STEP_UP)
+    if pressure < _LOW_PRESSURE:
+        return min(_MAX_PERCENT, pace + _STEP_UP_PERCENT)
     return pace
--- a/crocusrouter/work/packing.py
+++ b/crocusrouter/work/packing.py
@@ -1,4 +1,4 @@
-"""Where tasks fit: free room by worker and rack."""
+"""Packing of tasks into the free room of workers and racks."""
 
 import collections
 from collections.abc import Callable
@@ -6,13 +6,13 @@
 
 from crocusrouter.work import model
 
-Bound = Callable[["Space"], int]
+SlotCounter = Callable[["Space"], int]
 
 
 def find_rack(labels: Iterable[str]) -> str:
-    """Return the rack among a worker's labels.
+    """Return the rack among a worker's labels; empty for none.
 
-    Labels are a kind and a rack; racks are named "r<number>-<number>".
+    The labels are a kind and a rack; racks are named "r<number>-<number>".
 
     >>> find_rack({"a", "r1-3"})
     'r1-3'
@@ -24,7 +24,7 @@
 
 
 class Space:
-    """One worker's free room while a plan is worked out."""
+    """Free room of one worker while a plan is made."""
 
     def __init__(self, worker: str, rack: str, free: model.Room) -> None:
         self.worker = worker
@@ -33,87 +33,98 @@
         self._tasks: collections.Counter[model.StepKey] = collections.Counter()
 
     def take(self, room: model.Room) -> None:
-        """Take room for one task."""
+        """Subtract the room of one task."""
         self.free = self.free.minus(room)
 
     def note_task(self, key: model.StepKey) -> None:
-        """Count a task of a step."""
+        """Count a task of a step as placed here."""
         self._tasks[key] += 1
 
     def count_task(self, key: model.StepKey) -> int:
-        """Return the tasks of a step placed here in this plan."""
+        """Return how many tasks of a step this plan has placed here."""
         return self._tasks[key]
 
-    def measure_rest(self, room: model.Room) -> tuple[int, int, int]:
-        """Return what is left after a task; less is a tighter fit.
+    def measure_tightness(self, room: model.Room) -> tuple[int, int, int]:
+        """Return the room left after a task; less is a tighter fit.
 
         The tightest fit keeps whole workers free for tasks that need all
-        accelerators of one.
+        accelerators of a worker.
         """
-        rest = self.free.minus(room)
-        return rest.accelerators, rest.cpu, rest.memory_mb
+        remaining = self.free.minus(room)
+        return remaining.accelerators, remaining.cpu, remaining.memory_mb
 
 
 def group_by_rack(spaces: Iterable[Space]) -> dict[str, list[Space]]:
     """Return the spaces of each rack."""
-    groups: dict[str, list[Space]] = collections.defaultdict(list)
+    spaces_by_rack: dict[str, list[Space]] = collections.defaultdict(list)
     for space in spaces:
-        groups[space.rack].append(space)
-    return groups
+        spaces_by_rack[space.rack].append(space)
+    return spaces_by_rack
 
 
 def fill(
-    spaces: list[Space], room: model.Room, count: int, bound: Bound
+    spaces: list[Space], room: model.Room, count: int, count_slots: SlotCounter
 ) -> list[Space] | None:
-    """Return a space for each of `count` tasks, the tightest first.
+    """Return a space for each of `count` tasks, the tightest fit first.
 
     Returns:
-        A space may stand several times; None if there is no room for all.
+        Spaces, which may occur several times; None if not all tasks fit.
     """
-    chosen = fill_some(spaces, room, count, bound)
-    return chosen if len(chosen) == count else None
+    chosen_spaces = fill_some(spaces, room, count, count_slots)
+    return chosen_spaces if len(chosen_spaces) == count else None
 
 
 def fill_some(
-    spaces: list[Space], room: model.Room, count: int, bound: Bound
+    spaces: list[Space], room: model.Room, count: int, count_slots: SlotCounter
 ) -> list[Space]:
     """Return a space for as many of `count` tasks as fit, the tightest first.
 
     Under load few workers have room, so the others are left out first.
     """
-    chosen: list[Space] = []
-    fitting = [space for space in spaces if space.free.holds(room)]
-    for space in sorted(fitting, key=lambda space: space.measure_rest(room)):
-        fits = min(space.free.count(room), bound(space), count - len(chosen))
-        chosen += [space] * max(0, fits)
-        if len(chosen) == count:
+    chosen_spaces: list[Space] = []
+    fitting_spaces = [space for space in spaces if space.free.holds(room)]
+    for space in sorted(
+        fitting_spaces, key=lambda space: space.measure_tightness(room)
+    ):
+        slots = min(
+            space.free.count(room),
+            count_slots(space),
+            count - len(chosen_spaces),
+        )
+        chosen_spaces += [space] * max(0, slots)
+        if len(chosen_spaces) == count:
             break
-    return chosen
+    return chosen_spaces
 
 
 def choose_rack(
-    racks: list[list[Space]], room: model.Room, count: int, bound: Bound
+    racks: list[list[Space]],
+    room: model.Room,
+    count: int,
+    count_slots: SlotCounter,
 ) -> list[Space] | None:
-    """Return places in the one rack that is left with the least room."""
+    """Return spaces in one rack, the rack that has the least free room."""
     best: tuple[int, list[Space]] | None = None
     for rack in racks:
-        chosen = fill(rack, room, count, bound)
-        if chosen is None:
+        chosen_spaces = fill(rack, room, count, count_slots)
+        if chosen_spaces is None:
             continue
-        rest = sum(space.free.accelerators for space in rack)
-        if best is None or rest < best[0]:
-            best = rest, chosen
+        free_accelerators = sum(space.free.accelerators for space in rack)
+        if best is None or free_accelerators < best[0]:
+            best = free_accelerators, chosen_spaces
     return best[1] if best is not None else None
 
 
-def count_workers(missing: int, step: model.Step, spaces: list[Space]) -> int:
-    """Return how many workers `missing` tasks of a step would take up."""
+def count_workers(
+    task_count: int, step: model.Step, spaces: list[Space]
+) -> int:
+    """Return how many workers `task_count` tasks of a step would occupy."""
     if not spaces:
         return 0
-    whole = 1
+    tasks_per_worker = 1
     if step.charge.accelerators:
-        # Workers of a pool are alike; eight accelerators is the usual size.
-        whole = max(1, 8 // step.charge.accelerators)
+        # Workers of a pool are alike; they usually have eight accelerators.
+        tasks_per_worker = max(1, 8 // step.charge.accelerators)
     if step.per_worker:
-        whole = min(whole, step.per_worker)
-    return min(len(spaces), -(-missing // whole))
+        tasks_per_worker = min(tasks_per_worker, step.per_worker)
+    return min(len(spaces), -(-task_count // tasks_per_worker))
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -1,9 +1,9 @@
-"""Which waiting tasks start now, where, and which runs make room for them.
+"""Planner: which tasks start now, where, and which runs make room for them.
 
-`plan` looks at a book and returns what to do; it changes nothing. Steps are
-taken by priority, then by the latest moment at which they can begin and still
-meet their objective. A step that finds no place holds the workers that will
-have room for it first; what comes later passes these by.
+`plan` reads the state of a pool and returns what to do; it changes nothing.
+Steps are placed by priority, then by the latest time at which they can start
+and still meet their objective. A step that finds no place holds the workers
+that will have room for it first, and later steps don't use these.
 """
 
 from collections.abc import Iterable
@@ -29,8 +29,8 @@
 
     Attributes:
         step: The step.
-        spots: Worker by index of the task.
-        alone: Whether their workers take nothing else for a while.
+        spots: Id of the worker by index of the task.
+        alone: Whether the workers take no other task for a while.
     """
 
     step: model.StepKey
@@ -40,13 +40,14 @@
 
 @dataclasses.dataclass
 class Plan:
-    """What to do now.
+    """Decisions of the planner.
 
     Attributes:
         placements: Tasks to start.
-        stops: Runs to stop so that guaranteed work finds room, and why.
-        reservations: Where that work goes once they have ended.
-        contended: Whether the first priority stops others to find room.
+        stops: Runs to stop, with the reason for the log.
+        reservations: Workers reserved for tasks that start once runs in `stops`
+            have ended.
+        contended: Whether the first priority stops other work to find room.
     """
 
     placements: list[Placement] = dataclasses.field(default_factory=list)
@@ -55,33 +56,38 @@
     contended: bool = False
 
 
-class _Full:
-    """Which rooms no worker has any more.
+class _ExhaustedRooms:
+    """Rooms that no worker offers any more.
 
-    Room only shrinks while a plan is worked out, so what found no worker at
-    all is not looked for again: under load most steps end here.
+    Free room only shrinks while a plan is made, so a room that no worker
+    offered is not looked for again. Under load this ends the search for most
+    steps.
     """
 
     def __init__(self) -> None:
-        self._known: set[tuple[model.Room, str]] = set()
+        self._exhausted: set[tuple[model.Room, str]] = set()
 
-    def note(self, waiting: waiting_steps.Waiting) -> None:
-        """Note that no worker has room for one task of a step.
+    def note(self, waiting_step: waiting_steps.WaitingStep) -> None:
+        """Record that no worker has room for one task of a step.
 
-        Only what stands in the way of any other step as well is noted.
+        Nothing is recorded for a step with restrictions that don't apply to
+        others.
         """
-        if not waiting.work.avoided_workers and not waiting.held.job.advised:
-            step = waiting.work.step
-            self._known.add((step.charge, step.label))
-
-    def is_known(self, waiting: waiting_steps.Waiting) -> bool:
+        if (
+            not waiting_step.tracked_step.avoided_workers
+            and not waiting_step.tracked_job.job.advised
+        ):
+            step = waiting_step.tracked_step.step
+            self._exhausted.add((step.charge, step.label))
+
+    def is_known(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether no worker can have room for one task of a step."""
-        step = waiting.work.step
-        return (step.charge, step.label) in self._known
+        step = waiting_step.tracked_step.step
+        return (step.charge, step.label) in self._exhausted
 
 
 class Planner:
-    """Works one plan out, on a copy of the workers' free room."""
+    """Makes one plan on a copy of the workers' free room."""
 
     def __init__(
         self,
@@ -92,318 +98,381 @@
         policy: planner_parameters.Policy = _DEFAULT,
     ) -> None:
         self._pool_state = pool_state
-        self._policy = policy
+        self._parameters = policy
         self._now = now
         self._wall = wall
         self._plan = Plan()
-        self._stalled = relocation.list_stalled(pool_state, now)
-        stalled = {run.worker for run in self._stalled}
+        self._stalled_runs = relocation.list_stalled(pool_state, now)
+        stalled_workers = {run.worker for run in self._stalled_runs}
         self._spaces = {
             name: packing.Space(
                 name, packing.find_rack(worker.entry.labels), worker.free
             )
             for name, worker in pool_state.workers.items()
-            if worker.may_take(now) and name not in stalled
+            if worker.may_take(now) and name not in stalled_workers
         }
         self._racks = racks.Racks(pool_state)
-        self._held: set[str] = set()
-        self._closed = trials.list_closed(pool_state, now)
-        self._full = _Full()
+        self._held_workers: set[str] = set()
+        self._trial_workers = trials.list_trial_workers(pool_state, now)
+        self._exhausted_rooms = _ExhaustedRooms()
         self._free_times = preemption.FreeTimes(pool_state, now)
         self._losses = preemption.Losses(pool_state, now)
         self._guaranteed_used = preemption.count_guaranteed(pool_state)
-        self._reserved = dict(reserved)
-        for key, spots in self._reserved.items():
+        self._reservations = dict(reserved)
+        for key, spots in self._reservations.items():
             self._take_reserved(key, spots)
 
     def _take_reserved(self, key: model.StepKey, spots: dict[int, str]) -> None:
-        work = self._pool_state.find_work(key)
-        if work is None:
+        tracked_step = self._pool_state.find_work(key)
+        if tracked_step is None:
             return
-        for worker in spots.values():
-            space = self._spaces.get(worker)
+        for worker_id in spots.values():
+            space = self._spaces.get(worker_id)
             if space is not None:
-                space.take(work.step.charge)
+                space.take(tracked_step.step.charge)
 
     def run(self) -> Plan:
-        """Stop what is lost where it is, and place all steps in order."""
-        rescues = relocation.list_rescues(
-            self._pool_state, self._stalled, self._now, self._wall
+        """Choose the runs to relocate, then place all steps in order."""
+        relocations = relocation.list_relocations(
+            self._pool_state, self._stalled_runs, self._now, self._wall
+        )
+        runs_to_stop = relocation.add_gang_members(
+            self._pool_state, relocations
         )
-        whole = relocation.list_whole(self._pool_state, rescues)
-        self._plan.stops += list(whole.values())
-        holding = 0
-        in_turn = waiting_steps.list_waiting(
-            self._pool_state, self._now, self._wall, self._policy
+        self._plan.stops += list(runs_to_stop.values())
+        holding_count = 0
+        ordered_steps = waiting_steps.list_waiting_steps(
+            self._pool_state, self._now, self._wall, self._parameters
         )
-        for waiting in in_turn:
-            if waiting.work.key in self._reserved:
+        for waiting_step in ordered_steps:
+            if waiting_step.tracked_step.key in self._reservations:
                 continue
-            if self._is_held_back(waiting):
+            if self._is_held_back(waiting_step):
                 continue
-            placed = self._place(waiting)
-            if placed or holding >= self._policy.most_holding:
+            placed = self._place(waiting_step)
+            if placed or holding_count >= self._parameters.most_holding:
                 continue
-            self._hold_workers(waiting)
-            holding += 1
+            self._hold_workers(waiting_step)
+            holding_count += 1
         return self._plan
 
-    def _is_held_back(self, waiting: waiting_steps.Waiting) -> bool:
-        """Tell whether a step leaves free room to urgent work to come.
+    def _is_held_back(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+        """Tell whether a step leaves free room to urgent work that may follow.
 
-        Where the first priority had to stop others a moment ago, more of it
-        is likely to come. What starts in the gaps meanwhile is stopped again
-        at once, and the urgent job waits for that stop. What is late already
-        goes all the same, so nothing is held back for good.
+        If the first priority had to stop other work a moment ago, more urgent
+        work is likely to follow. Anything that starts in the free room
+        meanwhile would be stopped again at once, and the urgent job would wait
+        for that stop. Steps that are late already still start, so no step is
+        held back for good.
         """
         contended_at = self._pool_state.contended_at
-        if contended_at is None or waiting.held.job.priority == 0:
+        if contended_at is None or waiting_step.tracked_job.job.priority == 0:
             return False
-        if waiting.late or waiting.work.step.lasting:
+        if waiting_step.late or waiting_step.tracked_step.step.lasting:
             return False
-        return self._now < contended_at + self._policy.hold_back_s
+        return self._now < contended_at + self._parameters.hold_back_s
 
-    def _place(self, waiting: waiting_steps.Waiting) -> bool:
-        """Place what can be placed; True if nothing is left waiting."""
-        if waiting.work.kept.is_suspect and self._place_suspect(waiting):
+    def _place(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+        """Place as many tasks of a step as possible.
+
+        Returns:
+            Whether no task of the step needs further room.
+        """
+        if waiting_step.tracked_step.kept.is_suspect and self._place_suspect(
+            waiting_step
+        ):
             return True
-        if waiting.work.step.gang:
-            return self._place_gang(waiting)
-        indices = sorted(waiting.work.waiting)
-        chosen = self._choose_spaces(waiting, len(indices))
-        for space in chosen:
-            space.take(waiting.work.step.charge)
-            space.note_task(waiting.work.key)
+        if waiting_step.tracked_step.step.gang:
+            return self._place_gang(waiting_step)
+        indices = sorted(waiting_step.tracked_step.waiting)
+        spaces = self._choose_spaces(waiting_step, len(indices))
+        for space in spaces:
+            space.take(waiting_step.tracked_step.step.charge)
+            space.note_task(waiting_step.tracked_step.key)
         spots = {
             index: space.worker
-            for index, space in zip(indices, chosen, strict=False)
+            for index, space in zip(indices, spaces, strict=False)
         }
         if spots:
-            self._plan.placements.append(Placement(waiting.work.key, spots))
-        if len(spots) == len(waiting.work.waiting):
+            self._plan.placements.append(
+                Placement(waiting_step.tracked_step.key, spots)
+            )
+        if len(spots) == len(waiting_step.tracked_step.waiting):
             return True
-        return self._reclaim(waiting, set(waiting.work.waiting) - set(spots))
+        return self._preempt(
+            waiting_step, set(waiting_step.tracked_step.waiting) - set(spots)
+        )
 
-    def _place_suspect(self, waiting: waiting_steps.Waiting) -> bool:
-        """Start a task, or a gang, that may crash its workers, alone there.
+    def _place_suspect(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+        """Start a task or gang that may crash its workers alone on its workers.
 
-        It stops nothing of others, and holds no room while it waits.
+        It stops no other runs, and holds no room while it waits.
 
         Returns:
-            Whether it has been placed or must wait; otherwise it is placed
-            like any other.
+            Whether it was placed or has to wait; otherwise it is placed like
+            any other step.
         """
         spaces = [
             space
-            for space in self._list_fitting(waiting)
-            if self._count_bound(waiting, space) > 0
+            for space in self._list_fitting_spaces(waiting_step)
+            if self._count_free_slots(waiting_step, space) > 0
         ]
-        trial = trials.choose_trial(
-            self._pool_state, waiting.work, spaces, self._closed, self._now
+        spaces_by_index = trials.choose_trial(
+            self._pool_state,
+            waiting_step.tracked_step,
+            spaces,
+            self._trial_workers,
+            self._now,
         )
-        if trial is None:
-            return not trials.may_pass(waiting.work, self._now)
-        for space in trial.values():
-            space.take(waiting.work.step.charge)
-            self._held.add(space.worker)
-            self._closed.add(space.worker)
-        spots = {index: space.worker for index, space in trial.items()}
-        placement = Placement(waiting.work.key, spots, alone=True)
+        if spaces_by_index is None:
+            return not trials.may_skip_trial(
+                waiting_step.tracked_step, self._now
+            )
+        for space in spaces_by_index.values():
+            space.take(waiting_step.tracked_step.step.charge)
+            self._held_workers.add(space.worker)
+            self._trial_workers.add(space.worker)
+        spots = {
+            index: space.worker for index, space in spaces_by_index.items()
+        }
+        placement = Placement(waiting_step.tracked_step.key, spots, alone=True)
         self._plan.placements.append(placement)
         return True
 
-    def _list_open(self, waiting: waiting_steps.Waiting) -> list[packing.Space]:
-        work = waiting.work
-        usable = [
+    def _list_allowed_spaces(
+        self, waiting_step: waiting_steps.WaitingStep
+    ) -> list[packing.Space]:
+        """Return the workers that may run a step.
+
+        Workers on which the step failed are left out if there are any others.
+        """
+        tracked_step = waiting_step.tracked_step
+        allowed_spaces = [
             space
             for space in self._spaces.values()
-            if space.worker not in self._held
-            and self._has_label(space.worker, work.step.label)
-            and self._is_permitted(waiting, space.worker)
+            if space.worker not in self._held_workers
+            and self._has_label(space.worker, tracked_step.step.label)
+            and self._is_permitted(waiting_step, space.worker)
+        ]
+        preferred_spaces = [
+            space
+            for space in allowed_spaces
+            if space.worker not in tracked_step.avoided_workers
         ]
-        fresh = [s for s in usable if s.worker not in work.avoided_workers]
-        return fresh or usable
+        return preferred_spaces or allowed_spaces
 
-    def _list_fitting(
-        self, waiting: waiting_steps.Waiting
+    def _list_fitting_spaces(
+        self, waiting_step: waiting_steps.WaitingStep
     ) -> list[packing.Space]:
-        """Return the open spaces with room for one task at least."""
-        charge = waiting.work.step.charge
-        if self._full.is_known(waiting):
+        """Return the allowed spaces with room for at least one task."""
+        charge = waiting_step.tracked_step.step.charge
+        if self._exhausted_rooms.is_known(waiting_step):
             return []
-        found = [
+        fitting_spaces = [
             space
-            for space in self._list_open(waiting)
+            for space in self._list_allowed_spaces(waiting_step)
             if space.free.holds(charge)
         ]
-        if not found:
-            self._full.note(waiting)
-        return found
+        if not fitting_spaces:
+            self._exhausted_rooms.note(waiting_step)
+        return fitting_spaces
 
-    def _has_label(self, worker: str, label: str) -> bool:
+    def _has_label(self, worker_id: str, label: str) -> bool:
         return (
-            not label or label in self._pool_state.workers[worker].entry.labels
+            not label
+            or label in self._pool_state.workers[worker_id].entry.labels
         )
 
     def _is_permitted(
-        self, waiting: waiting_steps.Waiting, worker: str
+        self, waiting_step: waiting_steps.WaitingStep, worker_id: str
     ) -> bool:
-        if not waiting.held.job.advised:
+        if not waiting_step.tracked_job.job.advised:
             return True
-        return bool(waiting.work.permits.find_ticket(worker, self._now))
+        return bool(
+            waiting_step.tracked_step.permits.find_ticket(worker_id, self._now)
+        )
 
-    def _count_bound(
-        self, waiting: waiting_steps.Waiting, space: packing.Space
+    def _count_free_slots(
+        self, waiting_step: waiting_steps.WaitingStep, space: packing.Space
     ) -> int:
         """Return how many more tasks of the step a worker may take."""
-        bound = waiting.work.step.per_worker
-        if not bound:
-            return waiting.work.step.count
-        here = sum(
+        limit = waiting_step.tracked_step.step.per_worker
+        if not limit:
+            return waiting_step.tracked_step.step.count
+        running_count = sum(
             1
             for key in self._pool_state.workers[space.worker].runs
-            if model.find_step(key) == waiting.work.key
+            if model.find_step(key) == waiting_step.tracked_step.key
+        )
+        return max(
+            0,
+            limit
+            - running_count
+            - space.count_task(waiting_step.tracked_step.key),
         )
-        return max(0, bound - here - space.count_task(waiting.work.key))
 
     def _choose_spaces(
-        self, waiting: waiting_steps.Waiting, count: int
+        self, waiting_step: waiting_steps.WaitingStep, count: int
     ) -> list[packing.Space]:
-        """Return a space for each task that finds one, the tightest first."""
-        step = waiting.work.step
+        """Return a space for each task that fits, the tightest fit first."""
+        step = waiting_step.tracked_step.step
 
-        def bound(space: packing.Space) -> int:
-            return self._count_bound(waiting, space)
+        def count_slots(space: packing.Space) -> int:
+            return self._count_free_slots(waiting_step, space)
 
-        spaces = self._list_fitting(waiting)
+        spaces = self._list_fitting_spaces(waiting_step)
         if not step.rack:
-            return packing.fill_some(spaces, step.charge, count, bound)
-        near = [space for space in spaces if space.rack == step.rack]
-        chosen = packing.fill_some(near, step.charge, count, bound)
-        if len(chosen) < count and self._may_spread(waiting):
-            far = [space for space in spaces if space.rack != step.rack]
-            rest = count - len(chosen)
-            chosen += packing.fill_some(far, step.charge, rest, bound)
+            return packing.fill_some(spaces, step.charge, count, count_slots)
+        local_spaces = [space for space in spaces if space.rack == step.rack]
+        chosen = packing.fill_some(
+            local_spaces, step.charge, count, count_slots
+        )
+        if len(chosen) < count and self._may_leave_rack(waiting_step):
+            remote_spaces = [
+                space for space in spaces if space.rack != step.rack
+            ]
+            remaining = count - len(chosen)
+            chosen += packing.fill_some(
+                remote_spaces, step.charge, remaining, count_slots
+            )
         return chosen
 
-    def _may_spread(self, waiting: waiting_steps.Waiting) -> bool:
+    def _may_leave_rack(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step has waited long enough for its rack."""
-        since = waiting.work.waiting_since
-        waited = self._now - since if since is not None else 0.0
-        step = waiting.work.step
-        factor = self._policy.idle_rack_patience
-        if self._racks.is_crowded and self._racks.may_hold(step):
-            factor = self._policy.rack_patience
-        patience = factor * step.expected_s
-        if self._is_guaranteed(waiting):
-            patience = min(patience, self._policy.guaranteed_rack_patience_s)
-        return waited >= patience
-
-    def _place_gang(self, waiting: waiting_steps.Waiting) -> bool:
-        spots = self._choose_gang(waiting, self._list_fitting(waiting))
-        if spots is None:
-            return self._reclaim(waiting, set(waiting.work.waiting))
-        indices = sorted(waiting.work.waiting)
-        for space in spots:
-            space.take(waiting.work.step.charge)
+        waiting_since = waiting_step.tracked_step.waiting_since
+        waited_s = (
+            self._now - waiting_since if waiting_since is not None else 0.0
+        )
+        step = waiting_step.tracked_step.step
+        patience_factor = self._parameters.idle_rack_patience
+        if self._racks.is_crowded and self._racks.can_hold(step):
+            patience_factor = self._parameters.rack_patience
+        patience_s = patience_factor * step.expected_s
+        if self._is_guaranteed(waiting_step):
+            patience_s = min(
+                patience_s, self._parameters.guaranteed_rack_patience_s
+            )
+        return waited_s >= patience_s
+
+    def _place_gang(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+        spaces = self._choose_gang(
+            waiting_step, self._list_fitting_spaces(waiting_step)
+        )
+        if spaces is None:
+            return self._preempt(
+                waiting_step, set(waiting_step.tracked_step.waiting)
+            )
+        indices = sorted(waiting_step.tracked_step.waiting)
+        for space in spaces:
+            space.take(waiting_step.tracked_step.step.charge)
         self._plan.placements.append(
             Placement(
-                waiting.work.key,
+                waiting_step.tracked_step.key,
                 {
                     index: space.worker
-                    for index, space in zip(indices, spots, strict=True)
+                    for index, space in zip(indices, spaces, strict=True)
                 },
             )
         )
         return True
 
     def _choose_gang(
-        self, waiting: waiting_steps.Waiting, spaces: list[packing.Space]
+        self,
+        waiting_step: waiting_steps.WaitingStep,
+        spaces: list[packing.Space],
     ) -> list[packing.Space] | None:
-        step = waiting.work.step
-
-        def bound(space: packing.Space) -> int:
-            return self._count_bound(waiting, space)
-
-        narrow = step.one_rack or bool(step.rack)
-        groups = packing.group_by_rack(spaces)
-        if step.rack and step.rack in groups:
-            groups = {step.rack: groups[step.rack]}
-        best = packing.choose_rack(
-            list(groups.values()), step.charge, step.count, bound
+        """Return a space for each gang member; None if they don't all fit."""
+        step = waiting_step.tracked_step.step
+
+        def count_slots(space: packing.Space) -> int:
+            return self._count_free_slots(waiting_step, space)
+
+        needs_rack = step.one_rack or bool(step.rack)
+        spaces_by_rack = packing.group_by_rack(spaces)
+        if step.rack and step.rack in spaces_by_rack:
+            spaces_by_rack = {step.rack: spaces_by_rack[step.rack]}
+        rack_spaces = packing.choose_rack(
+            list(spaces_by_rack.values()), step.charge, step.count, count_slots
         )
-        if best is not None:
-            return best
-        if narrow and not self._may_spread(waiting):
+        if rack_spaces is not None:
+            return rack_spaces
+        if needs_rack and not self._may_leave_rack(waiting_step):
             return None
-        return packing.fill(spaces, step.charge, step.count, bound)
+        return packing.fill(spaces, step.charge, step.count, count_slots)
 
-    # Guarantees.
+    # Guarantees and preemption.
 
-    def _is_guaranteed(self, waiting: waiting_steps.Waiting) -> bool:
+    def _is_guaranteed(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step is covered by its customer's guarantee."""
-        job = waiting.held.job
+        job = waiting_step.tracked_job.job
         if job.priority != 0:
             return False
-        wanted = waiting.work.step.charge.accelerators * len(
-            waiting.work.waiting
+        needed = waiting_step.tracked_step.step.charge.accelerators * len(
+            waiting_step.tracked_step.waiting
         )
         used = self._guaranteed_used.get(job.customer, 0)
-        return used + wanted <= self._pool_state.guaranteed.get(job.customer, 0)
+        return used + needed <= self._pool_state.guaranteed.get(job.customer, 0)
 
-    def _reclaim(
-        self, waiting: waiting_steps.Waiting, missing: set[int]
+    def _preempt(
+        self, waiting_step: waiting_steps.WaitingStep, missing_indices: set[int]
     ) -> bool:
-        """Stop work of lower priority that is in the way.
+        """Stop runs of lower priority to make room for the missing tasks.
 
-        Under its guarantee a step may stop whatever is needed. Beyond that
-        only what throws little work away beside its own.
+        A guaranteed step may stop whatever is needed. Other steps may stop only
+        runs whose lost work is small compared to their own work.
+
+        Returns:
+            Whether room was reserved.
         """
-        job = waiting.held.job
-        step = waiting.work.step
-        factor = self._policy.find_loss_factor(job.priority)
-        if not factor or waiting.hopeless or step.lasting:
+        job = waiting_step.tracked_job.job
+        step = waiting_step.tracked_step.step
+        loss_factor = self._parameters.find_loss_factor(job.priority)
+        if not loss_factor or waiting_step.hopeless or step.lasting:
             return False
-        chosen = preemption.choose_victims(
+        victims = preemption.choose_victims(
             self._losses,
             job.priority,
             step,
-            len(missing),
+            len(missing_indices),
             {
                 space.worker: space
-                for space in self._list_open(waiting)
-                if self._count_bound(waiting, space) > 0
+                for space in self._list_allowed_spaces(waiting_step)
+                if self._count_free_slots(waiting_step, space) > 0
             },
-            may_spread=self._may_spread(waiting),
+            may_leave_rack=self._may_leave_rack(waiting_step),
         )
-        if chosen is None:
+        if victims is None:
             return False
-        own = step.charge.cores * step.expected_s * len(missing)
-        guaranteed = self._is_guaranteed(waiting)
-        if not guaranteed and chosen.cost > factor * own:
+        own_cost = step.charge.cores * step.expected_s * len(missing_indices)
+        is_guaranteed = self._is_guaranteed(waiting_step)
+        if not is_guaranteed and victims.cost > loss_factor * own_cost:
             return False
-        spots = dict(zip(sorted(missing), chosen.workers, strict=True))
-        claim = "guaranteed to" if guaranteed else "wanted first by"
-        why = f"its room is {claim} job {job.id}"
-        self._plan.stops += [(run, why) for run in chosen.runs]
-        if chosen.runs and job.priority == 0:
+        spots = dict(zip(sorted(missing_indices), victims.workers, strict=True))
+        claim = "guaranteed to" if is_guaranteed else "wanted first by"
+        reason = f"its room is {claim} job {job.id}"
+        self._plan.stops += [(run, reason) for run in victims.runs]
+        if victims.runs and job.priority == 0:
             self._plan.contended = True
-        self._losses.note_chosen(chosen)
-        self._plan.reservations.append(Placement(waiting.work.key, spots))
-        for worker in chosen.workers:
+        self._losses.note_chosen(victims)
+        self._plan.reservations.append(
+            Placement(waiting_step.tracked_step.key, spots)
+        )
+        for worker in victims.workers:
             self._spaces[worker].take(step.charge)
         return True
 
-    def _hold_workers(self, waiting: waiting_steps.Waiting) -> None:
-        """Keep later steps off the workers that will fit this one first."""
-        step = waiting.work.step
-        missing = len(waiting.work.waiting)
-        ranked = sorted(
-            self._list_open(waiting),
+    def _hold_workers(self, waiting_step: waiting_steps.WaitingStep) -> None:
+        """Keep later steps off the workers that will fit this step first."""
+        step = waiting_step.tracked_step.step
+        task_count = len(waiting_step.tracked_step.waiting)
+        ranked_spaces = sorted(
+            self._list_allowed_spaces(waiting_step),
             key=lambda space: self._free_times.find(space.worker, step.charge),
         )
-        for space in ranked[: packing.count_workers(missing, step, ranked)]:
-            self._held.add(space.worker)
+        for space in ranked_spaces[
+            : packing.count_workers(task_count, step, ranked_spaces)
+        ]:
+            self._held_workers.add(space.worker)
 
 
 def plan(
@@ -420,7 +489,7 @@
         pool_state: State of the pool; not changed.
         now: Steady time in seconds.
         wall: Unix time in seconds.
-        reserved: Room kept for guaranteed work whose victims still end.
+        reserved: Room reserved for steps whose victims have not ended yet.
         policy: Weights and limits.
     """
     return Planner(pool_state, now, wall, reserved, policy).run()
--- a/crocusrouter/work/policy_questions.py
+++ b/crocusrouter/work/policy_questions.py
@@ -1,10 +1,10 @@
-"""Which workers a policy allows to run a step, and which to ask about.
+"""Choice of the next question to the policy service.
 
-The policy of an advised queue allows only some workers to run a step. Only
-the policy service knows them; it answers one question at a time, more slowly
-the more workers a question names, and its tickets hold for seconds. Whether
-a worker may run a step does not change, so a worker that was turned down is
-not asked about again.
+The policy of an advised queue allows only some workers to run a step, and only
+the policy service knows which. It answers one question at a time, takes longer
+the more workers a question names, and issues tickets that are valid for
+seconds. Whether a worker may run a step does not change, so the service is not
+asked again about a worker that it has rejected.
 """
 
 import dataclasses
@@ -13,21 +13,21 @@
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import waiting_steps
 
-# Workers that one question names. The service needs time for each of them,
-# and a job's objective allows for one question about thirty.
-_MAX_ASKED = 30
-# A question names this many workers for each one that is needed, since the
-# policy turns some down.
-_ASKED_PER_NEEDED = 3
+# Maximum number of workers in one question. The service needs time for each of
+# them, and a job's objective leaves time for a question about some thirty.
+_MAX_WORKERS_PER_QUESTION = 30
+# Workers in a question for each worker that is needed, since the policy rejects
+# some of them.
+_ASKED_PER_NEEDED_WORKER = 3
 
 
 @dataclasses.dataclass(frozen=True)
 class Question:
-    """What to ask the policy service next.
+    """The next question to the policy service.
 
     Attributes:
-        step: Which step.
-        workers: Workers that may run it, the emptiest first.
+        step: The step.
+        workers: Workers that may run it, those with free room first.
     """
 
     step: model.StepKey
@@ -37,47 +37,52 @@
 def choose_question(
     pool_state: pool_states.Book, now: float, wall: float
 ) -> Question | None:
-    """Return the question that lets the first step in the order begin.
+    """Return the question that lets the first step in the order start.
 
-    Steps are taken in the planner's order. A step needs no question while it
-    has tickets for as many workers as its waiting tasks could need.
+    Steps are considered in the planner's order. A step needs no question while
+    it has tickets for as many workers as its waiting tasks can use.
 
     Args:
         pool_state: State of the pool; not changed.
         now: Steady time in seconds.
         wall: Unix time in seconds.
     """
-    for waiting in waiting_steps.list_waiting(pool_state, now, wall):
-        if not waiting.held.job.advised:
+    for waiting_step in waiting_steps.list_waiting_steps(pool_state, now, wall):
+        if not waiting_step.tracked_job.job.advised:
             continue
-        asked = _choose_workers(pool_state, waiting, now)
-        if asked:
-            return Question(waiting.work.key, asked)
+        worker_ids = _choose_workers(pool_state, waiting_step, now)
+        if worker_ids:
+            return Question(waiting_step.tracked_step.key, worker_ids)
     return None
 
 
 def _choose_workers(
-    pool_state: pool_states.Book, waiting: waiting_steps.Waiting, now: float
+    pool_state: pool_states.Book,
+    waiting_step: waiting_steps.WaitingStep,
+    now: float,
 ) -> tuple[str, ...]:
-    step = waiting.work.step
-    permits = waiting.work.permits
-    needed = len(waiting.work.waiting)
-    unknown: list[tuple[bool, str]] = []
-    for name, worker in pool_state.workers.items():
+    step = waiting_step.tracked_step.step
+    permits = waiting_step.tracked_step.permits
+    needed_slots = len(waiting_step.tracked_step.waiting)
+    candidates: list[tuple[bool, str]] = []
+    for worker_id, worker in pool_state.workers.items():
         if not worker.may_take(now):
             continue
         if step.label and step.label not in worker.entry.labels:
             continue
-        fits = worker.free.count(step.charge)
-        if permits.find_ticket(name, now):
-            needed -= fits
-        elif name in permits.rejected_workers:
+        slots = worker.free.count(step.charge)
+        if permits.find_ticket(worker_id, now):
+            needed_slots -= slots
+        elif worker_id in permits.rejected_workers:
             continue
-        elif fits or name not in permits.tickets:
-            # A ticket for a full worker would end before it is of use; it is
-            # asked about once, to learn whether it is worth waiting for.
-            unknown.append((not fits, name))
-    if needed <= 0:
+        elif slots or worker_id not in permits.tickets:
+            # A ticket for a full worker would expire before it can be used. The
+            # service is asked once about such a worker, to learn whether
+            # waiting for it is worthwhile.
+            candidates.append((not slots, worker_id))
+    if needed_slots <= 0:
         return ()
-    wanted = min(_MAX_ASKED, _ASKED_PER_NEEDED * needed)
-    return tuple(name for _, name in sorted(unknown)[:wanted])
+    max_count = min(
+        _MAX_WORKERS_PER_QUESTION, _ASKED_PER_NEEDED_WORKER * needed_slots
+    )
+    return tuple(worker_id for _, worker_id in sorted(candidates)[:max_count])
--- a/crocusrouter/work/preemption.py
+++ b/crocusrouter/work/preemption.py
@@ -1,4 +1,4 @@
-"""Which running work makes room for guaranteed work."""
+"""Preemption: choice of the running tasks that make room for urgent ones."""
 
 import collections
 import dataclasses
@@ -10,23 +10,23 @@
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
-_FAR = 1e9
-# Bounds of one search, so that a decision's cost doesn't grow with the pool:
-# victims in the emptiest racks, or on the emptiest workers, are the cheapest
-# as a rule. With 1,400 workers a decision took 87 ms instead of 142, half of
-# the time.
-_MOST_RACKS = 24
-_MOST_WORKERS = 256
+_NEVER_S = 1e9
+# Limits of one search, so that the duration of a decision doesn't grow with the
+# pool. Victims in the racks or on the workers with the most free room are
+# usually the cheapest. With 1,400 workers, the limits reduce the median
+# duration of a decision from 142 ms to 87 ms.
+_MAX_RACKS = 24
+_MAX_WORKERS = 256
 
 
 @dataclasses.dataclass(frozen=True)
 class Victims:
-    """Runs to stop, and where the guaranteed tasks go then.
+    """Runs to stop, and the workers that the waiting tasks use afterwards.
 
     Attributes:
         runs: All runs to stop, whole gangs included.
-        workers: A worker for each task, in turn.
-        cost: Core-seconds of work that is lost.
+        workers: Id of a worker for each task, in turn.
+        cost: Core-seconds of lost work.
     """
 
     runs: tuple[runs.Run, ...]
@@ -36,26 +36,34 @@
 
 def count_guaranteed(pool_state: pool_states.Book) -> dict[str, int]:
     """Return the accelerators that priority 0 uses now, by customer."""
-    total: collections.Counter[str] = collections.Counter()
-    for held in pool_state.live.values():
-        if held.job.priority != 0:
+    used_by_customer: collections.Counter[str] = collections.Counter()
+    for tracked_job in pool_state.live.values():
+        if tracked_job.job.priority != 0:
             continue
-        for work in held.steps.values():
-            used = len(work.running) * work.step.charge.accelerators
-            total[held.job.customer] += used
-    return total
+        for tracked_step in tracked_job.steps.values():
+            used_accelerators = (
+                len(tracked_step.running)
+                * tracked_step.step.charge.accelerators
+            )
+            used_by_customer[tracked_job.job.customer] += used_accelerators
+    return used_by_customer
 
 
-def estimate_rest(run: runs.Run, work: runs.StepWork, now: float) -> float:
-    """Return the seconds that a run will still take."""
-    ran = now - (run.confirmed_at if run.confirmed_at else run.since)
+def estimate_rest(
+    run: runs.Run, tracked_step: runs.StepWork, now: float
+) -> float:
+    """Return the estimated seconds until a run ends."""
+    ran_s = now - (run.confirmed_at if run.confirmed_at else run.since)
     if run.percent >= 5:
-        return ran * (100 - run.percent) / run.percent
-    return max(0.5, work.step.expected_s - ran)
+        return ran_s * (100 - run.percent) / run.percent
+    return max(0.5, tracked_step.step.expected_s - ran_s)
 
 
 class FreeTimes:
-    """When workers will have room; each worker's ends are listed once."""
+    """When workers will have room.
+
+    Each worker's ends of runs are listed once.
+    """
 
     def __init__(self, pool_state: pool_states.Book, now: float) -> None:
         """Prepare for one plan.
@@ -68,45 +76,49 @@
         self._now = now
         self._ends: dict[str, list[tuple[float, model.Room]]] = {}
 
-    def find(self, worker: str, room: model.Room) -> float:
+    def find(self, worker_id: str, room: model.Room) -> float:
         """Return in how many seconds a worker will have room for a task."""
-        free = self._pool_state.workers[worker].free
+        free = self._pool_state.workers[worker_id].free
         if free.holds(room):
             return 0.0
-        if worker not in self._ends:
-            self._ends[worker] = self._list_ends(worker)
-        for rest, charge in self._ends[worker]:
+        if worker_id not in self._ends:
+            self._ends[worker_id] = self._list_ends(worker_id)
+        for free_in_s, charge in self._ends[worker_id]:
             free = free.plus(charge)
             if free.holds(room):
-                return rest
-        return _FAR
+                return free_in_s
+        return _NEVER_S
 
-    def _list_ends(self, worker: str) -> list[tuple[float, model.Room]]:
+    def _list_ends(self, worker_id: str) -> list[tuple[float, model.Room]]:
         ends = []
-        for run in self._pool_state.workers[worker].runs.values():
+        for run in self._pool_state.workers[worker_id].runs.values():
             if run.work is not None:
-                rest = estimate_rest(run, run.work, self._now)
-                ends.append((rest, run.work.step.charge))
+                remaining_s = estimate_rest(run, run.work, self._now)
+                ends.append((remaining_s, run.work.step.charge))
         return sorted(ends)
 
 
-def measure_loss(run: runs.Run, work: runs.StepWork, now: float) -> float:
-    """Return the core-seconds that are lost if a run stops now.
+def measure_loss(
+    run: runs.Run, tracked_step: runs.StepWork, now: float
+) -> float:
+    """Return the core-seconds of work that are lost if a run stops now.
 
-    A task with checkpoints makes one at a stop and loses next to nothing.
+    A task with checkpoints writes one when it is stopped and loses almost
+    nothing.
     """
-    if work.step.checkpoints:
-        return 0.1 * work.step.charge.cores
-    ran = now - (run.confirmed_at if run.confirmed_at else run.since)
-    return max(0.1, ran) * work.step.charge.cores
+    if tracked_step.step.checkpoints:
+        return 0.1 * tracked_step.step.charge.cores
+    ran_s = now - (run.confirmed_at if run.confirmed_at else run.since)
+    return max(0.1, ran_s) * tracked_step.step.charge.cores
 
 
 class Losses:
-    """What stopping runs loses; worked out once for all searches of a plan.
+    """Work lost by stopping runs; cached for all searches of one plan.
 
     Attributes:
-        chosen: Runs that this plan stops already; their room is free for
-            whoever comes next, at no further loss.
+        pool_state: State of the pool; not changed.
+        chosen: Runs that this plan already stops. Later tasks may use their
+            room at no further loss.
     """
 
     def __init__(self, pool_state: pool_states.Book, now: float) -> None:
@@ -119,73 +131,87 @@
         self.pool_state = pool_state
         self.chosen: set[model.TaskKey] = set()
         self._now = now
-        self._steps: dict[model.StepKey, float] = {}
-        self._options: dict[tuple[str, int], list[_Option]] = {}
+        self._gang_losses: dict[model.StepKey, float] = {}
+        self._candidates: dict[tuple[str, int], list[_Candidate]] = {}
 
     def note_chosen(self, victims: Victims) -> None:
-        """Count runs as stopped from now on."""
+        """Count the victims as stopped from now on."""
         for run in victims.runs:
             self.chosen.add(run.key)
-        touched = {run.worker for run in victims.runs}
-        for worker, priority in list(self._options):
-            if worker in touched:
-                del self._options[worker, priority]
+        affected_workers = {run.worker for run in victims.runs}
+        for worker_id, priority in list(self._candidates):
+            if worker_id in affected_workers:
+                del self._candidates[worker_id, priority]
 
-    def list_options(self, worker: str, priority: int) -> list["_Option"]:
-        """Return what may be stopped on a worker, the cheapest room first.
+    def list_candidates(
+        self, worker_id: str, priority: int
+    ) -> list["_Candidate"]:
+        """Return the runs that may be stopped on a worker, the cheapest first.
 
         Args:
-            worker: Which.
-            priority: Only runs of a higher number may be stopped.
+            worker_id: The worker.
+            priority: Only runs of a higher priority number may be stopped.
         """
-        found = self._options.get((worker, priority))
-        if found is None:
-            found = self._find_options(worker, priority)
-            self._options[worker, priority] = found
-        return found
-
-    def _find_options(self, worker: str, priority: int) -> list["_Option"]:
-        options = []
-        for key, run in self.pool_state.workers[worker].runs.items():
-            work = run.work
-            held = self.pool_state.jobs.get(key.job)
-            if work is None or held is None:
+        candidates = self._candidates.get((worker_id, priority))
+        if candidates is None:
+            candidates = self._find_candidates(worker_id, priority)
+            self._candidates[worker_id, priority] = candidates
+        return candidates
+
+    def _find_candidates(
+        self, worker_id: str, priority: int
+    ) -> list["_Candidate"]:
+        candidates = []
+        for key, run in self.pool_state.workers[worker_id].runs.items():
+            tracked_step = run.work
+            tracked_job = self.pool_state.jobs.get(key.job)
+            if tracked_step is None or tracked_job is None:
                 continue
-            ending = run.phase is runs.Phase.STOPPING or key in self.chosen
-            if ending:
-                # Its room comes free anyway.
-                options.append(_Option(0.0, run, work))
-            elif held.job.priority > priority and not work.step.lasting:
-                options.append(
-                    _Option(self._measure_whole(work, run), run, work)
+            is_ending = run.phase is runs.Phase.STOPPING or key in self.chosen
+            if is_ending:
+                # Its room becomes free in any case.
+                candidates.append(_Candidate(0.0, run, tracked_step))
+            elif (
+                tracked_job.job.priority > priority
+                and not tracked_step.step.lasting
+            ):
+                candidates.append(
+                    _Candidate(
+                        self._measure_run_loss(tracked_step, run),
+                        run,
+                        tracked_step,
+                    )
                 )
-        options.sort(
-            key=lambda option: (
-                option.loss / max(1, option.work.step.charge.accelerators)
+        candidates.sort(
+            key=lambda candidate: (
+                candidate.loss
+                / max(1, candidate.tracked_step.step.charge.accelerators)
             )
         )
-        return options
-
-    def _measure_whole(self, work: runs.StepWork, run: runs.Run) -> float:
-        """Return what is lost with a run, its whole gang counted."""
-        if not work.step.gang:
-            return measure_loss(run, work, self._now)
-        loss = self._steps.get(work.key)
+        return candidates
+
+    def _measure_run_loss(
+        self, tracked_step: runs.StepWork, run: runs.Run
+    ) -> float:
+        """Return the loss of stopping a run together with its whole gang."""
+        if not tracked_step.step.gang:
+            return measure_loss(run, tracked_step, self._now)
+        loss = self._gang_losses.get(tracked_step.key)
         if loss is None:
             loss = sum(
-                measure_loss(member, work, self._now)
-                for member in self.pool_state.list_step_runs(work)
+                measure_loss(member, tracked_step, self._now)
+                for member in self.pool_state.list_step_runs(tracked_step)
             )
-            self._steps[work.key] = loss
+            self._gang_losses[tracked_step.key] = loss
         return loss
 
 
-class _Option(NamedTuple):
+class _Candidate(NamedTuple):
     """A run that may be stopped, and the core-seconds lost with it."""
 
     loss: float
     run: runs.Run
-    work: runs.StepWork
+    tracked_step: runs.StepWork
 
 
 def choose_victims(
@@ -195,58 +221,66 @@
     count: int,
     spaces: dict[str, packing.Space],
     *,
-    may_spread: bool,
+    may_leave_rack: bool,
 ) -> Victims | None:
-    """Choose the cheapest runs whose end makes room for `count` tasks.
+    """Choose the cheapest runs to stop so that `count` tasks find room.
 
     Args:
-        losses: What stopping runs loses.
-        priority: Only runs of a higher number may be stopped.
-        step: What the tasks ask for.
-        count: How many tasks.
-        spaces: Free room of the workers that may take them.
-        may_spread: Whether tasks that belong into one rack may run across
-            racks, where they take several times as long, if no rack will do.
+        losses: Work lost by stopping runs.
+        priority: Only runs of a higher priority number may be stopped.
+        step: Requirements of the tasks.
+        count: Number of tasks.
+        spaces: Free room of the workers that may run the tasks, by worker id.
+        may_leave_rack: Whether tasks that belong in one rack may run across
+            racks, where they take several times as long, if no rack is
+            suitable.
+
+    Returns:
+        The victims; None if stopping runs cannot make enough room.
     """
-    narrow = step.one_rack or bool(step.rack)
-    found = []
-    if narrow:
+    needs_rack = step.one_rack or bool(step.rack)
+    victims_by_rack = []
+    if needs_rack:
         racks = packing.group_by_rack(spaces.values())
         if step.rack:
-            racks = {name: r for name, r in racks.items() if name == step.rack}
-        for rack in _list_emptiest(racks):
-            victims = _Search(losses, priority, step, rack).run(count)
+            racks = {
+                name: rack_spaces
+                for name, rack_spaces in racks.items()
+                if name == step.rack
+            }
+        for rack_spaces in _list_emptiest(racks):
+            victims = _Search(losses, priority, step, rack_spaces).run(count)
             if victims is not None:
-                found.append(victims)
-    if found:
-        return min(found, key=lambda victims: victims.cost)
-    if narrow and not may_spread:
+                victims_by_rack.append(victims)
+    if victims_by_rack:
+        return min(victims_by_rack, key=lambda victims: victims.cost)
+    if needs_rack and not may_leave_rack:
         return None
-    wide = list(spaces.values())
-    if len(wide) > _MOST_WORKERS:
-        wide.sort(key=lambda space: -space.free.accelerators)
-        del wide[max(_MOST_WORKERS, count) :]
-    return _Search(losses, priority, step, wide).run(count)
+    all_spaces = list(spaces.values())
+    if len(all_spaces) > _MAX_WORKERS:
+        all_spaces.sort(key=lambda space: -space.free.accelerators)
+        del all_spaces[max(_MAX_WORKERS, count) :]
+    return _Search(losses, priority, step, all_spaces).run(count)
 
 
 def _list_emptiest(
     racks: dict[str, list[packing.Space]],
 ) -> list[list[packing.Space]]:
-    """Return the racks to search, the one with most free room first."""
-    ranked = sorted(
+    """Return the racks to search, those with the most free room first."""
+    ranked_racks = sorted(
         racks.values(),
         key=lambda rack: -sum(space.free.accelerators for space in rack),
     )
-    return ranked[:_MOST_RACKS]
+    return ranked_racks[:_MAX_RACKS]
 
 
 class _Search:
-    """Chooses task by task the worker where the loss is least.
+    """Search that assigns each task to the worker with the least loss.
 
-    What a worker offers is worked out again only when its free room or its
-    runs have changed, so a search costs little more than one look at each
-    worker. Looking at all of them for each task took 0.2 s for 176 workers
-    and 125 jobs.
+    The loss on a worker is computed again only when its free room or its runs
+    have changed, so a search costs little more than one pass over the workers.
+    Evaluating all workers for each task took 0.2 s with 176 workers and 125
+    jobs.
     """
 
     def __init__(
@@ -259,96 +293,110 @@
         self._losses = losses
         self._priority = priority
         self._step = step
-        self._free = {space.worker: space.free for space in spaces}
-        self._order = {name: number for number, name in enumerate(self._free)}
-        self._stopped: dict[model.TaskKey, runs.Run] = {}
-        self._placed: collections.Counter[str] = collections.Counter()
+        self._free_rooms = {space.worker: space.free for space in spaces}
+        self._order = {
+            worker_id: position
+            for position, worker_id in enumerate(self._free_rooms)
+        }
+        self._stopped_runs: dict[model.TaskKey, runs.Run] = {}
+        self._placed_counts: collections.Counter[str] = collections.Counter()
         self._offers: dict[str, tuple[float, list[runs.Run]]] = {}
-        self._heap: list[tuple[float, int, str]] = []
+        self._offer_heap: list[tuple[float, int, str]] = []
 
     def run(self, count: int) -> Victims | None:
         """Return victims for `count` tasks; None if there are not enough."""
-        for name in self._free:
-            self._offer(name)
-        workers: list[str] = []
-        total = 0.0
-        while len(workers) < count:
-            taken = self._take_cheapest()
-            if taken is None:
+        for worker_id in self._free_rooms:
+            self._update_offer(worker_id)
+        worker_ids: list[str] = []
+        total_cost = 0.0
+        while len(worker_ids) < count:
+            offer = self._take_cheapest()
+            if offer is None:
                 return None
-            cost, name = taken
-            total += cost
-            workers.append(name)
-        fresh = tuple(
+            cost, worker_id = offer
+            total_cost += cost
+            worker_ids.append(worker_id)
+        runs_to_stop = tuple(
             run
-            for run in self._stopped.values()
+            for run in self._stopped_runs.values()
             if run.phase is not runs.Phase.STOPPING
             and run.key not in self._losses.chosen
         )
-        return Victims(fresh, tuple(workers), total)
+        return Victims(runs_to_stop, tuple(worker_ids), total_cost)
 
     def _take_cheapest(self) -> tuple[float, str] | None:
-        while self._heap:
-            cost, _, name = heapq.heappop(self._heap)
-            offer = self._offers.get(name)
+        """Use the worker with the least loss for one task.
+
+        Returns:
+            The loss and the worker's id; None if no worker can make room.
+        """
+        while self._offer_heap:
+            cost, _, worker_id = heapq.heappop(self._offer_heap)
+            offer = self._offers.get(worker_id)
             if offer is None or offer[0] != cost:
-                continue  # worked out again since
-            touched = {name}
+                continue  # the offer has been updated since
+            affected_workers = {worker_id}
             for run in offer[1]:
-                touched |= self._stop_whole(run)
-            self._free[name] = self._free[name].minus(self._step.charge)
-            self._placed[name] += 1
-            for worker in touched:
-                self._offer(worker)
-            return cost, name
+                affected_workers |= self._stop_run(run)
+            self._free_rooms[worker_id] = self._free_rooms[worker_id].minus(
+                self._step.charge
+            )
+            self._placed_counts[worker_id] += 1
+            for affected_worker in affected_workers:
+                self._update_offer(affected_worker)
+            return cost, worker_id
         return None
 
-    def _offer(self, name: str) -> None:
-        """Work out the loss and the runs that make room for one task."""
-        self._offers.pop(name, None)
-        bound = self._step.per_worker
-        if bound and self._placed[name] >= bound:
+    def _update_offer(self, worker_id: str) -> None:
+        """Compute the loss and the runs to stop for one task on a worker."""
+        self._offers.pop(worker_id, None)
+        limit = self._step.per_worker
+        if limit and self._placed_counts[worker_id] >= limit:
             return
-        free = self._free[name]
+        free = self._free_rooms[worker_id]
         room = self._step.charge
-        chosen: list[runs.Run] = []
+        runs_to_stop: list[runs.Run] = []
         cost = 0.0
         if not free.holds(room):
-            for option in self._losses.list_options(name, self._priority):
-                if option.run.key in self._stopped:
+            for candidate in self._losses.list_candidates(
+                worker_id, self._priority
+            ):
+                if candidate.run.key in self._stopped_runs:
                     continue
-                chosen.append(option.run)
-                cost += option.loss
-                free = free.plus(option.work.step.charge)
+                runs_to_stop.append(candidate.run)
+                cost += candidate.loss
+                free = free.plus(candidate.tracked_step.step.charge)
                 if free.holds(room):
                     break
             else:
                 return
-        self._offers[name] = cost, chosen
-        heapq.heappush(self._heap, (cost, self._order[name], name))
+        self._offers[worker_id] = cost, runs_to_stop
+        heapq.heappush(
+            self._offer_heap, (cost, self._order[worker_id], worker_id)
+        )
 
-    def _stop_whole(self, run: runs.Run) -> set[str]:
-        """Count a run as stopped, with its whole gang.
+    def _stop_run(self, run: runs.Run) -> set[str]:
+        """Count a run as stopped, together with its whole gang.
 
         Returns:
-            The workers whose free room has changed.
+            Ids of the workers whose free room has changed.
         """
-        work = run.work
-        if work is None:
+        tracked_step = run.work
+        if tracked_step is None:
             return set()
-        touched = set()
+        affected_workers = set()
         members = (
-            self._losses.pool_state.list_step_runs(work)
-            if work.step.gang
+            self._losses.pool_state.list_step_runs(tracked_step)
+            if tracked_step.step.gang
             else [run]
         )
         for member in members:
-            if member.key in self._stopped:
+            if member.key in self._stopped_runs:
                 continue
-            self._stopped[member.key] = member
-            if member.worker in self._free:
-                self._free[member.worker] = self._free[member.worker].plus(
-                    work.step.charge
-                )
-                touched.add(member.worker)
-        return touched
+            self._stopped_runs[member.key] = member
+            if member.worker in self._free_rooms:
+                self._free_rooms[member.worker] = self._free_rooms[
+                    member.worker
+                ].plus(tracked_step.step.charge)
+                affected_workers.add(member.worker)
+        return affected_workers
--- a/crocusrouter/work/racks.py
+++ b/crocusrouter/work/racks.py
@@ -1,4 +1,4 @@
-"""What whole racks hold, and whether waiting for one can pay."""
+"""Capacity of whole racks, to decide whether to wait for room in one rack."""
 
 import collections
 import functools
@@ -8,13 +8,13 @@
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
-# Share of a pool's accelerators. With more than half of them taken, what a step
-# holds for three times as long is missing to others.
+# Share of a pool's accelerators in use. Above it, room that a step holds for
+# three times as long is missing to others.
 _CROWDED_SHARE = 0.5
 
 
 class Racks:
-    """The racks of a pool as they are during one plan."""
+    """The racks of a pool, as they are during one plan."""
 
     def __init__(self, pool_state: pool_states.Book) -> None:
         """Prepare for one plan.
@@ -23,47 +23,56 @@
             pool_state: State of the pool; not changed.
         """
         self._pool_state = pool_state
-        self._known: dict[model.Step, bool] = {}
+        self._can_hold_by_step: dict[model.Step, bool] = {}
 
     @functools.cached_property
-    def _workers(self) -> dict[str, list[runs.Worker]]:
-        """Workers by rack; looked for only when a step waits for a rack."""
-        found = collections.defaultdict(list)
-        for held in self._pool_state.workers.values():
-            if held.listed and not held.sealed and not held.gone:
-                found[packing.find_rack(held.entry.labels)].append(held)
-        return found
+    def _workers_by_rack(self) -> dict[str, list[runs.Worker]]:
+        """Workers by rack; computed only when a step waits for a rack."""
+        workers_by_rack = collections.defaultdict(list)
+        for worker in self._pool_state.workers.values():
+            if worker.listed and not worker.sealed and not worker.gone:
+                workers_by_rack[packing.find_rack(worker.entry.labels)].append(
+                    worker
+                )
+        return workers_by_rack
 
     @functools.cached_property
     def is_crowded(self) -> bool:
-        """Whether more than half of the pool's accelerators are taken."""
-        rooms = [
-            (held.entry.room.accelerators, held.used.accelerators)
-            for rack in self._workers.values()
-            for held in rack
+        """Whether more than half of the pool's accelerators are in use."""
+        accelerators = [
+            (worker.entry.room.accelerators, worker.used.accelerators)
+            for rack in self._workers_by_rack.values()
+            for worker in rack
         ]
-        total = sum(has for has, _ in rooms)
-        return sum(used for _, used in rooms) > _CROWDED_SHARE * total
+        total = sum(
+            offered_accelerators for offered_accelerators, _ in accelerators
+        )
+        return (
+            sum(used_accelerators for _, used_accelerators in accelerators)
+            > _CROWDED_SHARE * total
+        )
 
-    def may_hold(self, step: model.Step) -> bool:
-        """Tell whether all tasks of a step fit into one rack that is empty."""
-        if step not in self._known:
-            chosen = self._workers
+    def can_hold(self, step: model.Step) -> bool:
+        """Tell whether a step fits into one rack if that rack is empty."""
+        if step not in self._can_hold_by_step:
+            workers_by_rack = self._workers_by_rack
             if step.rack:
-                chosen = {step.rack: self._workers.get(step.rack, [])}
-            self._known[step] = any(
+                workers_by_rack = {
+                    step.rack: self._workers_by_rack.get(step.rack, [])
+                }
+            self._can_hold_by_step[step] = any(
                 _count_tasks(rack, step) >= (step.count if step.gang else 1)
-                for rack in chosen.values()
+                for rack in workers_by_rack.values()
             )
-        return self._known[step]
+        return self._can_hold_by_step[step]
 
 
 def _count_tasks(rack: list[runs.Worker], step: model.Step) -> int:
-    """Return how many tasks of a step an empty rack takes."""
+    """Return how many tasks of a step fit into a rack that is empty."""
     total = 0
-    for held in rack:
-        if step.label and step.label not in held.entry.labels:
+    for worker in rack:
+        if step.label and step.label not in worker.entry.labels:
             continue
-        fits = held.entry.room.count(step.charge)
-        total += min(fits, step.per_worker) if step.per_worker else fits
+        slots = worker.entry.room.count(step.charge)
+        total += min(slots, step.per_worker) if step.per_worker else slots
     return total
--- a/crocusrouter/work/relocation.py
+++ b/crocusrouter/work/relocation.py
@@ -1,7 +1,7 @@
-"""Runs that are better stopped and started elsewhere.
+"""Relocation: runs that should be stopped and started on another worker.
 
-A worker that leaves takes its runs along; tasks on some workers stand still
-although the worker answers. Both end far later than a fresh start would.
+A worker that leaves ends its runs, and tasks on some workers stall although the
+worker answers. In both cases a new start elsewhere would finish much earlier.
 """
 
 from crocusrouter.work import model
@@ -9,21 +9,23 @@
 from crocusrouter.work import preemption
 from crocusrouter.work import runs
 
-# Looks come once a second; two without progress are needed to tell a stall
-# from an unlucky moment.
-_SHORTEST_STALL_S = 2.0
-# A task shows whole percents: one that takes hours shows none for minutes.
+# Workers are polled once a second; two polls without progress are needed to
+# tell a stall from chance.
+_MIN_STALL_S = 2.0
+# Share of a task's run time. Tasks report whole percents, so a task that takes
+# hours reports no progress for minutes.
 _STALL_SHARE = 0.05
-# With a checkpoint a restart costs its room for a second; hangs of a worker
-# last some seconds, so a stall of this length is not over soon.
-_LONG_STALL_S = 3.0
-# What a stop and the start elsewhere take.
-_MOVE_S = 0.4
+# Stalls after which a task with checkpoints is restarted. The restart costs its
+# room for only a second. A worker usually hangs for some seconds, so a stall of
+# this length is not over soon.
+_CHECKPOINT_STALL_S = 3.0
+# Duration of a stop and a new start on another worker.
+_RESTART_S = 0.4
 
 
-def list_rescues(
+def list_relocations(
     pool_state: pool_states.Book,
-    stalled: list[runs.Run],
+    stalled_runs: list[runs.Run],
     now: float,
     wall: float,
 ) -> list[tuple[runs.Run, str]]:
@@ -31,112 +33,121 @@
 
     Args:
         pool_state: State of the pool; not changed.
-        stalled: What `list_stalled` has found.
+        stalled_runs: Result of `list_stalled`.
         now: Steady time in seconds.
         wall: Unix time in seconds.
     """
-    found = [
-        (run, "it stands still")
-        for run in stalled
-        if run.work is not None and _pays(pool_state, run, run.work, now, wall)
+    relocations = [
+        (run, "it makes no progress")
+        for run in stalled_runs
+        if run.work is not None
+        and _is_worth_restarting(pool_state, run, run.work, now, wall)
     ]
     for worker in pool_state.workers.values():
         if worker.leaves_at is None:
             continue
         for run in worker.runs.values():
-            work = run.work
-            if work is None or not _may_rescue(run, work):
+            tracked_step = run.work
+            if tracked_step is None or not _may_relocate(run, tracked_step):
                 continue
-            if _leaves_first(run, work, worker, now):
-                found.append((run, "its worker leaves before it would end"))
-    return found
+            if _outlasts_worker(run, tracked_step, worker, now):
+                relocations.append(
+                    (run, "its worker leaves before it would end")
+                )
+    return relocations
 
 
-def _may_rescue(run: runs.Run, work: runs.StepWork) -> bool:
-    return run.phase is runs.Phase.RUNNING and not work.step.lasting
+def _may_relocate(run: runs.Run, tracked_step: runs.StepWork) -> bool:
+    return run.phase is runs.Phase.RUNNING and not tracked_step.step.lasting
 
 
 def list_stalled(pool_state: pool_states.Book, now: float) -> list[runs.Run]:
-    """Return the runs that stand still.
+    """Return the runs that make no progress.
 
-    All runs are looked at in each decision, so most must drop out at once.
+    Each decision checks all runs, so most of them must be excluded by the
+    first, cheap test.
     """
-    found = []
+    stalled_runs = []
     for run in pool_state.runs.values():
-        if now - run.progressed_at <= _SHORTEST_STALL_S:
+        if now - run.progressed_at <= _MIN_STALL_S:
             continue
-        work = run.work
-        if work is None or not _may_rescue(run, work):
+        tracked_step = run.work
+        if tracked_step is None or not _may_relocate(run, tracked_step):
             continue
-        if is_stalled(run, work, now):
-            found.append(run)
-    return found
+        if is_stalled(run, tracked_step, now):
+            stalled_runs.append(run)
+    return stalled_runs
 
 
-def _leaves_first(
-    run: runs.Run, work: runs.StepWork, worker: runs.Worker, now: float
+def _outlasts_worker(
+    run: runs.Run, tracked_step: runs.StepWork, worker: runs.Worker, now: float
 ) -> bool:
-    """Tell whether a run is lost with its worker.
+    """Tell whether a run should be stopped since its worker leaves first.
 
-    A task with checkpoints makes one at its stop, so it runs on until just
-    before the worker leaves; another one loses least at once.
+    A task with checkpoints writes one when it is stopped, so it keeps running
+    until just before the worker leaves. Any other task loses least if it is
+    stopped at once.
     """
     if worker.leaves_at is None:
         return False
-    left = worker.leaves_at - now
-    if preemption.estimate_rest(run, work, now) <= left:
+    left_s = worker.leaves_at - now
+    if preemption.estimate_rest(run, tracked_step, now) <= left_s:
         return False
-    return not work.step.checkpoints or left <= 2 * _MOVE_S
+    return not tracked_step.step.checkpoints or left_s <= 2 * _RESTART_S
 
 
-def is_stalled(run: runs.Run, work: runs.StepWork, now: float) -> bool:
-    """Tell whether a run has shown no progress for longer than chance."""
-    still = now - run.progressed_at
-    total = work.step.expected_s
-    if still <= _SHORTEST_STALL_S or still <= _STALL_SHARE * total:
+def is_stalled(run: runs.Run, tracked_step: runs.StepWork, now: float) -> bool:
+    """Tell whether a run has made no progress for longer than by chance."""
+    stalled_s = now - run.progressed_at
+    expected_s = tracked_step.step.expected_s
+    if stalled_s <= _MIN_STALL_S or stalled_s <= _STALL_SHARE * expected_s:
         return False
     if run.percent < 5:
         return True
-    ran = run.progressed_at - (run.confirmed_at or run.since)
-    return still > _STALL_SHARE * ran * 100 / run.percent
+    ran_s = run.progressed_at - (run.confirmed_at or run.since)
+    return stalled_s > _STALL_SHARE * ran_s * 100 / run.percent
 
 
-def _pays(
+def _is_worth_restarting(
     pool_state: pool_states.Book,
     run: runs.Run,
-    work: runs.StepWork,
+    tracked_step: runs.StepWork,
     now: float,
     wall: float,
 ) -> bool:
-    """Tell whether a stalled run is better started anew.
+    """Tell whether a stalled run should be started anew.
 
-    Nobody knows how long a stall lasts; it is taken to last as long again as
-    it has lasted. The run is stopped only if it would miss its objective
-    then and a fresh start would not: stopping all stalled gangs threw 5,000
-    core-seconds away in a day whose hangs they could have sat out.
+    The duration of a stall is unknown; the stall is assumed to last as long
+    again as it has lasted. The run is stopped only if it would then miss its
+    objective and a new start would not. Stopping all stalled gangs wasted 5,000
+    core-seconds in a day of hangs that they could have waited out.
     """
-    still = now - run.progressed_at
-    if work.step.checkpoints:
-        return still > _LONG_STALL_S
+    stalled_s = now - run.progressed_at
+    if tracked_step.step.checkpoints:
+        return stalled_s > _CHECKPOINT_STALL_S
     job = pool_state.jobs[run.key.job].job
-    wanted = job.find_due(run.key.occurrence) + job.objective_s
-    rest = work.step.expected_s - (
+    objective_at = job.find_due(run.key.occurrence) + job.objective_s
+    remaining_s = tracked_step.step.expected_s - (
         run.progressed_at - (run.confirmed_at or run.since)
     )
-    waits_until = wall + still + max(0.0, rest)
-    anew_until = wall + _MOVE_S + work.step.expected_s
-    return waits_until > wanted >= anew_until
+    ends_if_kept = wall + stalled_s + max(0.0, remaining_s)
+    ends_if_restarted = wall + _RESTART_S + tracked_step.step.expected_s
+    return ends_if_kept > objective_at >= ends_if_restarted
 
 
-def list_whole(
-    pool_state: pool_states.Book, rescues: list[tuple[runs.Run, str]]
+def add_gang_members(
+    pool_state: pool_states.Book, relocations: list[tuple[runs.Run, str]]
 ) -> dict[model.TaskKey, tuple[runs.Run, str]]:
-    """Return the runs to stop with the other members of their gangs."""
-    whole: dict[model.TaskKey, tuple[runs.Run, str]] = {}
-    for run, why in rescues:
-        work = run.work
-        assert work is not None
-        members = pool_state.list_step_runs(work) if work.step.gang else [run]
+    """Return the runs to stop, with the other members of their gangs."""
+    stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
+    for run, reason in relocations:
+        tracked_step = run.work
+        assert tracked_step is not None
+        members = (
+            pool_state.list_step_runs(tracked_step)
+            if tracked_step.step.gang
+            else [run]
+        )
         for member in members:
-            whole.setdefault(member.key, (member, why))
-    return whole
+            stops_by_task.setdefault(member.key, (member, reason))
+    return stops_by_task
--- a/crocusrouter/work/tests/test_racks.py
+++ b/crocusrouter/work/tests/test_racks.py
@@ -25,14 +25,14 @@
 )
 def test_which_steps_an_empty_rack_takes(step, holds):
     pool_state = build.make_book(workers=_WORKERS, racks=_RACKS)
-    assert racks.Racks(pool_state).may_hold(step) is holds
+    assert racks.Racks(pool_state).can_hold(step) is holds
 
 
 def test_workers_that_leave_are_not_counted():
     pool_state = build.make_book(workers=_WORKERS, racks=_RACKS)
     entry = pool_state.workers["w0"].entry
     pool_state.set_worker(dataclasses.replace(entry, draining=True), 1.0)
-    assert not racks.Racks(pool_state).may_hold(
+    assert not racks.Racks(pool_state).can_hold(
         build.make_step(2, gpu=8, gang=True)
     )
 
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -1,8 +1,9 @@
-"""Where a task starts that may have crashed its last worker.
+"""Trials: isolated starts of tasks that may have crashed their last worker.
 
-It gets a worker on which nothing else has just begun, and that takes nothing
-else until the trial is over: whatever happens there tells of this task alone.
-The emptiest such worker is taken, since a crash ends all that runs there.
+A suspected task gets a worker on which nothing else has just started and that
+takes nothing else until the trial is over, so that a crash can only be caused
+by this task. The worker with the least load is used, since a crash ends
+everything that runs there.
 """
 
 from crocusrouter.work import model
@@ -10,138 +11,160 @@
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
-# Under load there may be no quiet worker for long; an innocent task would
-# wait for one while others pass it by.
-_PATIENCE_S = 4.0
-# Where many workers crash by themselves at once, each with something that has
-# just begun, trials for all of that would close the whole pool.
-_MOST_CLOSED_SHARE = 0.25
+# Under load there may be no quiet worker for long. After this time any worker
+# will do, so that an innocent task does not wait while others overtake it.
+_MAX_WAIT_S = 4.0
+# If many workers crash by themselves at once, each with a task that has just
+# started, trials for all of these tasks would take up the whole pool.
+_MAX_TRIAL_SHARE = 0.25
 
 
-def list_closed(pool_state: pool_states.Book, now: float) -> set[str]:
-    """Return the workers that a suspect has to itself now."""
+def list_trial_workers(pool_state: pool_states.Book, now: float) -> set[str]:
+    """Return the workers that are reserved for a trial now."""
     return {
-        name
-        for name, held in pool_state.workers.items()
-        if now < held.trial_until
+        worker_id
+        for worker_id, worker in pool_state.workers.items()
+        if now < worker.trial_until
     }
 
 
 def choose_trial(
     pool_state: pool_states.Book,
-    work: runs.StepWork,
+    tracked_step: runs.StepWork,
     spaces: list[packing.Space],
-    closed: set[str],
+    trial_workers: set[str],
     now: float,
 ) -> dict[int, packing.Space] | None:
-    """Return where to try a suspected step.
+    """Return where to start a suspected step on trial.
 
     Args:
         pool_state: State of the pool; not changed.
-        work: The step. One task of it at a time is tried; a gang whole.
+        tracked_step: The step. One of its tasks is tried at a time; a gang as a
+            whole.
         spaces: Workers with room for a task.
-        closed: Workers that other suspects have to themselves.
+        trial_workers: Workers that are reserved for other trials.
         now: Steady time in seconds.
 
     Returns:
-        Space by index of the task; None if it has to wait.
+        Space by index of the task; None if the step has to wait.
     """
-    if any(_is_on_trial(run, now) for run in work.running.values()):
+    if any(
+        _has_just_started(run, now) for run in tracked_step.running.values()
+    ):
         return None
-    quiet = [space for space in spaces if _is_quiet(pool_state, space, now)]
-    if not quiet and _has_waited(work, now):
-        quiet = [
-            space for space in spaces if not _is_touched(pool_state, space)
+    quiet_spaces = [
+        space for space in spaces if _is_quiet(pool_state, space, now)
+    ]
+    if not quiet_spaces and _has_waited_long(tracked_step, now):
+        quiet_spaces = [
+            space for space in spaces if not _is_used_in_plan(pool_state, space)
         ]
-    quiet.sort(key=lambda space: pool_state.workers[space.worker].used.cores)
-    if work.step.gang:
-        trial = _spread_gang(work, quiet)
-    elif quiet:
-        trial = {_choose_index(work): quiet[0]}
+    quiet_spaces.sort(
+        key=lambda space: pool_state.workers[space.worker].used.cores
+    )
+    if tracked_step.step.gang:
+        spaces_by_index = _spread_gang(tracked_step, quiet_spaces)
+    elif quiet_spaces:
+        spaces_by_index = {_choose_index(tracked_step): quiet_spaces[0]}
     else:
-        trial = None
-    if trial is None or _closes_too_many(pool_state, trial, closed):
+        spaces_by_index = None
+    if spaces_by_index is None or _exceeds_trial_share(
+        pool_state, spaces_by_index, trial_workers
+    ):
         return None
-    return trial
+    return spaces_by_index
 
 
-def may_pass(work: runs.StepWork, now: float) -> bool:
+def may_skip_trial(tracked_step: runs.StepWork, now: float) -> bool:
     """Tell whether a suspected step may start without a trial.
 
-    After one crash it is innocent more often than not, and must not wait for
-    a trial for long; but one under way is waited for.
+    After one crash a step is more often innocent than not, and should not wait
+    for a trial for long. A trial that is under way is waited for.
     """
-    if any(len(found) > 1 for found in work.kept.crashes.values()):
+    if any(len(crashes) > 1 for crashes in tracked_step.kept.crashes.values()):
         return False
-    if any(_is_on_trial(run, now) for run in work.running.values()):
+    if any(
+        _has_just_started(run, now) for run in tracked_step.running.values()
+    ):
         return False
-    return _has_waited(work, now)
+    return _has_waited_long(tracked_step, now)
 
 
-def _closes_too_many(
+def _exceeds_trial_share(
     pool_state: pool_states.Book,
-    trial: dict[int, packing.Space],
-    closed: set[str],
+    spaces_by_index: dict[int, packing.Space],
+    trial_workers: set[str],
 ) -> bool:
-    """Tell whether too few workers would be left to others.
+    """Tell whether a trial would leave too few workers to other tasks.
 
-    A gang larger than that is tried while no other trial is under way.
+    A gang that needs more than the allowed share is tried while no other trial
+    is under way.
     """
-    wanted = {space.worker for space in trial.values()}
-    usable = sum(held.listed for held in pool_state.workers.values())
-    most = _MOST_CLOSED_SHARE * usable
-    return bool(closed) and len(closed | wanted) > most
+    new_trial_workers = {space.worker for space in spaces_by_index.values()}
+    listed_count = sum(worker.listed for worker in pool_state.workers.values())
+    max_count = _MAX_TRIAL_SHARE * listed_count
+    return (
+        bool(trial_workers)
+        and len(trial_workers | new_trial_workers) > max_count
+    )
 
 
-def _is_on_trial(run: runs.Run, now: float) -> bool:
+def _has_just_started(run: runs.Run, now: float) -> bool:
     return now - run.since < runs.TRIAL_S
 
 
 def _is_quiet(
     pool_state: pool_states.Book, space: packing.Space, now: float
 ) -> bool:
-    """Tell whether nothing has just begun on a worker, or does in this plan."""
-    if _is_touched(pool_state, space):
+    """Tell whether nothing has just started on a worker or is about to."""
+    if _is_used_in_plan(pool_state, space):
         return False
-    here = pool_state.workers[space.worker].runs.values()
-    return not any(_is_on_trial(run, now) for run in here)
+    runs_there = pool_state.workers[space.worker].runs.values()
+    return not any(_has_just_started(run, now) for run in runs_there)
 
 
-def _is_touched(pool_state: pool_states.Book, space: packing.Space) -> bool:
+def _is_used_in_plan(
+    pool_state: pool_states.Book, space: packing.Space
+) -> bool:
     return space.free != pool_state.workers[space.worker].free
 
 
-def _has_waited(work: runs.StepWork, now: float) -> bool:
-    since = work.waiting_since
-    return since is not None and now - since >= _PATIENCE_S
+def _has_waited_long(tracked_step: runs.StepWork, now: float) -> bool:
+    waiting_since = tracked_step.waiting_since
+    return waiting_since is not None and now - waiting_since >= _MAX_WAIT_S
 
 
-def _choose_index(work: runs.StepWork) -> int:
-    """Return the task with the most crashes: one more tells most of it."""
+def _choose_index(tracked_step: runs.StepWork) -> int:
+    """Return the task with the most crashes, as the most informative one."""
     return max(
-        work.waiting,
-        key=lambda index: (len(work.kept.crashes.get(index, ())), -index),
+        tracked_step.waiting,
+        key=lambda index: (
+            len(tracked_step.kept.crashes.get(index, ())),
+            -index,
+        ),
     )
 
 
 def _spread_gang(
-    work: runs.StepWork, quiet: list[packing.Space]
+    tracked_step: runs.StepWork, quiet_spaces: list[packing.Space]
 ) -> dict[int, packing.Space] | None:
-    """Return places for all members, in one rack if one has them."""
-    racks = list(packing.group_by_rack(quiet).values())
-    for spaces in [*racks, quiet]:
-        places = _list_places(work.step, spaces)
-        if len(places) >= work.step.count:
-            return dict(zip(sorted(work.waiting), places, strict=False))
+    """Return spaces for all members of a gang, in one rack if possible."""
+    racks = list(packing.group_by_rack(quiet_spaces).values())
+    for spaces in [*racks, quiet_spaces]:
+        gang_spaces = _list_task_spaces(tracked_step.step, spaces)
+        if len(gang_spaces) >= tracked_step.step.count:
+            return dict(
+                zip(sorted(tracked_step.waiting), gang_spaces, strict=False)
+            )
     return None
 
 
-def _list_places(
+def _list_task_spaces(
     step: model.Step, spaces: list[packing.Space]
 ) -> list[packing.Space]:
-    """Return each space as often as it has room for a member."""
-    bound = step.per_worker or step.count
-    places: list[packing.Space] = []
+    """Return each space as many times as it has room for a member."""
+    limit = step.per_worker or step.count
+    task_spaces: list[packing.Space] = []
     for space in spaces:
-        places += [space] * min(bound, space.free.count(step.charge))
-    return places
+        task_spaces += [space] * min(limit, space.free.count(step.charge))
+    return task_spaces
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -1,8 +1,9 @@
-"""Which VM of a wave goes down next, and what must leave it before.
+"""Choice of the next VM of a wave of upkeep, and evacuation of its worker.
 
-Upkeep ends all that runs on a VM, so a VM is emptied first: nothing new goes
-there, what makes checkpoints is stopped, what ends in time may end. Tasks
-that last go one by one, as many of their step as may be away at a time.
+Upkeep ends everything that runs on a VM, so the VM is emptied first: no new
+task starts there, tasks with checkpoints are stopped, and tasks that end in
+time may do so. Lasting tasks are stopped one by one, within the number of tasks
+that their step may miss at a time.
 """
 
 import dataclasses
@@ -15,21 +16,21 @@
 from crocusrouter.work import runs
 from crocusrouter.work import vms
 
-# From the order until the next worker answers: the platform's two seconds of
-# upkeep, its listing, and our reading of the list.
-_DOWN_S = 4.0
-_AT_WORK_PERCENT = 100.0
+# Time from the order until the next worker answers: two seconds of upkeep by
+# the platform, its listing of the worker, and our polling of the list.
+_DOWNTIME_S = 4.0
+_READY_PERCENT = 100.0
 
 
 @dataclasses.dataclass
 class WaveRecord:
-    """How far a wave is; kept in the store by all owners together.
+    """Progress of a wave; all owners share it in the store.
 
     Attributes:
-        begun: VMs that are being emptied, or ordered down without an answer
-            so far, with the worker that was there.
-        down: VMs whose order was answered, with the worker before.
-        done: VMs that are back, or have left for good.
+        begun: VMs that are being emptied or whose order has no answer yet, with
+            the worker that was there.
+        down: VMs whose order was answered, with the worker that was there.
+        done: VMs that are back or have been removed.
     """
 
     begun: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -39,14 +40,14 @@
     def count_away(self) -> int:
         """Return how many VMs may be down for the wave now.
 
-        A VM counts before its order is sent, since an order without an
-        answer may be carried out at any time after.
+        A VM counts before its order is sent, since an order without an answer
+        may be carried out at any later time.
         """
         return len(self.begun) + len(self.down)
 
 
 def dump_record(record: WaveRecord) -> bytes:
-    """Encode for the store.
+    """Encode a record for the store.
 
     >>> parse_record(dump_record(WaveRecord({"m": "w"}))).begun
     {'m': 'w'}
@@ -58,7 +59,7 @@
     """Decode what `dump_record` encoded.
 
     Raises:
-        ValueError: The bytes are no record of a wave.
+        ValueError: The bytes are not a record of a wave.
     """
     try:
         begun, down, done = cbor2.loads(data)
@@ -75,19 +76,19 @@
     listed: tuple[vms.Vm, ...],
     now: float,
 ) -> vms.Vm | None:
-    """Return the VM whose emptying costs least; None if none may go now.
+    """Return the VM whose evacuation costs least; None if none may go now.
 
     Args:
         pool_state: State of the pool; not changed.
         pool: Only VMs of this pool are chosen.
-        wave: What the operators want.
-        record: How far it is.
+        wave: The operators' request.
+        record: Progress of the wave.
         listed: All VMs as the platform lists them.
         now: Steady time in seconds.
     """
     if record.count_away() >= wave.most_at_once:
         return None
-    open_vms = [
+    candidates = [
         vm
         for vm in listed
         if vm.name in wave.vms
@@ -99,112 +100,136 @@
         and vm.worker in pool_state.workers
     ]
     return min(
-        open_vms,
-        key=lambda vm: (_measure_emptying(pool_state, vm.worker, now), vm.name),
+        candidates,
+        key=lambda vm: (
+            _measure_evacuation_loss(pool_state, vm.worker, now),
+            vm.name,
+        ),
         default=None,
     )
 
 
-def _measure_emptying(
-    pool_state: pool_states.Book, worker: str, now: float
+def _measure_evacuation_loss(
+    pool_state: pool_states.Book, worker_id: str, now: float
 ) -> float:
     """Return the core-seconds that are lost if a worker is emptied now."""
-    total = 0.0
-    for run in pool_state.workers[worker].runs.values():
+    total_loss = 0.0
+    for run in pool_state.workers[worker_id].runs.values():
         if run.work is not None:
-            total += preemption.measure_loss(run, run.work, now)
-    return total
+            total_loss += preemption.measure_loss(run, run.work, now)
+    return total_loss
 
 
 def measure_patience(wave: vms.Wave) -> float:
     """Return the seconds that emptying one VM may take.
 
-    VMs go down `most_at_once` at a time; each turn has its share of the
-    wave's time.
+    VMs go down in batches of `most_at_once`; each batch has an equal share of
+    the wave's time.
 
     >>> measure_patience(vms.Wave(1, frozenset("abcd"), 40.0, 2))
     16.0
     """
-    turns = -(-len(wave.vms) // max(1, wave.most_at_once))
-    return max(0.0, wave.within_s / max(1, turns) - _DOWN_S)
+    batch_count = -(-len(wave.vms) // max(1, wave.most_at_once))
+    return max(0.0, wave.within_s / max(1, batch_count) - _DOWNTIME_S)
 
 
 def list_evacuations(
-    pool_state: pool_states.Book, worker: str, now: float, leave_by: float
+    pool_state: pool_states.Book, worker_id: str, now: float, leave_by: float
 ) -> list[tuple[runs.Run, str]]:
-    """Return the runs to stop now so that a worker can go down.
+    """Return the runs to stop now so that a worker's VM can go down.
 
     Args:
         pool_state: State of the pool; not changed.
-        worker: The worker to empty.
+        worker_id: The worker to empty.
         now: Steady time in seconds.
-        leave_by: Steady time at which it should be empty.
+        leave_by: Steady time at which the worker should be empty.
     """
-    found: dict[model.TaskKey, tuple[runs.Run, str]] = {}
-    held = pool_state.workers.get(worker)
-    spared: dict[model.StepKey, int] = {}
-    for key in sorted(held.runs) if held is not None else ():
+    stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
+    worker = pool_state.workers.get(worker_id)
+    stops_left: dict[model.StepKey, int] = {}
+    for key in sorted(worker.runs) if worker is not None else ():
         run = pool_state.runs[key]
-        work = run.work
-        if work is None or run.phase is not runs.Phase.RUNNING:
+        tracked_step = run.work
+        if tracked_step is None or run.phase is not runs.Phase.RUNNING:
             continue
-        if not _may_leave(pool_state, run, work, spared, now, leave_by):
+        if not _should_stop(
+            pool_state, run, tracked_step, stops_left, now, leave_by
+        ):
             continue
-        members = pool_state.list_step_runs(work) if work.step.gang else [run]
+        members = (
+            pool_state.list_step_runs(tracked_step)
+            if tracked_step.step.gang
+            else [run]
+        )
         for member in members:
-            why = "its worker's VM has upkeep"
-            found.setdefault(member.key, (member, why))
-    return list(found.values())
+            reason = "its worker's VM has upkeep"
+            stops_by_task.setdefault(member.key, (member, reason))
+    return list(stops_by_task.values())
 
 
-def _may_leave(
+def _should_stop(
     pool_state: pool_states.Book,
     run: runs.Run,
-    work: runs.StepWork,
-    spared: dict[model.StepKey, int],
+    tracked_step: runs.StepWork,
+    stops_left: dict[model.StepKey, int],
     now: float,
     leave_by: float,
 ) -> bool:
-    """Tell whether a run should be stopped now."""
-    if work.step.lasting:
-        if not work.step.may_miss:
+    """Tell whether a run should be stopped now.
+
+    Args:
+        pool_state: State of the pool; not changed.
+        run: The run.
+        tracked_step: The step of the run.
+        stops_left: How many more lasting tasks may be stopped, by step;
+            updated.
+        now: Steady time in seconds.
+        leave_by: Steady time at which the worker should be empty.
+    """
+    if tracked_step.step.lasting:
+        if not tracked_step.step.may_miss:
             return True
-        if work.key not in spared:
-            spared[work.key] = work.step.may_miss - count_away(pool_state, work)
-        spared[work.key] -= 1
-        return spared[work.key] >= 0
-    if work.step.checkpoints:
+        if tracked_step.key not in stops_left:
+            stops_left[tracked_step.key] = (
+                tracked_step.step.may_miss
+                - count_away(pool_state, tracked_step)
+            )
+        stops_left[tracked_step.key] -= 1
+        return stops_left[tracked_step.key] >= 0
+    if tracked_step.step.checkpoints:
         return True
-    rest = preemption.estimate_rest(run, work, now)
-    return now >= leave_by or now + rest > leave_by
+    remaining_s = preemption.estimate_rest(run, tracked_step, now)
+    return now >= leave_by or now + remaining_s > leave_by
 
 
-def count_away(pool_state: pool_states.Book, work: runs.StepWork) -> int:
-    """Return how many tasks of a step that lasts are not at work."""
-    at_work = sum(
-        run.phase is runs.Phase.RUNNING and run.percent >= _AT_WORK_PERCENT
-        for run in pool_state.list_step_runs(work)
+def count_away(
+    pool_state: pool_states.Book, tracked_step: runs.StepWork
+) -> int:
+    """Return how many tasks of a lasting step are not at work."""
+    at_work_count = sum(
+        run.phase is runs.Phase.RUNNING and run.percent >= _READY_PERCENT
+        for run in pool_state.list_step_runs(tracked_step)
     )
-    return work.step.count - at_work
+    return tracked_step.step.count - at_work_count
 
 
 def note_back(record: WaveRecord, listed: tuple[vms.Vm, ...]) -> bool:
-    """Count the VMs as done that are back with another worker, or gone.
+    """Mark the VMs as done that are back with another worker or removed.
 
     Returns:
         Whether the record has changed.
     """
     by_name = {vm.name: vm for vm in listed}
     changed = False
-    for name, before in [*record.down.items(), *record.begun.items()]:
+    for name, old_worker in [*record.down.items(), *record.begun.items()]:
         vm = by_name.get(name)
-        back = (
+        is_back = (
             vm is not None
             and name in record.down
             and vm.state is vms.VmState.UP
-            and vm.worker not in ("", before)
+            and vm.worker not in ("", old_worker)
         )
-        if vm is None or back:
+        if vm is None or is_back:
             record.begun.pop(name, None)
             record.down.pop(name, None)
             record.done.add(name)
@@ -228,6 +253,6 @@
 def is_over(
     wave: vms.Wave, record: WaveRecord, listed: tuple[vms.Vm, ...]
 ) -> bool:
-    """Tell whether every VM of a wave that is still there has had upkeep."""
+    """Tell whether every remaining VM of a wave has had its upkeep."""
     present = {vm.name for vm in listed}
     return all(name in record.done for name in wave.vms & present)
--- a/crocusrouter/work/vms.py
+++ b/crocusrouter/work/vms.py
@@ -1,4 +1,4 @@
-"""VMs under the workers, and the upkeep that operators ask for in waves."""
+"""VMs of the workers, and the waves of upkeep that operators request."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM as the platform reports it."""
 
     UP = "up"
     MOVING = "moving"  # to another pool
@@ -21,11 +21,11 @@
     """A VM as the platform lists it.
 
     Attributes:
-        name: Stays the same over all lives of its worker.
+        name: Stays the same over all incarnations of its worker.
         pool: The service whose worker runs on it.
-        state: What it does.
-        worker: The worker's present incarnation; empty if there is none. The
-            platform itself names the id that its incarnations share.
+        state: Present state.
+        worker: Present incarnation of the worker; empty if there is none. The
+            platform itself uses the worker id that its incarnations share.
     """
 
     name: str
@@ -36,13 +36,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Wave:
-    """Operators want each of some VMs to have its upkeep.
+    """A request of operators for the upkeep of some VMs.
 
     Attributes:
-        number: Names the wave.
-        vms: Which VMs.
-        within_s: Seconds in which all should have had it.
-        most_at_once: How many may be down for it at the same time.
+        number: Identifies the wave.
+        vms: Names of the VMs.
+        within_s: Seconds within which all VMs should have had their upkeep.
+        most_at_once: Maximum number of VMs that are down for it at a time.
     """
 
     number: int
@@ -52,16 +52,16 @@
 
 
 class Upkeep(enum.StrEnum):
-    """What the platform answers to an order for upkeep."""
+    """The platform's answer to an order for upkeep."""
 
-    DONE = "done"  # the VM is down for it, or has had it
+    DONE = "done"  # the VM is down for upkeep, or has had it
     FENCED = "fenced"  # the platform knows a later holder
-    BUSY = "busy"  # it is not up, or leaves
-    FOREIGN = "foreign"  # not of that wave, or no such VM
+    BUSY = "busy"  # the VM is not up, or is about to leave
+    FOREIGN = "foreign"  # no such VM, or not part of the wave
 
 
 class VmPort(Protocol):
-    """The platform's own control of VMs."""
+    """The platform's control of VMs."""
 
     async def list_vms(self) -> tuple[Vm, ...] | orders.Silent:
         """Return all VMs."""
@@ -70,12 +70,12 @@
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
     ) -> Upkeep | orders.Silent:
-        """Take a VM down for its upkeep; all that runs there ends.
+        """Take a VM down for its upkeep; everything that runs there ends.
 
         Args:
-            holder: Who orders it.
-            epoch: The holder's epoch; fences earlier holders.
-            vm: The VM's name.
+            holder: Who gives the order.
+            epoch: Epoch of the holder; fences earlier holders.
+            vm: Name of the VM.
             wave: Number of the wave.
         """
         ...
--- a/crocusrouter/work/waiting_steps.py
+++ b/crocusrouter/work/waiting_steps.py
@@ -1,6 +1,6 @@
-"""Which steps have tasks in turn, and in what order they are looked at.
+"""Steps with waiting tasks, in the order in which they are scheduled.
 
-Steps are taken by priority, then by the latest moment at which they can begin
+Steps are ordered by priority, then by the latest time at which they can start
 and still meet their objective.
 """
 
@@ -14,74 +14,92 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Waiting:
-    """A step in turn, with what decides its place in the order."""
+class WaitingStep:
+    """A step with waiting tasks, and the properties that decide its order.
 
-    held: runs.JobWork
-    work: runs.StepWork
+    Attributes:
+        tracked_job: The step's job.
+        tracked_step: The step.
+        latest_start: Unix time by which it must start to meet its objective.
+        late: Whether `latest_start` is past.
+        hopeless: Whether the job's result has no value any more.
+    """
+
+    tracked_job: runs.JobWork
+    tracked_step: runs.StepWork
     latest_start: float
     late: bool
     hopeless: bool
 
     @property
     def rank(self) -> tuple[bool, int, bool, float]:
-        """Steps of lower rank go first.
+        """Sort key; steps of lower rank go first.
 
-        What can't meet its objective any more goes behind what still can:
-        under load, taking the latest first makes all of them late.
+        Steps that can no longer meet their objective go behind those that can:
+        under load, starting the latest step first would make all of them late.
         """
         return (
             self.hopeless,
-            self.held.job.priority,
+            self.tracked_job.job.priority,
             self.late,
             self.latest_start,
         )
 
 
-def list_waiting(
+def list_waiting_steps(
     pool_state: pool_states.Book,
     now: float,
     wall: float,
-    policy: planner_parameters.Policy = _DEFAULT,
-) -> list[Waiting]:
-    """Return the steps with tasks in turn, in order.
+    parameters: planner_parameters.Policy = _DEFAULT,
+) -> list[WaitingStep]:
+    """Return the steps with waiting tasks, in scheduling order.
 
     Args:
         pool_state: State of the pool.
         now: Steady time in seconds.
         wall: Unix time in seconds.
-        policy: Weights and limits.
+        parameters: Weights and limits of the planner.
     """
-    found = []
-    blocked = pool_state.list_blocked()
-    for held in pool_state.live.values():
-        if held.is_final or pool_state.may_run_unseen(held, blocked):
+    waiting_steps = []
+    blocked_jobs = pool_state.list_blocked()
+    for tracked_job in pool_state.live.values():
+        if tracked_job.is_final or pool_state.may_run_unseen(
+            tracked_job, blocked_jobs
+        ):
             continue
-        if held.has_unsaved_crash:
+        if tracked_job.has_unsaved_crash:
             continue
-        for work in held.steps.values():
-            if not work.waiting or work.not_before > now:
+        for tracked_step in tracked_job.steps.values():
+            if not tracked_step.waiting or tracked_step.not_before > now:
                 continue
-            if work.step.gang and len(work.waiting) < work.step.count:
+            if (
+                tracked_step.step.gang
+                and len(tracked_step.waiting) < tracked_step.step.count
+            ):
                 continue
-            if pool_state.is_ready(held, work):
-                found.append(_rank(held, work, wall, policy))
-    return sorted(found, key=lambda waiting: waiting.rank)
+            if pool_state.is_ready(tracked_job, tracked_step):
+                waiting_steps.append(
+                    _build_waiting_step(
+                        tracked_job, tracked_step, wall, parameters
+                    )
+                )
+    return sorted(waiting_steps, key=lambda waiting_step: waiting_step.rank)
 
 
-def _rank(
-    held: runs.JobWork,
-    work: runs.StepWork,
+def _build_waiting_step(
+    tracked_job: runs.JobWork,
+    tracked_step: runs.StepWork,
     wall: float,
-    policy: planner_parameters.Policy,
-) -> Waiting:
-    job = held.job
-    due = job.find_due(work.key.occurrence)
-    objective = job.objective_s
-    rest = job.tails[work.key.step]
+    parameters: planner_parameters.Policy,
+) -> WaitingStep:
+    job = tracked_job.job
+    due_at = job.find_due(tracked_step.key.occurrence)
+    objective_s = job.objective_s
+    remaining_s = job.tails[tracked_step.key.step]
     hopeless = (
-        wall > due + policy.late_factor * objective and not work.step.lasting
+        wall > due_at + parameters.late_factor * objective_s
+        and not tracked_step.step.lasting
     )
-    latest_start = due + objective - rest
+    latest_start = due_at + objective_s - remaining_s
     late = wall > latest_start
-    return Waiting(held, work, latest_start, late, hopeless)
+    return WaitingStep(tracked_job, tracked_step, latest_start, late, hopeless)
