--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -1,4 +1,4 @@
-"""Short ways to make jobs, workers and books for tests."""
+"""Builders of jobs, workers and pool states for tests."""
 
 import dataclasses
 
@@ -9,14 +9,14 @@
 WALL = 1_000_000.0
 
 
-def make_step(count=1, gpu=1, **changes):
+def make_step(count=1, gpu=1, **overrides):
     room = work.Room(
-        changes.pop("cpu", 1000), changes.pop("memory_mb", 1000), gpu
+        overrides.pop("cpu", 1000), overrides.pop("memory_mb", 1000), gpu
     )
-    return work.Step(count, room, **({"expected_s": 5.0} | changes))
+    return work.Step(count, room, **({"expected_s": 5.0} | overrides))
 
 
-def make_job(job_id, *steps, **changes):
+def make_job(job_id, *steps, **overrides):
     fields = {
         "queue": "q",
         "pool": "p",
@@ -28,82 +28,92 @@
         "payload": job_id,
         "accepted_at": WALL,
     }
-    return work.Job(job_id, steps=steps, **(fields | changes))
+    return work.Job(job_id, steps=steps, **(fields | overrides))
 
 
-def make_entry(name, rack="r0-0", gpu=8, **changes):
+def make_entry(worker_id, rack="r0-0", gpu=8, **overrides):
     entry = orders.WorkerEntry(
-        name,
+        worker_id,
         "p",
-        f"{name}:1",
+        f"{worker_id}:1",
         "liege",
         False,
         work.Room(32_000, 131_072, gpu),
         frozenset({"a", rack}),
     )
-    return dataclasses.replace(entry, **changes)
+    return dataclasses.replace(entry, **overrides)
 
 
 def make_book(*jobs, workers=("w0", "w1"), racks=None, guaranteed=None):
-    """Return a book whose workers have all answered."""
+    """Return a pool state whose workers have all answered."""
     pool_state = work.Book(epoch=1)
     pool_state.guaranteed = guaranteed or {}
-    for number, name in enumerate(workers):
+    for number, worker_id in enumerate(workers):
         rack = racks[number] if racks else "r0-0"
-        pool_state.set_worker(make_entry(name, rack), 0.0)
-        pool_state.workers[name].reached = True
+        pool_state.set_worker(make_entry(worker_id, rack), 0.0)
+        pool_state.workers[worker_id].reached = True
     for number, job in enumerate(jobs):
-        put(pool_state, job, created=number + 2)
+        add_job(pool_state, job, created=number + 2)
     return pool_state
 
 
-def put(pool_state, job, created=99, now=0.0, wall=WALL):
+def add_job(pool_state, job, created=99, now=0.0, wall=WALL):
     pool_state.put_job(job, work.Progress(), created, now)
     pool_state.open_due(wall, now)
 
 
-def start_planned(pool_state, now=0.0, wall=WALL, confirm=True, **options):
-    """Carry a plan's placements out; return it."""
+def apply_plan(pool_state, now=0.0, wall=WALL, confirm=True, **options):
+    """Make a plan and start its placements; return the plan."""
     plan = work.plan(pool_state, now, wall, **options)
-    known = (run.number for run in pool_state.runs.values())
-    # Numbers rise over all starts, also when earlier runs have ended.
-    numbers = max(known, default=getattr(pool_state, "last_number", 0)) + 1
+    known_numbers = (run.number for run in pool_state.runs.values())
+    # Run numbers rise over all starts, also after earlier runs have ended.
+    next_number = (
+        max(known_numbers, default=getattr(pool_state, "last_run_number", 0))
+        + 1
+    )
     for placement in plan.placements:
-        work_step = pool_state.find_work(placement.step)
-        for index, worker in placement.spots.items():
+        tracked_step = pool_state.find_work(placement.step)
+        for index, worker_id in placement.spots.items():
             key = work.TaskKey(*placement.step, index)
-            pool_state.add_run(key, numbers, worker, now, alone=placement.alone)
+            pool_state.add_run(
+                key, next_number, worker_id, now, alone=placement.alone
+            )
             if confirm:
-                pool_state.note_taken(key, numbers, now)
-            if not work_step.step.gang:
-                numbers += 1
-        numbers += 1
-    pool_state.last_number = numbers
-    for run, why in plan.stops:
-        pool_state.stop_run(run, why, now)
+                pool_state.note_taken(key, next_number, now)
+            if not tracked_step.step.gang:
+                next_number += 1
+        next_number += 1
+    pool_state.last_run_number = next_number
+    for run, reason in plan.stops:
+        pool_state.stop_run(run, reason, now)
     return plan
 
 
-def report(pool_state, worker, *ends, now=1.0, sent_at=None, running=None):
-    """Let a worker report its runs and some ends.
+def apply_report(
+    pool_state, worker_id, *ends, now=1.0, sent_at=None, running=None
+):
+    """Apply a report of a worker's runs and of some ends.
 
     Args:
-        ends: (task, how) pairs; their runs leave the running list.
-        running: Rows to show instead of what the book believes.
+        ends: Pairs of a task and how its run ended; these runs are not reported
+            as running.
+        running: Running rows to report instead of those in the pool state.
     """
-    held = pool_state.workers[worker]
+    worker = pool_state.workers[worker_id]
     ended = tuple(
-        orders.Ended(held.noted + n + 1, key, pool_state.runs[key].number, how)
-        for n, (key, how) in enumerate(ends)
+        orders.Ended(
+            worker.noted + offset + 1, key, pool_state.runs[key].number, how
+        )
+        for offset, (key, how) in enumerate(ends)
     )
-    over = {key for key, _ in ends}
+    ended_keys = {key for key, _ in ends}
     if running is None:
         running = tuple(
             orders.Running(key, pool_state.runs[key].number)
-            for key in held.runs
-            if key not in over
+            for key in worker.runs
+            if key not in ended_keys
             and pool_state.runs[key].phase is not runs.Phase.ORDERED
         )
-    shown = orders.Report(0, running, ended)
+    report = orders.Report(0, running, ended)
     asked_at = now if sent_at is None else sent_at
-    work.take_report(pool_state, worker, shown, asked_at, now)
+    work.take_report(pool_state, worker_id, report, asked_at, now)
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -14,22 +14,24 @@
 
 
 @pytest.mark.parametrize(
-    ("gpus", "free", "chosen"),
+    ("gpus", "free", "chosen_worker"),
     [
         (1, {"w0": 8, "w1": 2}, "w1"),
         (2, {"w0": 8, "w1": 2}, "w1"),
         (4, {"w0": 8, "w1": 2}, "w0"),
     ],
 )
-def test_small_tasks_leave_whole_workers_free(gpus, free, chosen):
+def test_small_tasks_leave_whole_workers_free(gpus, free, chosen_worker):
     pool_state = build.make_book(
         build.make_job("j", build.make_step(1, gpu=gpus))
     )
-    for name, count in free.items():
-        used = pool_state.workers[name].used
-        pool_state.workers[name].used = used._replace(accelerators=8 - count)
+    for worker_id, count in free.items():
+        used = pool_state.workers[worker_id].used
+        pool_state.workers[worker_id].used = used._replace(
+            accelerators=8 - count
+        )
     plan = work.plan(pool_state, 0.0, build.WALL)
-    assert _find_workers(plan, "j") == [{chosen}]
+    assert _find_workers(plan, "j") == [{chosen_worker}]
 
 
 def test_gang_is_placed_whole_or_not_at_all():
@@ -51,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "expected"),
+    ("overrides", "expected"),
     [
         ({"label": "b"}, set()),
         ({"label": "a"}, {"w0", "w1"}),
@@ -59,8 +61,8 @@
         ({"rack": "r0-1"}, {"w1"}),
     ],
 )
-def test_where_tasks_may_go(change, expected):
-    step = build.make_step(2, gpu=5, **change)
+def test_workers_that_tasks_may_use(overrides, expected):
+    step = build.make_step(2, gpu=5, **overrides)
     pool_state = build.make_book(
         build.make_job("j", step), racks=("r0-0", "r0-1")
     )
@@ -72,7 +74,7 @@
     pool_state = build.make_book(
         build.make_job("j", build.make_step(2), build.make_step(1, after=(0,)))
     )
-    plan = build.start_planned(pool_state)
+    plan = build.apply_plan(pool_state)
     assert [p.step.step for p in plan.placements] == [0]
 
 
@@ -84,21 +86,22 @@
         (4, 1.0, True),
     ],
 )
-def test_first_priority_stops_what_is_in_its_way(guaranteed, ran_s, stopped):
-    """A customer claims its accelerators while others use all of them.
+def test_first_priority_stops_runs_that_use_its_room(
+    guaranteed, ran_s, stopped
+):
+    """A customer must get its guaranteed accelerators while others use all.
 
-    Runs of lower priority are stopped; the room is kept for the claim until
-    they have ended, and nothing else takes it. Beyond the guarantee only
-    runs are stopped that lose little.
+    Runs of lower priority are stopped, and the room is reserved until they have
+    ended. Beyond the guarantee, only runs that lose little work are stopped.
     """
     pool_state = build.make_book(
         build.make_job("low", build.make_step(16, gpu=1), priority=2),
         guaranteed={"a": guaranteed},
     )
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     for run in pool_state.runs.values():
         run.progressed_at = ran_s
-    build.put(
+    build.add_job(
         pool_state,
         build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
@@ -107,23 +110,23 @@
     assert bool(plan.reservations) is stopped
 
 
-def test_victims_are_those_that_lose_least():
+def test_victims_are_the_runs_that_lose_least():
     pool_state = build.make_book(
         build.make_job("old", build.make_step(1, gpu=8), priority=2),
         build.make_job("new", build.make_step(1, gpu=8), priority=2),
         guaranteed={"a": 8},
     )
-    build.start_planned(pool_state)
-    old = pool_state.runs[work.TaskKey("old", 0, 0, 0)]
-    new = pool_state.runs[work.TaskKey("new", 0, 0, 0)]
-    old.confirmed_at, new.confirmed_at = 0.0, 50.0
-    old.progressed_at = new.progressed_at = 60.0
-    build.put(
+    build.apply_plan(pool_state)
+    old_run = pool_state.runs[work.TaskKey("old", 0, 0, 0)]
+    new_run = pool_state.runs[work.TaskKey("new", 0, 0, 0)]
+    old_run.confirmed_at, new_run.confirmed_at = 0.0, 50.0
+    old_run.progressed_at = new_run.progressed_at = 60.0
+    build.add_job(
         pool_state,
         build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
     plan = work.plan(pool_state, 60.0, build.WALL)
-    assert [run for run, _ in plan.stops] == [new]
+    assert [run for run, _ in plan.stops] == [new_run]
 
 
 def test_gang_is_stopped_whole():
@@ -131,8 +134,8 @@
         build.make_job("g", build.make_step(2, gpu=8, gang=True), priority=2),
         guaranteed={"a": 8},
     )
-    build.start_planned(pool_state)
-    build.put(
+    build.apply_plan(pool_state)
+    build.add_job(
         pool_state,
         build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
@@ -140,19 +143,21 @@
     assert len(plan.stops) == 2
 
 
-def test_large_work_is_not_starved_by_small_work():
-    """A task that needs a whole worker waits while single accelerators that
-    come free go to smaller tasks behind it, again and again.
+def test_large_task_is_not_starved_by_small_tasks():
+    """A task that needs a whole worker must not wait for ever.
 
-    The worker that will have room first is held for it.
+    Single accelerators that become free would go to smaller tasks behind it
+    again and again. The worker that will have room first is held for it.
     """
     pool_state = build.make_book(
         build.make_job("s", build.make_step(1, gpu=1), priority=2),
         workers=("w0",),
     )
-    build.start_planned(pool_state)
-    build.put(pool_state, build.make_job("big", build.make_step(1, gpu=8)))
-    build.put(pool_state, build.make_job("t", build.make_step(1), priority=2))
+    build.apply_plan(pool_state)
+    build.add_job(pool_state, build.make_job("big", build.make_step(1, gpu=8)))
+    build.add_job(
+        pool_state, build.make_job("t", build.make_step(1), priority=2)
+    )
     assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
@@ -164,20 +169,24 @@
         (frozenset(), {"new", "old", "other"}),
     ],
 )
-def test_what_may_start_before_every_worker_has_told(blocks, expected):
-    """A successor starts a task that its predecessor had started on a
-    worker which nobody can reach yet, and it runs twice.
+def test_jobs_that_may_start_before_every_worker_has_reported(blocks, expected):
+    """A task must not start twice after a takeover.
 
-    Until that worker has told, only jobs start that the predecessor cannot
-    have known, or had not running there when it wrote the list down.
+    The previous owner may have started it on a worker that cannot be reached
+    yet. Until that worker has reported, only jobs start that the previous owner
+    cannot have known, or did not list as running there.
     """
     pool_state = build.make_book()
     pool_state.epoch = 50
-    build.put(pool_state, build.make_job("old", build.make_step()), created=40)
-    build.put(
+    build.add_job(
+        pool_state, build.make_job("old", build.make_step()), created=40
+    )
+    build.add_job(
         pool_state, build.make_job("other", build.make_step()), created=41
     )
-    build.put(pool_state, build.make_job("new", build.make_step()), created=60)
+    build.add_job(
+        pool_state, build.make_job("new", build.make_step()), created=60
+    )
     pool_state.set_worker(build.make_entry("gone"), 0.0)
     pool_state.workers["gone"].blocks = blocks
     plan = work.plan(pool_state, 0.0, build.WALL)
@@ -191,55 +200,59 @@
     assert work.plan(pool_state, 0.0, build.WALL).placements == []
 
 
-def test_run_that_stops_keeps_its_room():
+def test_stopping_run_keeps_its_room():
     pool_state = build.make_book(
         build.make_job("j", build.make_step(1, gpu=8)), workers=("w0",)
     )
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     run = pool_state.runs[work.TaskKey("j", 0, 0, 0)]
     pool_state.stop_run(run, "test", 1.0)
-    build.put(pool_state, build.make_job("k", build.make_step(1, gpu=8)))
+    build.add_job(pool_state, build.make_job("k", build.make_step(1, gpu=8)))
     assert run.phase is runs.Phase.STOPPING
     assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
-@pytest.mark.parametrize(("waited", "reclaimed"), [(0.0, False), (2.0, True)])
-def test_guaranteed_gang_stops_runs_in_one_rack_first(waited, reclaimed):
-    """Jobs of the first priority hold three times their room, and end late,
-    because runs were stopped for them across racks at once.
+@pytest.mark.parametrize(("waited", "reserved"), [(0.0, False), (2.0, True)])
+def test_guaranteed_gang_stops_runs_in_one_rack_first(waited, reserved):
+    """Runs must not be stopped across racks at once for a guaranteed gang.
 
-    Only what has waited for a rack as long as its bound allows is spread.
+    Such a gang takes three times as long, holds its room as long, and ends
+    late. It may use several racks only after it has waited for one for as long
+    as allowed.
     """
-    low = build.make_job("low", build.make_step(2, gpu=8), priority=2)
-    gang = build.make_step(2, gpu=8, gang=True, one_rack=True)
+    low_job = build.make_job("low", build.make_step(2, gpu=8), priority=2)
+    gang_step = build.make_step(2, gpu=8, gang=True, one_rack=True)
     pool_state = build.make_book(
-        low, racks=("r0-0", "r0-1"), guaranteed={"a": 16}
+        low_job, racks=("r0-0", "r0-1"), guaranteed={"a": 16}
     )
-    build.start_planned(pool_state)
-    build.put(pool_state, build.make_job("high", gang, priority=0))
+    build.apply_plan(pool_state)
+    build.add_job(pool_state, build.make_job("high", gang_step, priority=0))
     plan = work.plan(pool_state, waited, build.WALL + waited)
-    assert bool(plan.reservations) is reclaimed
+    assert bool(plan.reservations) is reserved
 
 
-def test_late_work_goes_behind_what_can_still_be_in_time():
-    """All jobs of a burst end late, each started just after its last moment.
+def test_late_step_goes_behind_steps_that_can_still_be_in_time():
+    """A burst must not make all of its jobs late.
 
-    Steps whose objective is past go behind those that can still meet it.
+    If each job started just after its latest start, all would end late. Steps
+    whose objective is past therefore go last.
     """
     pool_state = build.make_book(workers=("w0",))
-    build.put(
+    build.add_job(
         pool_state,
         build.make_job(
             "late", build.make_step(1, gpu=8), accepted_at=build.WALL - 8
         ),
     )
-    build.put(pool_state, build.make_job("early", build.make_step(1, gpu=8)))
+    build.add_job(
+        pool_state, build.make_job("early", build.make_step(1, gpu=8))
+    )
     plan = work.plan(pool_state, 0.0, build.WALL)
     assert [p.step.job for p in plan.placements] == ["early"]
 
 
-# A gang of the second priority waits behind many small tasks of the third,
-# although some of them would lose nothing by a stop.
+# A gang of the second priority must not wait behind many small tasks of the
+# third priority that would lose nothing by a stop.
 @pytest.mark.parametrize(
     ("priority", "checkpoints", "stopped"),
     [
@@ -249,29 +262,36 @@
         (2, True, False),
     ],
 )
-def test_what_makes_room_for_which_priority(priority, checkpoints, stopped):
-    small = build.make_step(16, gpu=1, checkpoints=checkpoints)
-    pool_state = build.make_book(build.make_job("small", small, priority=3))
-    build.start_planned(pool_state)
-    gang = build.make_step(2, gpu=8, gang=True)
-    build.put(
-        pool_state, build.make_job("gang", gang, priority=priority), now=1.0
+def test_runs_that_make_room_for_each_priority(priority, checkpoints, stopped):
+    small_step = build.make_step(16, gpu=1, checkpoints=checkpoints)
+    pool_state = build.make_book(
+        build.make_job("small", small_step, priority=3)
+    )
+    build.apply_plan(pool_state)
+    gang_step = build.make_step(2, gpu=8, gang=True)
+    build.add_job(
+        pool_state,
+        build.make_job("gang", gang_step, priority=priority),
+        now=1.0,
     )
     plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert bool(plan.stops) is stopped
 
 
-# Two claims in one decision stopped two runs where one made room for both.
-def test_room_that_one_claim_frees_serves_the_next_one_too():
-    large = build.make_step(1, gpu=8)
+# Two urgent steps in one decision must not stop two runs if the room of one is
+# enough for both.
+def test_room_that_one_step_frees_serves_the_next_step_too():
+    large_step = build.make_step(1, gpu=8)
     pool_state = build.make_book(
-        build.make_job("l0", large, priority=2),
-        build.make_job("l1", large, priority=2),
+        build.make_job("l0", large_step, priority=2),
+        build.make_job("l1", large_step, priority=2),
     )
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     for number in range(2):
-        claim = build.make_step(1, gpu=4)
-        build.put(pool_state, build.make_job(f"c{number}", claim, priority=0))
+        urgent_step = build.make_step(1, gpu=4)
+        build.add_job(
+            pool_state, build.make_job(f"c{number}", urgent_step, priority=0)
+        )
     plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert len(plan.stops) == 1
     assert len(plan.reservations) == 2
@@ -291,9 +311,11 @@
 def test_room_is_left_to_urgent_work_after_it_had_to_stop_others(
     priority, lasting, after_s, placed
 ):
-    """Urgent gangs come one after the other in a full pool. What was stopped
-    for one of them started again in the next gap, was stopped again for the
-    next gang within a second, and that gang waited for the stop.
+    """Runs must not be stopped repeatedly for a series of urgent gangs.
+
+    In a full pool, runs that were stopped for one gang started again in the
+    next free room. They were stopped again within a second for the next gang,
+    which had to wait for that stop.
     """
     step = build.make_step(1, lasting=lasting)
     pool_state = build.make_book(build.make_job("j", step, priority=priority))
@@ -305,15 +327,17 @@
 
 
 @pytest.mark.parametrize(("priority", "contended"), [(0, True), (1, False)])
-def test_plan_tells_that_the_first_priority_stops_others(priority, contended):
+def test_plan_reports_that_the_first_priority_stops_others(priority, contended):
     pool_state = build.make_book(
         build.make_job("low", build.make_step(2, checkpoints=True), priority=2)
     )
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     for worker in pool_state.workers.values():
         worker.used = work.Room(0, 0, 8)
-    high = build.make_step(1, gpu=1, expected_s=50.0)
-    build.put(pool_state, build.make_job("high", high, priority=priority))
+    high_step = build.make_step(1, gpu=1, expected_s=50.0)
+    build.add_job(
+        pool_state, build.make_job("high", high_step, priority=priority)
+    )
     plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert len(plan.stops) == 1
     assert plan.contended is contended
--- a/crocusrouter/work/tests/test_pool_state.py
+++ b/crocusrouter/work/tests/test_pool_state.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("steps", "hows", "state"),
+    ("steps", "ends", "state"),
     [
         ([build.make_step(2)], [HOW.DONE, HOW.DONE], work.State.DONE),
         ([build.make_step(2)], [HOW.DONE, HOW.FAILED], None),
@@ -23,36 +23,36 @@
         ([build.make_step(1, lasting=True)], [HOW.FAILED], None),
     ],
 )
-def test_ends_decide_the_final_state(steps, hows, state):
+def test_ends_decide_the_final_state(steps, ends, state):
     pool_state = build.make_book(build.make_job("j", *steps))
-    build.start_planned(pool_state)
-    for index, how in enumerate(hows):
+    build.apply_plan(pool_state)
+    for index, how in enumerate(ends):
         run = pool_state.runs[_key("j", index)]
-        build.report(pool_state, run.worker, (_key("j", index), how))
+        build.apply_report(pool_state, run.worker, (_key("j", index), how))
     assert pool_state.jobs["j"].progress.final is state
 
 
-def test_final_state_is_told_once_durable():
-    """A caller reads "done", the owner is killed, and its successor, which
-    has not read the last end, says "running".
+def test_final_state_is_shown_once_durable():
+    """A final state is shown only after the journal holds it.
 
-    So the state is told only after the journal holds it.
+    Otherwise a caller may read "done", and "running" later: the owner is
+    killed, and the new owner has not read the last end.
     """
     pool_state = build.make_book(build.make_job("j", build.make_step()))
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    build.report(pool_state, run.worker, (_key("j"), HOW.DONE))
+    build.apply_report(pool_state, run.worker, (_key("j"), HOW.DONE))
     assert pool_state.jobs["j"].show_state() is work.State.RUNNING
     pool_state.note_durable(["j"])
     assert pool_state.jobs["j"].show_state() is work.State.DONE
 
 
 def test_failed_end_listed_again_counts_once():
-    """A job fails although it had an attempt left.
+    """A failure that is read twice must not cost the job two attempts.
 
-    A task fails, the owner journals that and is killed before it confirms
-    the end; its successor reads the journal and the same end once more.
-    Failures are kept by number of run, so it counts once.
+    A task fails, and the owner journals that but is killed before it confirms
+    the end. The new owner reads the journal and then the same end again.
+    Failures are kept by the number of the run, so this one counts once.
     """
     job = build.make_job("j", build.make_step(), max_attempts=2)
     pool_state = build.make_book(job, workers=("w0",))
@@ -69,36 +69,41 @@
     assert successor.jobs["j"].progress.final is None
 
 
-def test_failures_of_all_attempts_end_the_job():
+def test_job_fails_after_its_last_attempt():
     pool_state = build.make_book(
         build.make_job("j", build.make_step(2), max_attempts=2)
     )
     for now in (0.0, 10.0):
-        build.start_planned(pool_state, now=now)
+        build.apply_plan(pool_state, now=now)
         run = pool_state.runs[_key("j")]
-        build.report(
+        build.apply_report(
             pool_state, run.worker, (_key("j"), HOW.FAILED), now=now + 1
         )
     assert pool_state.jobs["j"].progress.final is work.State.FAILED
-    other = pool_state.runs[_key("j", 1)]
-    assert other.phase is runs.Phase.STOPPING
+    other_run = pool_state.runs[_key("j", 1)]
+    assert other_run.phase is runs.Phase.STOPPING
 
 
-def test_member_that_is_lost_takes_the_gang_with_it():
-    """Part of a gang runs on without use after a member's worker is lost.
+def test_lost_gang_member_stops_the_gang():
+    """A gang must not keep running without one of its members.
 
-    The others are stopped, and none starts again before all have ended.
+    After a member's worker is lost, the others are stopped, and none starts
+    again before all have ended.
     """
     pool_state = build.make_book(
         build.make_job("j", build.make_step(2, gpu=8, gang=True))
     )
-    build.start_planned(pool_state)
-    first, second = (pool_state.runs[_key("j", index)] for index in (0, 1))
-    pool_state.note_lapsed(first.worker, "test", 1.0)
-    assert second.phase is runs.Phase.STOPPING
-    assert build.start_planned(pool_state, now=5.0).placements == []
-    build.report(pool_state, second.worker, (second.key, HOW.STOPPED), now=6.0)
-    assert pool_state.find_work(first.key).waiting == {0, 1}
+    build.apply_plan(pool_state)
+    first_run, second_run = (
+        pool_state.runs[_key("j", index)] for index in (0, 1)
+    )
+    pool_state.note_lapsed(first_run.worker, "test", 1.0)
+    assert second_run.phase is runs.Phase.STOPPING
+    assert build.apply_plan(pool_state, now=5.0).placements == []
+    build.apply_report(
+        pool_state, second_run.worker, (second_run.key, HOW.STOPPED), now=6.0
+    )
+    assert pool_state.find_work(first_run.key).waiting == {0, 1}
 
 
 @pytest.mark.parametrize(
@@ -106,47 +111,47 @@
     [(True, 2.0, False), (True, -1.0, True), (False, 2.0, True)],
 )
 def test_run_missing_from_a_report(confirmed, sent_at, still_runs):
-    """A task counts as running for ever although its worker knows nothing
-    of it: an earlier owner confirmed its end and died.
+    """A task must not count as running for ever if its worker does not know it.
 
-    Only a report asked for after the start was confirmed tells that.
+    This happens if a previous owner confirmed the end of the run and died. Only
+    a report that was requested after the start was confirmed proves it.
     """
     pool_state = build.make_book(
         build.make_job("j", build.make_step()), workers=("w0",)
     )
-    build.start_planned(pool_state, confirm=confirmed)
-    build.report(pool_state, "w0", now=3.0, sent_at=sent_at, running=())
+    build.apply_plan(pool_state, confirm=confirmed)
+    build.apply_report(pool_state, "w0", now=3.0, sent_at=sent_at, running=())
     assert (_key("j") in pool_state.runs) is still_runs
 
 
-def test_successor_adopts_what_runs_and_stops_strays():
+def test_new_owner_adopts_wanted_runs_and_stops_strays():
     """After a takeover a task must neither start twice nor run unwanted."""
     job = build.make_job("j", build.make_step(2))
-    gone = build.make_job("x", build.make_step(1), cancelled=True)
-    pool_state = build.make_book(job, gone)
-    rows = (orders.Running(_key("j"), 5), orders.Running(_key("x"), 6))
-    build.report(pool_state, "w0", running=rows)
+    cancelled_job = build.make_job("x", build.make_step(1), cancelled=True)
+    pool_state = build.make_book(job, cancelled_job)
+    running = (orders.Running(_key("j"), 5), orders.Running(_key("x"), 6))
+    build.apply_report(pool_state, "w0", running=running)
     assert pool_state.runs[_key("j")].number == 5
     assert pool_state.find_work(_key("j")).waiting == {1}
     assert [order.key for _, order in pool_state.outbox] == [_key("x")]
 
 
-def test_rejected_start_waits_and_goes_elsewhere():
+def test_task_of_a_rejected_start_waits_and_starts_on_another_worker():
     pool_state = build.make_book(build.make_job("j", build.make_step()))
-    build.start_planned(pool_state, confirm=False)
+    build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
     pool_state.note_not_begun(_key("j"), run.number, "no-room", 0.0)
-    assert build.start_planned(pool_state, now=0.1).placements == []
-    plan = build.start_planned(pool_state, now=1.0)
+    assert build.apply_plan(pool_state, now=0.1).placements == []
+    plan = build.apply_plan(pool_state, now=1.0)
     assert plan.placements[0].spots[0] != run.worker
 
 
 def test_cancelled_job_stops_and_starts_nothing():
     job = build.make_job("j", build.make_step(2))
     pool_state = build.make_book(job)
-    build.start_planned(pool_state)
-    cancelled = build.make_job("j", build.make_step(2), cancelled=True)
-    pool_state.put_job(cancelled, work.Progress(), 9, 1.0)
+    build.apply_plan(pool_state)
+    cancelled_job = build.make_job("j", build.make_step(2), cancelled=True)
+    pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
     assert {run.phase for run in pool_state.runs.values()} == {
         runs.Phase.STOPPING
     }
@@ -169,38 +174,38 @@
         assert pool_state.jobs["j"].opened == opened
 
 
-def test_pending_counts_jobs_that_have_not_begun():
+def test_pending_counts_jobs_that_have_not_started():
     pool_state = build.make_book(
         build.make_job("j", build.make_step()),
         build.make_job("k", build.make_step(1, gpu=99)),
     )
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     assert pool_state.count_pending("q") == 1
 
 
 @pytest.mark.parametrize(
     ("jobs", "suspected"), [(("j", "j"), False), (("j", "k"), True)]
 )
-def test_failures_of_different_jobs_are_the_workers_fault(jobs, suspected):
-    """Jobs spend their attempts on a worker that fails all it starts."""
+def test_failures_of_different_jobs_make_the_worker_suspect(jobs, suspected):
+    """Jobs must not use up their attempts on a worker that fails all tasks."""
     pool_state = build.make_book(
         build.make_job("j", build.make_step(2), max_attempts=9),
         build.make_job("k", build.make_step(2), max_attempts=9),
         workers=("w0",),
     )
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     for index, job in enumerate(jobs):
-        build.report(pool_state, "w0", (_key(job, index), HOW.FAILED))
+        build.apply_report(pool_state, "w0", (_key(job, index), HOW.FAILED))
     assert pool_state.workers["w0"].may_take(2.0) is not suspected
     assert pool_state.workers["w0"].may_take(20.0)
 
 
 @pytest.mark.parametrize("how", [None, HOW.DONE])
 def test_report_before_the_first_decision(how):
-    """A successor starts tasks again that have run, or stops what runs.
+    """A new owner must not repeat tasks that have run, or stop those that run.
 
-    Workers report before it has made its first decision, when no occurrence
-    is open yet; such a report opens the occurrence.
+    Workers report before its first decision, when no occurrence is open yet.
+    Such a report opens the occurrence.
     """
     pool_state = build.make_book()
     job = build.make_job(
@@ -221,61 +226,69 @@
     assert work.plan(pool_state, 9.0, build.WALL + 9).placements == []
 
 
-def test_jobs_are_over_once_nothing_of_them_runs():
-    """A job is removed while a worker still runs a task of it; the task is
-    then unknown, and stays there until its lease ends.
+def test_jobs_are_over_once_none_of_their_tasks_runs():
+    """A job must not be removed while a worker still runs one of its tasks.
+
+    The task would then be unknown, and would keep running until its lease ends.
     """
     job = build.make_job("j", build.make_step(1))
     pool_state = build.make_book(job)
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    cancelled = build.make_job("j", build.make_step(1), cancelled=True)
-    pool_state.put_job(cancelled, work.Progress(), 9, 1.0)
+    cancelled_job = build.make_job("j", build.make_step(1), cancelled=True)
+    pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
     assert pool_state.list_over(before=5.0) == []
-    build.report(pool_state, run.worker, (run.key, HOW.STOPPED), now=2.0)
+    build.apply_report(pool_state, run.worker, (run.key, HOW.STOPPED), now=2.0)
     assert pool_state.list_over(before=1.0) == []
     assert pool_state.list_over(before=5.0) == ["j"]
 
 
-def test_runs_lost_with_their_worker_are_told():
-    """Tasks start again and again, and no line tells with which worker the
-    last run ended, nor how soon after its start.
+def test_runs_lost_with_their_worker_are_logged():
+    """The log must show with which worker a run was lost, and how soon.
+
+    Without these lines, a task that starts again and again can't be explained.
     """
     pool_state = build.make_book(build.make_job("j", build.make_step(2)))
-    build.start_planned(pool_state, now=1.0)
-    worker = pool_state.runs[_key("j")].worker
-    pool_state.note_silent(worker, 1.25)
-    replacement.note_gone(pool_state, worker, 4.0)
-    lost = [facts for what, facts in pool_state.events if what == "run:lost"]
-    assert [facts["task"] for facts in lost] == [_key("j"), _key("j", 1)]
-    assert {facts["ran_s"] for facts in lost} == {0.25}
-
-
-def test_worker_with_a_stray_gets_nothing_until_it_has_ended():
-    """A worker that does not check its room starts more than fits there: a
-    run of a cancelled job, found after a takeover, still takes its part.
+    build.apply_plan(pool_state, now=1.0)
+    worker_id = pool_state.runs[_key("j")].worker
+    pool_state.note_silent(worker_id, 1.25)
+    replacement.note_gone(pool_state, worker_id, 4.0)
+    lost_events = [
+        fields for kind, fields in pool_state.events if kind == "run:lost"
+    ]
+    assert [fields["task"] for fields in lost_events] == [
+        _key("j"),
+        _key("j", 1),
+    ]
+    assert {fields["ran_s"] for fields in lost_events} == {0.25}
+
+
+def test_worker_with_a_stray_gets_nothing_until_the_stray_has_ended():
+    """A worker that does not check its room must not get too many tasks.
+
+    A run of a cancelled job, found after a takeover, still takes room there.
     """
-    cancelled = build.make_job("c", build.make_step(), cancelled=True)
-    pool_state = build.make_book(cancelled, workers=("w0",))
-    build.put(pool_state, build.make_job("j", build.make_step(gpu=8)))
-    running = orders.Running(_key("c"), 7)
-    build.report(pool_state, "w0", running=(running,))
+    cancelled_job = build.make_job("c", build.make_step(), cancelled=True)
+    pool_state = build.make_book(cancelled_job, workers=("w0",))
+    build.add_job(pool_state, build.make_job("j", build.make_step(gpu=8)))
+    stray = orders.Running(_key("c"), 7)
+    build.apply_report(pool_state, "w0", running=(stray,))
     assert [order for _, order in pool_state.outbox] == [
         orders.Stop(_key("c"), 7)
     ]
-    assert build.start_planned(pool_state, 1.0).placements == []
-    build.report(pool_state, "w0", running=(), now=1.2)
-    assert build.start_planned(pool_state, 1.2).placements
+    assert build.apply_plan(pool_state, 1.0).placements == []
+    build.apply_report(pool_state, "w0", running=(), now=1.2)
+    assert build.apply_plan(pool_state, 1.2).placements
 
 
 @pytest.mark.parametrize(
     ("gpu", "over"), [(8, False), (4, True)], ids=["whole", "shrunk"]
 )
-def test_room_that_has_shrunk_below_its_runs(gpu, over):
+def test_worker_whose_room_has_shrunk_below_its_runs(gpu, over):
     pool_state = build.make_book(
         build.make_job("j", build.make_step(gpu=6)), workers=("w0",)
     )
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     pool_state.set_worker(build.make_entry("w0", gpu=gpu), 1.0)
     assert (
         pool_state.workers["w0"].is_over(build.make_step(gpu=6).charge) is over
@@ -284,11 +297,11 @@
 
 
 def test_job_ends_whose_last_occurrence_was_done_before_it_was_opened():
-    """A caller reads "running" for ever although everything has ended well.
+    """A job must end although its last occurrence ended under a previous owner.
 
     An owner is lost after the second occurrence has ended and before the first
-    one has. Its successor hears the first one's end from a worker, before its
-    first decision has opened the second, and nothing ends after that.
+    has. The new owner hears of the first one's end from a worker before its
+    first decision has opened the second, and no run ends after that.
     """
     job = build.make_job(
         "j", build.make_step(), repeats=2, first_due=build.WALL, interval_s=1.0
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Runs of a worker in whose place its next incarnation answers."""
+"""Runs of a worker that has been replaced by its next incarnation."""
 
 import pytest
 
@@ -7,100 +7,128 @@
 from crocusrouter.work import runs
 from crocusrouter.work.tests import build
 
-_OLD = "w0@5"
-_NEW = "w0@7"
-_FIRST = work.TaskKey("j", 0, 0, 0)
-_SECOND = work.TaskKey("j", 0, 0, 1)
+_OLD_WORKER = "w0@5"
+_NEW_WORKER = "w0@7"
+_FIRST_TASK = work.TaskKey("j", 0, 0, 0)
+_SECOND_TASK = work.TaskKey("j", 0, 0, 1)
 
 
-def _restart(step, late=()):
-    """Return the book of a job on a worker that has restarted."""
-    pool_state = build.make_book(build.make_job("j", step), workers=(_OLD,))
-    build.start_planned(pool_state)
-    for key in late:
+def _restart(step, late_tasks=()):
+    """Return the pool state of a job whose worker has restarted."""
+    pool_state = build.make_book(
+        build.make_job("j", step), workers=(_OLD_WORKER,)
+    )
+    build.apply_plan(pool_state)
+    for key in late_tasks:
         pool_state.runs[key].maybe_begun = True
-    stops = [orders.Stop(key, pool_state.runs[key].number) for key in late]
-    work.add_successor(pool_state, _OLD, _NEW, 1.0)
-    work.note_replaced(pool_state, _OLD, 1.0, _NEW, stops)
+    stops = [
+        orders.Stop(key, pool_state.runs[key].number) for key in late_tasks
+    ]
+    work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
+    work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, stops)
     return pool_state
 
 
-@pytest.mark.parametrize("late", [(), (_FIRST,), (_FIRST, _SECOND)])
-def test_start_that_the_next_process_may_carry_out_is_not_repeated(late):
-    """The task ran beside the earlier start, carried out seconds later."""
-    pool_state = _restart(build.make_step(2), late)
-    waiting = {key.position for key in (_FIRST, _SECOND) if key not in late}
-    assert pool_state.find_work(_FIRST).waiting == waiting
-    assert set(pool_state.workers[_NEW].runs) == set(late)
-    assert not pool_state.workers[_OLD].runs
-    assert [stop.key for worker, stop in pool_state.outbox] == list(late)
-    assert {worker for worker, _ in pool_state.outbox} <= {_NEW}
+@pytest.mark.parametrize(
+    "late_tasks", [(), (_FIRST_TASK,), (_FIRST_TASK, _SECOND_TASK)]
+)
+def test_start_that_the_next_process_may_carry_out_is_not_repeated(late_tasks):
+    """A task must not start while an earlier start may be carried out late.
+
+    The earlier start could be carried out seconds later, and the task would run
+    twice.
+    """
+    pool_state = _restart(build.make_step(2), late_tasks)
+    waiting_indices = {
+        key.position
+        for key in (_FIRST_TASK, _SECOND_TASK)
+        if key not in late_tasks
+    }
+    assert pool_state.find_work(_FIRST_TASK).waiting == waiting_indices
+    assert set(pool_state.workers[_NEW_WORKER].runs) == set(late_tasks)
+    assert not pool_state.workers[_OLD_WORKER].runs
+    assert [stop.key for worker_id, stop in pool_state.outbox] == list(
+        late_tasks
+    )
+    assert {worker_id for worker_id, _ in pool_state.outbox} <= {_NEW_WORKER}
 
 
 def test_late_start_waits_again_once_the_next_process_has_stopped_it():
-    """A look from before the stop's answer shows nothing of a late start."""
-    pool_state = _restart(build.make_step(1), (_FIRST,))
-    number = pool_state.runs[_FIRST].number
-    build.report(pool_state, _NEW, now=1.5, running=())
-    assert _FIRST in pool_state.runs
-    pool_state.note_settled(_FIRST, number, 2.0)
-    build.report(pool_state, _NEW, now=2.5, running=())
-    assert pool_state.find_work(_FIRST).waiting == {0}
-
-
-def test_late_start_that_has_begun_is_not_adopted_as_wanted():
-    """It was told to stop; its end puts the task back."""
-    pool_state = _restart(build.make_step(1), (_FIRST,))
-    row = orders.Running(_FIRST, pool_state.runs[_FIRST].number)
-    build.report(pool_state, _NEW, now=1.5, running=(row,))
-    assert pool_state.runs[_FIRST].phase is runs.Phase.STOPPING
-    build.report(pool_state, _NEW, (_FIRST, orders.How.STOPPED), now=1.8)
-    assert pool_state.find_work(_FIRST).waiting == {0}
-
-
-def test_gang_with_a_member_that_may_come_late_is_stopped_whole():
-    """The others would work for a member that is to be stopped."""
+    """A report from before the stop's answer does not show a late start."""
+    pool_state = _restart(build.make_step(1), (_FIRST_TASK,))
+    number = pool_state.runs[_FIRST_TASK].number
+    build.apply_report(pool_state, _NEW_WORKER, now=1.5, running=())
+    assert _FIRST_TASK in pool_state.runs
+    pool_state.note_settled(_FIRST_TASK, number, 2.0)
+    build.apply_report(pool_state, _NEW_WORKER, now=2.5, running=())
+    assert pool_state.find_work(_FIRST_TASK).waiting == {0}
+
+
+def test_late_start_that_was_carried_out_is_not_adopted():
+    """The worker was told to stop the run; the task waits after its end."""
+    pool_state = _restart(build.make_step(1), (_FIRST_TASK,))
+    reported_run = orders.Running(
+        _FIRST_TASK, pool_state.runs[_FIRST_TASK].number
+    )
+    build.apply_report(
+        pool_state, _NEW_WORKER, now=1.5, running=(reported_run,)
+    )
+    assert pool_state.runs[_FIRST_TASK].phase is runs.Phase.STOPPING
+    build.apply_report(
+        pool_state, _NEW_WORKER, (_FIRST_TASK, orders.How.STOPPED), now=1.8
+    )
+    assert pool_state.find_work(_FIRST_TASK).waiting == {0}
+
+
+def test_gang_with_a_member_that_may_start_late_is_stopped():
+    """The other members would work for a member that is to be stopped."""
     step = build.make_step(2, gang=True, gpu=8)
     pool_state = build.make_book(
-        build.make_job("j", step), workers=(_OLD, "w1@5"), racks=("r0", "r0")
+        build.make_job("j", step),
+        workers=(_OLD_WORKER, "w1@5"),
+        racks=("r0", "r0"),
     )
-    build.start_planned(pool_state)
-    [member] = pool_state.workers[_OLD].runs.values()
-    [other] = pool_state.workers["w1@5"].runs.values()
+    build.apply_plan(pool_state)
+    [member] = pool_state.workers[_OLD_WORKER].runs.values()
+    [other_member] = pool_state.workers["w1@5"].runs.values()
     member.maybe_begun = True
-    work.add_successor(pool_state, _OLD, _NEW, 1.0)
+    work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
     stop = orders.Stop(member.key, member.number)
-    work.note_replaced(pool_state, _OLD, 1.0, _NEW, [stop])
-    assert other.phase is runs.Phase.STOPPING
-
-
-@pytest.mark.parametrize("late", [(), (_FIRST,)])
-def test_restart_counts_as_a_crash_under_what_ran_there(late):
-    """A task that crashes its workers started again without any bound."""
-    pool_state = _restart(build.make_step(1), late)
-    assert len(pool_state.find_work(_FIRST).kept.crashes[0]) == 1
-    told = [
-        facts for what, facts in pool_state.events if what == "worker:restarted"
+    work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, [stop])
+    assert other_member.phase is runs.Phase.STOPPING
+
+
+@pytest.mark.parametrize("late_tasks", [(), (_FIRST_TASK,)])
+def test_restart_counts_as_a_crash_under_the_runs_there(late_tasks):
+    """A task that crashes its workers must not start again without limit."""
+    pool_state = _restart(build.make_step(1), late_tasks)
+    assert len(pool_state.find_work(_FIRST_TASK).kept.crashes[0]) == 1
+    restart_events = [
+        fields
+        for kind, fields in pool_state.events
+        if kind == "worker:restarted"
+    ]
+    assert restart_events == [
+        {"worker": _OLD_WORKER, "successor": _NEW_WORKER, "runs": 1}
     ]
-    assert told == [{"worker": _OLD, "successor": _NEW, "runs": 1}]
 
 
 @pytest.mark.parametrize("known", [False, True])
 def test_next_incarnation_takes_work_once_it_is_listed(known):
-    """One that had drained and started again as ready got nothing for ever."""
-    pool_state = build.make_book(workers=(_OLD,))
-    pool_state.set_worker(build.make_entry(_OLD, draining=True), 0.0)
+    """A worker that drained and restarted must get tasks again."""
+    pool_state = build.make_book(workers=(_OLD_WORKER,))
+    pool_state.set_worker(build.make_entry(_OLD_WORKER, draining=True), 0.0)
     if known:
-        work.add_successor(pool_state, _OLD, _NEW, 1.0)
-        pool_state.workers[_NEW].reached = True
-        assert not pool_state.workers[_NEW].may_take(1.0)
-    pool_state.set_worker(build.make_entry(_NEW), 2.0)
-    pool_state.workers[_NEW].reached = True
-    assert pool_state.workers[_NEW].may_take(2.0)
-    assert pool_state.workers[_OLD].sealed
+        work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
+        pool_state.workers[_NEW_WORKER].reached = True
+        assert not pool_state.workers[_NEW_WORKER].may_take(1.0)
+    pool_state.set_worker(build.make_entry(_NEW_WORKER), 2.0)
+    pool_state.workers[_NEW_WORKER].reached = True
+    assert pool_state.workers[_NEW_WORKER].may_take(2.0)
+    assert pool_state.workers[_OLD_WORKER].sealed
 
 
-def test_platform_names_workers_and_the_book_their_incarnations():
+def test_incarnations_are_found_by_the_platforms_worker_ids():
     pool_state = build.make_book(workers=("w0@5", "w1@5", "w2"))
     pool_state.unlist_worker("w0@5")
     pool_state.set_worker(build.make_entry("w0@7"), 1.0)
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -8,11 +8,12 @@
 _UP = vms.VmState.UP
 
 
-def _list(**changes):
-    rows = {
-        f"m{n}": vms.Vm(f"m{n}", "p", _UP, f"w{n}") for n in range(3)
-    } | changes
-    return tuple(row for row in rows.values() if row is not None)
+def _list_vms(**overrides):
+    vms_by_name = {
+        f"m{number}": vms.Vm(f"m{number}", "p", _UP, f"w{number}")
+        for number in range(3)
+    } | overrides
+    return tuple(vm for vm in vms_by_name.values() if vm is not None)
 
 
 def _make_book(*jobs):
@@ -20,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("record", "chosen"),
+    ("record", "expected"),
     [
         (upkeep.WaveRecord(), "m0"),
         (upkeep.WaveRecord(begun={"m0": "w0"}), "m1"),
@@ -29,13 +30,13 @@
         (upkeep.WaveRecord(done={"m0", "m1", "m2"}), None),
     ],
 )
-def test_no_more_vms_are_away_than_allowed(record, chosen):
-    found = upkeep.choose_vm(_make_book(), "p", _WAVE, record, _list(), 0.0)
-    assert (found.name if found else None) == chosen
+def test_no_more_vms_are_down_than_allowed(record, expected):
+    vm = upkeep.choose_vm(_make_book(), "p", _WAVE, record, _list_vms(), 0.0)
+    assert (vm.name if vm else None) == expected
 
 
 @pytest.mark.parametrize(
-    "row",
+    "vm",
     [
         vms.Vm("m0", "p", vms.VmState.MOVING, ""),
         vms.Vm("m0", "other", _UP, "w0"),
@@ -43,20 +44,20 @@
         None,
     ],
 )
-def test_only_vms_of_the_pool_that_are_up_go(row):
-    found = upkeep.choose_vm(
-        _make_book(), "p", _WAVE, upkeep.WaveRecord(), _list(m0=row), 0.0
+def test_only_vms_of_the_pool_that_are_up_are_chosen(vm):
+    chosen_vm = upkeep.choose_vm(
+        _make_book(), "p", _WAVE, upkeep.WaveRecord(), _list_vms(m0=vm), 0.0
     )
-    assert found.name == "m1"
+    assert chosen_vm.name == "m1"
 
 
-def test_vm_whose_emptying_loses_least_goes_first():
+def test_vm_whose_evacuation_loses_least_goes_first():
     pool_state = _make_book(build.make_job("j", build.make_step(2, gpu=8)))
-    build.start_planned(pool_state)
-    found = upkeep.choose_vm(
-        pool_state, "p", _WAVE, upkeep.WaveRecord(), _list(), 3.0
+    build.apply_plan(pool_state)
+    vm = upkeep.choose_vm(
+        pool_state, "p", _WAVE, upkeep.WaveRecord(), _list_vms(), 3.0
     )
-    assert found.name == "m2"
+    assert vm.name == "m2"
 
 
 @pytest.mark.parametrize(
@@ -69,18 +70,19 @@
         (build.make_step(2, gpu=8, gang=True), 3.0, 2),
     ],
 )
-def test_what_is_stopped_to_empty_a_worker(step, leave_by, stopped):
+def test_runs_that_are_stopped_to_empty_a_worker(step, leave_by, stopped):
     pool_state = _make_book(build.make_job("j", step))
-    build.start_planned(pool_state)
-    worker = next(iter(pool_state.runs.values())).worker
+    build.apply_plan(pool_state)
+    worker_id = next(iter(pool_state.runs.values())).worker
     assert (
-        len(upkeep.list_evacuations(pool_state, worker, 1.0, leave_by))
+        len(upkeep.list_evacuations(pool_state, worker_id, 1.0, leave_by))
         == stopped
     )
 
 
-# Users of tasks that last see too many of them away at once: a stop counts
-# against what the step may miss, as does a task that is not at work yet.
+# Users of lasting tasks must not find too many of them down at a time: a
+# stopped task counts towards the number that the step may miss, and so does a
+# task that is not at work yet.
 @pytest.mark.parametrize(
     ("percents", "may_miss", "stopped"),
     [
@@ -90,21 +92,21 @@
         ((100, 100, 100, 40), 2, 1),
     ],
 )
-def test_tasks_that_last_leave_one_by_one(percents, may_miss, stopped):
+def test_lasting_tasks_are_stopped_one_by_one(percents, may_miss, stopped):
     step = build.make_step(4, gpu=2, lasting=True, may_miss=may_miss)
     pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
-    build.start_planned(pool_state)
+    build.apply_plan(pool_state)
     for run, percent in zip(pool_state.runs.values(), percents, strict=True):
         run.percent = percent
-    found = upkeep.list_evacuations(pool_state, "w0", 1.0, 30.0)
-    assert len(found) == stopped
+    stops = upkeep.list_evacuations(pool_state, "w0", 1.0, 30.0)
+    assert len(stops) == stopped
 
 
-# Operators are told of a wave as completed although a VM has not had its
-# upkeep: its worker crashed meanwhile, and its next life was taken for the
+# A wave must not be reported as completed while a VM has not had its upkeep. A
+# worker may crash meanwhile, and its next incarnation must not be taken for the
 # one after the upkeep. Only an answered order counts.
 @pytest.mark.parametrize(
-    ("record", "row", "done"),
+    ("record", "vm", "done"),
     [
         (
             upkeep.WaveRecord(begun={"m0": "w0"}),
@@ -129,23 +131,23 @@
         (upkeep.WaveRecord(begun={"m0": "w0"}), None, True),
     ],
 )
-def test_which_vms_are_back(record, row, done):
-    upkeep.note_back(record, _list(m0=row))
+def test_which_vms_are_back(record, vm, done):
+    upkeep.note_back(record, _list_vms(m0=vm))
     assert ("m0" in record.done) is done
 
 
 @pytest.mark.parametrize(
-    ("done", "gone", "over"),
+    ("done", "removed", "over"),
     [
         ({"m0", "m1", "m2"}, (), True),
         ({"m0", "m1"}, (), False),
         ({"m0", "m1"}, ("m2",), True),
     ],
 )
-def test_when_a_wave_is_over(done, gone, over):
-    listed = _list(**dict.fromkeys(gone))
+def test_when_a_wave_is_over(done, removed, over):
+    listed_vms = _list_vms(**dict.fromkeys(removed))
     record = upkeep.WaveRecord(done=done)
-    assert upkeep.is_over(_WAVE, record, listed) is over
+    assert upkeep.is_over(_WAVE, record, listed_vms) is over
 
 
 def test_record_survives_the_store():
