--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -1,5 +1,8 @@
 """Scheduling core: the state of a pool, and the decisions based on it."""
 
+from crocusrouter.work.advice import Question
+from crocusrouter.work.advice import choose_question
+from crocusrouter.work.book import Book
 from crocusrouter.work.crashes import note_lapsed
 from crocusrouter.work.crashes import note_replaced
 from crocusrouter.work.crashes import note_silent
@@ -14,10 +17,7 @@
 from crocusrouter.work.planner import Placement
 from crocusrouter.work.planner import Plan
 from crocusrouter.work.planner import plan
-from crocusrouter.work.planner_parameters import Policy
-from crocusrouter.work.policy_questions import Question
-from crocusrouter.work.policy_questions import choose_question
-from crocusrouter.work.pool_state import Book
+from crocusrouter.work.policy import Policy
 from crocusrouter.work.progress import Progress
 from crocusrouter.work.progress import dump_progress
 from crocusrouter.work.progress import parse_progress
--- a/crocusrouter/work/pool_state.py
+++ b/crocusrouter/work/book.py
@@ -12,7 +12,7 @@
 from crocusrouter.work import orders
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import runs
-from crocusrouter.work import stop_durations
+from crocusrouter.work import stopping
 
 # Pause before a failed task starts again, so that a task which fails at once
 # does not use up its attempts during a short disturbance of the workers.
@@ -47,7 +47,7 @@
         self.dirty: set[str] = set()
         self.outbox: list[WorkerStop] = []
         self.guaranteed: dict[str, int] = {}
-        self.stop_times = stop_durations.StopTimes()
+        self.stop_times = stopping.StopTimes()
         self.contended_at: float | None = None
         self.events: collections.deque[tuple[str, dict[str, object]]] = (
             collections.deque(maxlen=2000)
@@ -102,8 +102,8 @@
         tracked_job = self.jobs.get(key.job)
         if tracked_job is None or tracked_job.is_final:
             return
-        opened_target = min(key.occurrence + 1, tracked_job.job.occurrences)
-        while tracked_job.opened < opened_target:
+        last = min(key.occurrence + 1, tracked_job.job.occurrences)
+        while tracked_job.opened < last:
             self._open_occurrence(tracked_job, tracked_job.opened, now)
             tracked_job.opened += 1
 
@@ -522,7 +522,7 @@
             # The remaining members would wait for this one or do useless work,
             # so the gang is stopped and starts again as a whole.
             self.stop_step(
-                tracked_step, f"a member of its gang ended: {outcome}", now
+                tracked_step, f"one member of its gang ended: {outcome}", now
             )
 
     def keep_checkpoint(
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -9,18 +9,18 @@
 from collections.abc import Iterable
 import dataclasses
 
+from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
-from crocusrouter.work import planner_parameters
-from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import preemption
+from crocusrouter.work import policy as policies
 from crocusrouter.work import racks
-from crocusrouter.work import relocation
+from crocusrouter.work import rescue
 from crocusrouter.work import runs
 from crocusrouter.work import trials
-from crocusrouter.work import waiting_steps
+from crocusrouter.work import turns
+from crocusrouter.work import victims
 
-_DEFAULT = planner_parameters.Policy()
+_DEFAULT = policies.Policy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -67,7 +67,7 @@
     def __init__(self) -> None:
         self._exhausted: set[tuple[model.Room, str]] = set()
 
-    def note(self, waiting_step: waiting_steps.WaitingStep) -> None:
+    def note(self, waiting_step: turns.WaitingStep) -> None:
         """Record that no worker has room for one task of a step.
 
         Nothing is recorded for a step with restrictions that don't apply to
@@ -80,7 +80,7 @@
             step = waiting_step.tracked_step.step
             self._exhausted.add((step.charge, step.label))
 
-    def is_known(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+    def is_known(self, waiting_step: turns.WaitingStep) -> bool:
         """Tell whether no worker can have room for one task of a step."""
         step = waiting_step.tracked_step.step
         return (step.charge, step.label) in self._exhausted
@@ -95,14 +95,14 @@
         now: float,
         wall: float,
         reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-        policy: planner_parameters.Policy = _DEFAULT,
+        policy: policies.Policy = _DEFAULT,
     ) -> None:
         self._pool_state = pool_state
-        self._parameters = policy
+        self._policy = policy
         self._now = now
         self._wall = wall
         self._plan = Plan()
-        self._stalled_runs = relocation.list_stalled(pool_state, now)
+        self._stalled_runs = rescue.list_stalled(pool_state, now)
         stalled_workers = {run.worker for run in self._stalled_runs}
         self._spaces = {
             name: packing.Space(
@@ -115,9 +115,9 @@
         self._held_workers: set[str] = set()
         self._trial_workers = trials.list_trial_workers(pool_state, now)
         self._exhausted_rooms = _ExhaustedRooms()
-        self._free_times = preemption.FreeTimes(pool_state, now)
-        self._losses = preemption.Losses(pool_state, now)
-        self._guaranteed_used = preemption.count_guaranteed(pool_state)
+        self._free_times = victims.FreeTimes(pool_state, now)
+        self._losses = victims.Losses(pool_state, now)
+        self._guaranteed_used = victims.count_guaranteed(pool_state)
         self._reservations = dict(reserved)
         for key, spots in self._reservations.items():
             self._take_reserved(key, spots)
@@ -133,16 +133,14 @@
 
     def run(self) -> Plan:
         """Choose the runs to relocate, then place all steps in order."""
-        relocations = relocation.list_relocations(
+        relocations = rescue.list_relocations(
             self._pool_state, self._stalled_runs, self._now, self._wall
         )
-        runs_to_stop = relocation.add_gang_members(
-            self._pool_state, relocations
-        )
+        runs_to_stop = rescue.add_gang_members(self._pool_state, relocations)
         self._plan.stops += list(runs_to_stop.values())
         holding_count = 0
-        ordered_steps = waiting_steps.list_waiting_steps(
-            self._pool_state, self._now, self._wall, self._parameters
+        ordered_steps = turns.list_waiting_steps(
+            self._pool_state, self._now, self._wall, self._policy
         )
         for waiting_step in ordered_steps:
             if waiting_step.tracked_step.key in self._reservations:
@@ -150,13 +148,13 @@
             if self._is_held_back(waiting_step):
                 continue
             placed = self._place(waiting_step)
-            if placed or holding_count >= self._parameters.most_holding:
+            if placed or holding_count >= self._policy.most_holding:
                 continue
             self._hold_workers(waiting_step)
             holding_count += 1
         return self._plan
 
-    def _is_held_back(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+    def _is_held_back(self, waiting_step: turns.WaitingStep) -> bool:
         """Tell whether a step leaves free room to urgent work that may follow.
 
         If the first priority had to stop other work a moment ago, more urgent
@@ -170,9 +168,9 @@
             return False
         if waiting_step.late or waiting_step.tracked_step.step.lasting:
             return False
-        return self._now < contended_at + self._parameters.hold_back_s
+        return self._now < contended_at + self._policy.hold_back_s
 
-    def _place(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+    def _place(self, waiting_step: turns.WaitingStep) -> bool:
         """Place as many tasks of a step as possible.
 
         Returns:
@@ -203,7 +201,7 @@
             waiting_step, set(waiting_step.tracked_step.waiting) - set(spots)
         )
 
-    def _place_suspect(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+    def _place_suspect(self, waiting_step: turns.WaitingStep) -> bool:
         """Start a task or gang that may crash its workers alone on its workers.
 
         It stops no other runs, and holds no room while it waits.
@@ -240,7 +238,7 @@
         return True
 
     def _list_allowed_spaces(
-        self, waiting_step: waiting_steps.WaitingStep
+        self, waiting_step: turns.WaitingStep
     ) -> list[packing.Space]:
         """Return the workers that may run a step.
 
@@ -262,7 +260,7 @@
         return preferred_spaces or allowed_spaces
 
     def _list_fitting_spaces(
-        self, waiting_step: waiting_steps.WaitingStep
+        self, waiting_step: turns.WaitingStep
     ) -> list[packing.Space]:
         """Return the allowed spaces with room for at least one task."""
         charge = waiting_step.tracked_step.step.charge
@@ -284,7 +282,7 @@
         )
 
     def _is_permitted(
-        self, waiting_step: waiting_steps.WaitingStep, worker_id: str
+        self, waiting_step: turns.WaitingStep, worker_id: str
     ) -> bool:
         if not waiting_step.tracked_job.job.advised:
             return True
@@ -293,7 +291,7 @@
         )
 
     def _count_free_slots(
-        self, waiting_step: waiting_steps.WaitingStep, space: packing.Space
+        self, waiting_step: turns.WaitingStep, space: packing.Space
     ) -> int:
         """Return how many more tasks of the step a worker may take."""
         limit = waiting_step.tracked_step.step.per_worker
@@ -312,7 +310,7 @@
         )
 
     def _choose_spaces(
-        self, waiting_step: waiting_steps.WaitingStep, count: int
+        self, waiting_step: turns.WaitingStep, count: int
     ) -> list[packing.Space]:
         """Return a space for each task that fits, the tightest fit first."""
         step = waiting_step.tracked_step.step
@@ -337,24 +335,24 @@
             )
         return chosen
 
-    def _may_leave_rack(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+    def _may_leave_rack(self, waiting_step: turns.WaitingStep) -> bool:
         """Tell whether a step has waited long enough for its rack."""
         waiting_since = waiting_step.tracked_step.waiting_since
         waited_s = (
             self._now - waiting_since if waiting_since is not None else 0.0
         )
         step = waiting_step.tracked_step.step
-        patience_factor = self._parameters.idle_rack_patience
+        patience_factor = self._policy.idle_rack_patience
         if self._racks.is_crowded and self._racks.can_hold(step):
-            patience_factor = self._parameters.rack_patience
+            patience_factor = self._policy.rack_patience
         patience_s = patience_factor * step.expected_s
         if self._is_guaranteed(waiting_step):
             patience_s = min(
-                patience_s, self._parameters.guaranteed_rack_patience_s
+                patience_s, self._policy.guaranteed_rack_patience_s
             )
         return waited_s >= patience_s
 
-    def _place_gang(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+    def _place_gang(self, waiting_step: turns.WaitingStep) -> bool:
         spaces = self._choose_gang(
             waiting_step, self._list_fitting_spaces(waiting_step)
         )
@@ -378,7 +376,7 @@
 
     def _choose_gang(
         self,
-        waiting_step: waiting_steps.WaitingStep,
+        waiting_step: turns.WaitingStep,
         spaces: list[packing.Space],
     ) -> list[packing.Space] | None:
         """Return a space for each gang member; None if they don't all fit."""
@@ -400,9 +398,9 @@
             return None
         return packing.fill(spaces, step.charge, step.count, count_slots)
 
-    # Guarantees and preemption.
+    # Guarantees and victims.
 
-    def _is_guaranteed(self, waiting_step: waiting_steps.WaitingStep) -> bool:
+    def _is_guaranteed(self, waiting_step: turns.WaitingStep) -> bool:
         """Tell whether a step is covered by its customer's guarantee."""
         job = waiting_step.tracked_job.job
         if job.priority != 0:
@@ -414,7 +412,7 @@
         return used + needed <= self._pool_state.guaranteed.get(job.customer, 0)
 
     def _preempt(
-        self, waiting_step: waiting_steps.WaitingStep, missing_indices: set[int]
+        self, waiting_step: turns.WaitingStep, missing_indices: set[int]
     ) -> bool:
         """Stop runs of lower priority to make room for the missing tasks.
 
@@ -426,10 +424,10 @@
         """
         job = waiting_step.tracked_job.job
         step = waiting_step.tracked_step.step
-        loss_factor = self._parameters.find_loss_factor(job.priority)
+        loss_factor = self._policy.find_loss_factor(job.priority)
         if not loss_factor or waiting_step.hopeless or step.lasting:
             return False
-        victims = preemption.choose_victims(
+        preempted = victims.choose_victims(
             self._losses,
             job.priority,
             step,
@@ -441,27 +439,29 @@
             },
             may_leave_rack=self._may_leave_rack(waiting_step),
         )
-        if victims is None:
+        if preempted is None:
             return False
         own_cost = step.charge.cores * step.expected_s * len(missing_indices)
         is_guaranteed = self._is_guaranteed(waiting_step)
-        if not is_guaranteed and victims.cost > loss_factor * own_cost:
+        if not is_guaranteed and preempted.cost > loss_factor * own_cost:
             return False
-        spots = dict(zip(sorted(missing_indices), victims.workers, strict=True))
+        spots = dict(
+            zip(sorted(missing_indices), preempted.workers, strict=True)
+        )
         claim = "guaranteed to" if is_guaranteed else "wanted first by"
         reason = f"its room is {claim} job {job.id}"
-        self._plan.stops += [(run, reason) for run in victims.runs]
-        if victims.runs and job.priority == 0:
+        self._plan.stops += [(run, reason) for run in preempted.runs]
+        if preempted.runs and job.priority == 0:
             self._plan.contended = True
-        self._losses.note_chosen(victims)
+        self._losses.note_chosen(preempted)
         self._plan.reservations.append(
             Placement(waiting_step.tracked_step.key, spots)
         )
-        for worker in victims.workers:
+        for worker in preempted.workers:
             self._spaces[worker].take(step.charge)
         return True
 
-    def _hold_workers(self, waiting_step: waiting_steps.WaitingStep) -> None:
+    def _hold_workers(self, waiting_step: turns.WaitingStep) -> None:
         """Keep later steps off the workers that will fit this step first."""
         step = waiting_step.tracked_step.step
         task_count = len(waiting_step.tracked_step.waiting)
@@ -481,7 +481,7 @@
     wall: float,
     *,
     reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-    policy: planner_parameters.Policy = _DEFAULT,
+    policy: policies.Policy = _DEFAULT,
 ) -> Plan:
     """Return what to start and stop now.
 
@@ -490,6 +490,6 @@
         now: Steady time in seconds.
         wall: Unix time in seconds.
         reserved: Room reserved for steps whose victims have not ended yet.
-        policy: Weights and limits.
+        policy: Weights and limits of the planner.
     """
     return Planner(pool_state, now, wall, reserved, policy).run()
--- a/crocusrouter/work/planner_parameters.py
+++ b/crocusrouter/work/policy.py
@@ -1,4 +1,4 @@
-"""Parameters by which the planner orders, places and preempts steps."""
+"""Policy of the planner: how it orders, places and preempts steps."""
 
 import dataclasses
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -1,11 +1,11 @@
 """Updates of a pool's state from the reports of its workers."""
 
+from crocusrouter.work import book as pool_states
 from crocusrouter.work import crashes
 from crocusrouter.work import model
 from crocusrouter.work import orders
-from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
-from crocusrouter.work import worker_failures
+from crocusrouter.work import suspicion
 
 # These ends are caused by the task itself and leave its worker running.
 _ENDS_BY_TASK = frozenset({orders.How.DONE, orders.How.FAILED})
@@ -216,7 +216,7 @@
     now: float,
 ) -> None:
     """Record that a task has succeeded."""
-    worker_failures.note_success(pool_state.workers.get(worker_id))
+    suspicion.note_success(pool_state.workers.get(worker_id))
     if tracked_step.step.lasting:
         # A lasting task runs again until its job is cancelled, however it ends.
         tracked_step.waiting.add(key.position)
@@ -246,7 +246,7 @@
     now: float,
 ) -> None:
     """Record that a task has failed; fail its job after the last attempt."""
-    worker_failures.note_failure(
+    suspicion.note_failure(
         pool_state.workers.get(worker_id),
         tracked_job.job.id,
         now,
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -83,7 +83,7 @@
             lead to different plans.
         strays: Runs there that belong to no task of this pool's state, and that
             are being stopped.
-        failed_jobs: Jobs whose tasks failed here since a task last succeeded.
+        failures: Jobs whose tasks failed here since a task last succeeded.
         suspect_until: Steady time until which nothing new starts there.
         noted: Number of the last end that was taken into the pool's state.
         leaves_at: Steady time until which a draining worker stays at least;
@@ -110,7 +110,7 @@
     strays: set[tuple[model.TaskKey, int]] = dataclasses.field(
         default_factory=set
     )
-    failed_jobs: set[str] = dataclasses.field(default_factory=set)
+    failures: set[str] = dataclasses.field(default_factory=set)
     suspect_until: float = 0.0
     noted: int = 0
     leaves_at: float | None = None
--- a/crocusrouter/work/worker_failures.py
+++ b/crocusrouter/work/suspicion.py
@@ -21,7 +21,7 @@
 def note_success(worker: runs.Worker | None) -> None:
     """Record that a task succeeded on a worker."""
     if worker is not None:
-        worker.failed_jobs.clear()
+        worker.failures.clear()
 
 
 def note_failure(
@@ -33,12 +33,12 @@
     """Record that a task failed, and suspect the worker if it is at fault."""
     if worker is None:
         return
-    worker.failed_jobs.add(job_id)
-    if len(worker.failed_jobs) >= _JOBS_TO_SUSPECT:
+    worker.failures.add(job_id)
+    if len(worker.failures) >= _JOBS_TO_SUSPECT:
         worker.suspect_until = now + _SUSPECT_S
         note(
             "worker:suspected",
             worker=worker.entry.id,
-            jobs=len(worker.failed_jobs),
+            jobs=len(worker.failures),
             until=worker.suspect_until,
         )
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -212,8 +212,8 @@
     assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
-@pytest.mark.parametrize(("waited", "reserved"), [(0.0, False), (2.0, True)])
-def test_guaranteed_gang_stops_runs_in_one_rack_first(waited, reserved):
+@pytest.mark.parametrize(("waited", "reclaimed"), [(0.0, False), (2.0, True)])
+def test_guaranteed_gang_stops_runs_in_one_rack_first(waited, reclaimed):
     """Runs must not be stopped across racks at once for a guaranteed gang.
 
     Such a gang takes three times as long, holds its room as long, and ends
@@ -228,7 +228,7 @@
     build.apply_plan(pool_state)
     build.add_job(pool_state, build.make_job("high", gang_step, priority=0))
     plan = work.plan(pool_state, waited, build.WALL + waited)
-    assert bool(plan.reservations) is reserved
+    assert bool(plan.reservations) is reclaimed
 
 
 def test_late_step_goes_behind_steps_that_can_still_be_in_time():
@@ -281,10 +281,10 @@
 # Two urgent steps in one decision must not stop two runs if the room of one is
 # enough for both.
 def test_room_that_one_step_frees_serves_the_next_step_too():
-    large_step = build.make_step(1, gpu=8)
+    large = build.make_step(1, gpu=8)
     pool_state = build.make_book(
-        build.make_job("l0", large_step, priority=2),
-        build.make_job("l1", large_step, priority=2),
+        build.make_job("l0", large, priority=2),
+        build.make_job("l1", large, priority=2),
     )
     build.apply_plan(pool_state)
     for number in range(2):
--- a/crocusrouter/work/tests/test_racks.py
+++ b/crocusrouter/work/tests/test_racks.py
@@ -96,5 +96,5 @@
     gang_step = build.make_step(2, gpu=8, gang=True, one_rack=True)
     build.add_job(pool_state, build.make_job("gang", gang_step))
     plan = work.plan(pool_state, waited_s, build.WALL + waited_s)
-    started_jobs = {placement.step.job for placement in plan.placements}
-    assert ("gang" in started_jobs) is placed
+    started = {placement.step.job for placement in plan.placements}
+    assert ("gang" in started) is placed
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -9,11 +9,11 @@
 
 
 def _list_vms(**overrides):
-    vms_by_name = {
+    rows = {
         f"m{number}": vms.Vm(f"m{number}", "p", _UP, f"w{number}")
         for number in range(3)
     } | overrides
-    return tuple(vm for vm in vms_by_name.values() if vm is not None)
+    return tuple(row for row in rows.values() if row is not None)
 
 
 def _make_book(*jobs):
--- a/crocusrouter/work/waiting_steps.py
+++ b/crocusrouter/work/turns.py
@@ -6,11 +6,11 @@
 
 import dataclasses
 
-from crocusrouter.work import planner_parameters
-from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import book as pool_states
+from crocusrouter.work import policy as policies
 from crocusrouter.work import runs
 
-_DEFAULT = planner_parameters.Policy()
+_DEFAULT = policies.Policy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -50,7 +50,7 @@
     pool_state: pool_states.Book,
     now: float,
     wall: float,
-    parameters: planner_parameters.Policy = _DEFAULT,
+    policy: policies.Policy = _DEFAULT,
 ) -> list[WaitingStep]:
     """Return the steps with waiting tasks, in scheduling order.
 
@@ -58,7 +58,7 @@
         pool_state: State of the pool.
         now: Steady time in seconds.
         wall: Unix time in seconds.
-        parameters: Weights and limits of the planner.
+        policy: Weights and limits of the planner.
     """
     waiting_steps = []
     blocked_jobs = pool_state.list_blocked()
@@ -79,9 +79,7 @@
                 continue
             if pool_state.is_ready(tracked_job, tracked_step):
                 waiting_steps.append(
-                    _build_waiting_step(
-                        tracked_job, tracked_step, wall, parameters
-                    )
+                    _build_waiting_step(tracked_job, tracked_step, wall, policy)
                 )
     return sorted(waiting_steps, key=lambda waiting_step: waiting_step.rank)
 
@@ -90,14 +88,14 @@
     tracked_job: runs.JobWork,
     tracked_step: runs.StepWork,
     wall: float,
-    parameters: planner_parameters.Policy,
+    policy: policies.Policy,
 ) -> WaitingStep:
     job = tracked_job.job
     due_at = job.find_due(tracked_step.key.occurrence)
     objective_s = job.objective_s
     remaining_s = job.tails[tracked_step.key.step]
     hopeless = (
-        wall > due_at + parameters.late_factor * objective_s
+        wall > due_at + policy.late_factor * objective_s
         and not tracked_step.step.lasting
     )
     latest_start = due_at + objective_s - remaining_s
--- a/crocusrouter/work/preemption.py
+++ b/crocusrouter/work/victims.py
@@ -5,9 +5,9 @@
 import heapq
 from typing import NamedTuple
 
+from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
-from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 _NEVER_S = 1e9
@@ -167,8 +167,8 @@
             tracked_job = self.pool_state.jobs.get(key.job)
             if tracked_step is None or tracked_job is None:
                 continue
-            is_ending = run.phase is runs.Phase.STOPPING or key in self.chosen
-            if is_ending:
+            ending = run.phase is runs.Phase.STOPPING or key in self.chosen
+            if ending:
                 # Its room becomes free in any case.
                 candidates.append(_Candidate(0.0, run, tracked_step))
             elif (
