--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/rescue.py
@@ -15,7 +15,7 @@
 # Share of a task's run time. Tasks report whole percents, so a task that takes
 # hours reports no progress for minutes.
 _STALL_SHARE = 0.05
-# Stalls after which a task with checkpoints is restarted. The restart costs its
+# Stall after which a task with checkpoints is restarted. The restart costs its
 # room for only a second. A worker usually hangs for some seconds, so a stall of
 # this length is not over soon.
 _CHECKPOINT_STALL_S = 3.0
