--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -26,13 +26,13 @@
     Attributes:
         epoch: Epoch of this owner.
         jobs: All known jobs by id.
-        live: The jobs that are not over.
+        live_jobs: The jobs that are not over.
         workers: Workers by the id of their incarnation.
         runs: The latest run of each task that may be running.
         dirty: Ids of the jobs whose progress must be journaled.
         outbox: Stop orders to send, with the worker that each goes to.
         guaranteed: Guaranteed accelerators by customer.
-        stop_times: Estimate of how long stops take.
+        stop_durations: Estimate of how long stops take.
         contended_at: When the first priority last had to stop other work to
             find room, on the steady clock; None if it never had to.
         events: Log lines that the controller has yet to write.
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -29,7 +29,7 @@
     Attributes:
         key: The task.
         run: Number of the start.
-        saved: Latest checkpoint; empty for none.
+        checkpoint: Latest checkpoint; empty for none.
         percent: Progress as the task reports it.
         load: Tail latency of its answers in ms for a serving task, else the
             thousandths of a core in use.
@@ -50,8 +50,8 @@
         number: Rises with each end on this incarnation.
         key: The task.
         run: Number of the start.
-        how: How the run ended.
-        saved: Latest checkpoint; empty for none.
+        outcome: How the run ended.
+        checkpoint: Latest checkpoint; empty for none.
     """
 
     number: int
@@ -104,7 +104,7 @@
     """The worker refused an order and did nothing.
 
     Attributes:
-        why: Reason of the refusal.
+        reason: Reason for the refusal.
         clock_ms: The worker's clock.
         incarnation: The incarnation that answered in place of the addressed
             one; None if unknown.
@@ -136,7 +136,7 @@
         key: The task.
         run: Number of the start; members of a gang share it.
         payload: Passed to the task.
-        saved: Checkpoint to resume from; empty for none.
+        checkpoint: Checkpoint to resume from; empty for none.
         ticket: Permission of the policy service; empty if none is needed.
     """
 
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -30,7 +30,7 @@
     Attributes:
         step: The step.
         spots: Id of the worker by index of the task.
-        alone: Whether the workers take no other task for a while.
+        is_trial: Whether the workers take no other task for a while.
     """
 
     step: model.StepKey
--- a/crocusrouter/work/policy.py
+++ b/crocusrouter/work/policy.py
@@ -1,4 +1,4 @@
-"""Policy of the planner: how it orders, places and preempts steps."""
+"""Weights and limits by which the planner orders and preempts steps."""
 
 import dataclasses
 
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -41,12 +41,13 @@
 
     Attributes:
         done: Indices of tasks that succeeded.
-        failed: Numbers of the runs that failed, by index of the task; a gang's
-            under index 0. Numbers instead of a count, because a worker lists an
+        failed_runs: Numbers of the runs that failed, by index of the task; a
+            gang's under index 0. Numbers instead of a count, because a worker lists an
             end until it is confirmed, and a new owner may read an end that is
             journaled already. If it counted twice, a job would fail before it
             has used up its attempts.
-        saved: Latest checkpoint by index of the task; a gang's under index 0.
+        checkpoints: Latest checkpoint by index of the task; a gang's under
+            index 0.
         crashes: Worker crashes by index of the task that ran there, also for
             gangs, whose other members only ended as a consequence. A new owner
             that did not know of them would start the task as many times again.
@@ -80,7 +81,7 @@
     Attributes:
         steps: Progress by occurrence and index of the step.
         final: Final state of the job; None while it has none.
-        finished_at: Unix time in seconds of the final state.
+        finished_at: Unix time in seconds at which the job ended.
     """
 
     steps: dict[tuple[int, int], StepProgress] = dataclasses.field(
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -30,19 +30,20 @@
         key: The task.
         number: Number of the start; it rises, and the members of a gang share
             it.
-        worker: Id of the worker.
-        since: When the start was ordered, on the steady clock.
+        worker_id: Id of the worker.
+        ordered_at: When the start was ordered, on the steady clock.
         phase: Present phase.
         confirmed_at: When the worker first reported the run as running.
-        saved: Latest checkpoint.
+        checkpoint: Latest checkpoint.
         percent: Progress as the task reports it.
         progressed_at: When `percent` last changed.
-        load: See `orders.Running`.
-        maybe_begun: Whether a start order was sent and not refused.
-        why: Reason for the stop, for the log.
+        load: Tail latency of its answers in ms for a serving task, else the
+            thousandths of a core in use.
+        maybe_started: Whether a start order was sent and not refused.
+        stop_reason: Reason for the stop, for the log.
         stop_ordered_at: Steady time at which the stop was decided; 0 if no stop
             was decided.
-        work: Step of the task; None if its job is unknown.
+        tracked_step: Step of the task; None if its job is unknown.
         pace: Percent of its speed that the worker was last told to give it.
         paced_at: Steady time at which the worker confirmed `pace`.
     """
@@ -75,26 +76,26 @@
         reached: Whether the worker has answered under this owner's epoch.
         silent_since: Since when the worker has not answered; None if it does.
         last_report_at: When the worker last reported its runs; None if never.
-        lapsed: Whether everything that ran there has certainly ended.
-        gone: Whether another incarnation answers at the worker's address.
+        all_runs_ended: Whether everything that ran there has certainly ended.
+        replaced: Whether another incarnation answers at the worker's address.
         used: Room that runs take.
         runs: Runs there by task, in the order of their starts. Iterating over a
             set of keys would differ between processes, and equal states would
             lead to different plans.
-        strays: Runs there that belong to no task of this pool's state, and that
-            are being stopped.
+        stray_runs: Runs there that belong to no task of this pool's state, and
+            that are being stopped.
         failures: Jobs whose tasks failed here since a task last succeeded.
         suspect_until: Steady time until which nothing new starts there.
-        noted: Number of the last end that was taken into the pool's state.
+        last_end_number: Number of the last end that was recorded.
         leaves_at: Steady time until which a draining worker stays at least;
             None if it does not say.
-        sealed: Whether the worker has ever been draining; it never gets new
-            tasks again.
-        resting: Whether it is being emptied for the upkeep of its VM.
+        was_draining: Whether the worker has ever been draining; it never gets
+            new tasks again.
+        evacuating: Whether it is being emptied for the upkeep of its VM.
         was_evacuated: Whether it was ever emptied for upkeep, in which case its
             end is expected and no crash.
         trial_until: Steady time until which a suspected task runs there alone.
-        blocks: Jobs that may run there according to the previous owner's
+        possible_jobs: Jobs that may run there according to the previous owner's
             records, while the worker has not been reached; None for any job.
     """
 
@@ -165,9 +166,9 @@
     Attributes:
         key: Identifies the step.
         step: Requirements of the step's tasks.
-        kept: Progress that the journal keeps.
-        waiting: Indices of tasks that are neither running nor done.
-        running: Runs by index of the task.
+        progress: Progress that the journal keeps.
+        waiting_indices: Indices of tasks that are neither running nor done.
+        runs_by_index: Runs by index of the task.
         avoided_workers: Workers on which a task of the step failed or was
             rejected.
         not_before: Steady time before which no task of the step starts again.
@@ -202,10 +203,10 @@
     Attributes:
         job: The job as it was accepted.
         progress: Progress that the journal keeps.
-        created: Store revision at which the job was accepted.
+        accepted_revision: Store revision at which the job was accepted.
         steps: Steps of the occurrences that have been opened.
-        opened: How many occurrences have become due so far.
-        begun: Whether a task of the job has started.
+        opened_count: How many occurrences have become due so far.
+        has_started: Whether a task of the job has started.
         durable: Whether the final state is in the journal.
         over_since: Steady time at which the job was first known to be over.
         has_unsaved_crash: Whether a worker crash under one of its tasks is not
