--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs of steps and tasks: the book of a pool and what it decides."""
+"""Scheduling core: the state of a pool, and the decisions based on it."""
 
 from crocusrouter.work.advice import Question
 from crocusrouter.work.advice import choose_question
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -14,40 +14,46 @@
 
 
 @pytest.mark.parametrize(
-    ("gpus", "free", "chosen"),
+    ("gpus", "free", "chosen_worker"),
     [
         (1, {"w0": 8, "w1": 2}, "w1"),
         (2, {"w0": 8, "w1": 2}, "w1"),
         (4, {"w0": 8, "w1": 2}, "w0"),
     ],
 )
-def test_small_tasks_leave_whole_workers_free(gpus, free, chosen):
-    book = build.make_book(build.make_job("j", build.make_step(1, gpu=gpus)))
-    for name, count in free.items():
-        used = book.workers[name].used
-        book.workers[name].used = used._replace(accelerators=8 - count)
-    plan = work.plan(book, 0.0, build.WALL)
-    assert _find_workers(plan, "j") == [{chosen}]
+def test_small_tasks_leave_whole_workers_free(gpus, free, chosen_worker):
+    pool_state = build.make_book(
+        build.make_job("j", build.make_step(1, gpu=gpus))
+    )
+    for worker_id, count in free.items():
+        used = pool_state.workers[worker_id].used
+        pool_state.workers[worker_id].used = used._replace(
+            accelerators=8 - count
+        )
+    plan = work.plan(pool_state, 0.0, build.WALL)
+    assert _find_workers(plan, "j") == [{chosen_worker}]
 
 
 def test_gang_is_placed_whole_or_not_at_all():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(3, gpu=8, gang=True))
     )
-    assert work.plan(book, 0.0, build.WALL).placements == []
+    assert work.plan(pool_state, 0.0, build.WALL).placements == []
 
 
 @pytest.mark.parametrize(("waited", "placed"), [(6.0, False), (11.0, True)])
 def test_gang_waits_for_one_rack_for_a_while(waited, placed):
     """A gang across racks takes three times as long as one in a rack."""
     step = build.make_step(2, gpu=8, gang=True, one_rack=True)
-    book = build.make_book(build.make_job("j", step), racks=("r0-0", "r0-1"))
-    plan = work.plan(book, waited, build.WALL + waited)
+    pool_state = build.make_book(
+        build.make_job("j", step), racks=("r0-0", "r0-1")
+    )
+    plan = work.plan(pool_state, waited, build.WALL + waited)
     assert bool(plan.placements) is placed
 
 
 @pytest.mark.parametrize(
-    ("change", "expected"),
+    ("overrides", "expected"),
     [
         ({"label": "b"}, set()),
         ({"label": "a"}, {"w0", "w1"}),
@@ -55,18 +61,20 @@
         ({"rack": "r0-1"}, {"w1"}),
     ],
 )
-def test_where_tasks_may_go(change, expected):
-    step = build.make_step(2, gpu=5, **change)
-    book = build.make_book(build.make_job("j", step), racks=("r0-0", "r0-1"))
-    plan = work.plan(book, 0.0, build.WALL)
+def test_workers_that_tasks_may_use(overrides, expected):
+    step = build.make_step(2, gpu=5, **overrides)
+    pool_state = build.make_book(
+        build.make_job("j", step), racks=("r0-0", "r0-1")
+    )
+    plan = work.plan(pool_state, 0.0, build.WALL)
     assert set().union(*_find_workers(plan, "j")) == expected
 
 
 def test_tasks_wait_for_the_steps_before():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(2), build.make_step(1, after=(0,)))
     )
-    plan = build.start_planned(book)
+    plan = build.apply_plan(pool_state)
     assert [p.step.step for p in plan.placements] == [0]
 
 
@@ -78,73 +86,79 @@
         (4, 1.0, True),
     ],
 )
-def test_first_priority_stops_what_is_in_its_way(guaranteed, ran_s, stopped):
-    """A customer claims its accelerators while others use all of them.
+def test_first_priority_stops_runs_that_use_its_room(
+    guaranteed, ran_s, stopped
+):
+    """A customer must get its guaranteed accelerators while others use all.
 
-    Runs of lower priority are stopped; the room is kept for the claim until
-    they have ended, and nothing else takes it. Beyond the guarantee only
-    runs are stopped that lose little.
+    Runs of lower priority are stopped, and the room is reserved until they have
+    ended. Beyond the guarantee, only runs that lose little work are stopped.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("low", build.make_step(16, gpu=1), priority=2),
         guaranteed={"a": guaranteed},
     )
-    build.start_planned(book)
-    for run in book.runs.values():
-        run.moved_at = ran_s
-    build.put(
-        book, build.make_job("high", build.make_step(1, gpu=8), priority=0)
+    build.apply_plan(pool_state)
+    for run in pool_state.runs.values():
+        run.progressed_at = ran_s
+    build.add_job(
+        pool_state,
+        build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
-    plan = work.plan(book, ran_s, build.WALL)
+    plan = work.plan(pool_state, ran_s, build.WALL)
     assert bool(plan.stops) is stopped
     assert bool(plan.reservations) is stopped
 
 
-def test_victims_are_those_that_lose_least():
-    book = build.make_book(
+def test_victims_are_the_runs_that_lose_least():
+    pool_state = build.make_book(
         build.make_job("old", build.make_step(1, gpu=8), priority=2),
         build.make_job("new", build.make_step(1, gpu=8), priority=2),
         guaranteed={"a": 8},
     )
-    build.start_planned(book)
-    old = book.runs[work.TaskKey("old", 0, 0, 0)]
-    new = book.runs[work.TaskKey("new", 0, 0, 0)]
-    old.confirmed_at, new.confirmed_at = 0.0, 50.0
-    old.moved_at = new.moved_at = 60.0
-    build.put(
-        book, build.make_job("high", build.make_step(1, gpu=8), priority=0)
+    build.apply_plan(pool_state)
+    old_run = pool_state.runs[work.TaskKey("old", 0, 0, 0)]
+    new_run = pool_state.runs[work.TaskKey("new", 0, 0, 0)]
+    old_run.confirmed_at, new_run.confirmed_at = 0.0, 50.0
+    old_run.progressed_at = new_run.progressed_at = 60.0
+    build.add_job(
+        pool_state,
+        build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
-    plan = work.plan(book, 60.0, build.WALL)
-    assert [run for run, _ in plan.stops] == [new]
+    plan = work.plan(pool_state, 60.0, build.WALL)
+    assert [run for run, _ in plan.stops] == [new_run]
 
 
 def test_gang_is_stopped_whole():
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("g", build.make_step(2, gpu=8, gang=True), priority=2),
         guaranteed={"a": 8},
     )
-    build.start_planned(book)
-    build.put(
-        book, build.make_job("high", build.make_step(1, gpu=8), priority=0)
+    build.apply_plan(pool_state)
+    build.add_job(
+        pool_state,
+        build.make_job("high", build.make_step(1, gpu=8), priority=0),
     )
-    plan = work.plan(book, 1.0, build.WALL)
+    plan = work.plan(pool_state, 1.0, build.WALL)
     assert len(plan.stops) == 2
 
 
-def test_large_work_is_not_starved_by_small_work():
-    """A task that needs a whole worker waits while single accelerators that
-    come free go to smaller tasks behind it, again and again.
+def test_large_task_is_not_starved_by_small_tasks():
+    """A task that needs a whole worker must not wait for ever.
 
-    The worker that will have room first is held for it.
+    Single accelerators that become free would go to smaller tasks behind it
+    again and again. The worker that will have room first is held for it.
     """
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("s", build.make_step(1, gpu=1), priority=2),
         workers=("w0",),
     )
-    build.start_planned(book)
-    build.put(book, build.make_job("big", build.make_step(1, gpu=8)))
-    build.put(book, build.make_job("t", build.make_step(1), priority=2))
-    assert work.plan(book, 1.0, build.WALL).placements == []
+    build.apply_plan(pool_state)
+    build.add_job(pool_state, build.make_job("big", build.make_step(1, gpu=8)))
+    build.add_job(
+        pool_state, build.make_job("t", build.make_step(1), priority=2)
+    )
+    assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
 @pytest.mark.parametrize(
@@ -155,78 +169,90 @@
         (frozenset(), {"new", "old", "other"}),
     ],
 )
-def test_what_may_start_before_every_worker_has_told(blocks, expected):
-    """A successor starts a task that its predecessor had started on a
-    worker which nobody can reach yet, and it runs twice.
+def test_jobs_that_may_start_before_every_worker_has_reported(blocks, expected):
+    """A task must not start twice after a takeover.
 
-    Until that worker has told, only jobs start that the predecessor cannot
-    have known, or had not running there when it wrote the list down.
+    The previous owner may have started it on a worker that cannot be reached
+    yet. Until that worker has reported, only jobs start that the previous owner
+    cannot have known, or did not list as running there.
     """
-    book = build.make_book()
-    book.epoch = 50
-    build.put(book, build.make_job("old", build.make_step()), created=40)
-    build.put(book, build.make_job("other", build.make_step()), created=41)
-    build.put(book, build.make_job("new", build.make_step()), created=60)
-    book.set_worker(build.make_entry("gone"), 0.0)
-    book.workers["gone"].blocks = blocks
-    plan = work.plan(book, 0.0, build.WALL)
+    pool_state = build.make_book()
+    pool_state.epoch = 50
+    build.add_job(
+        pool_state, build.make_job("old", build.make_step()), created=40
+    )
+    build.add_job(
+        pool_state, build.make_job("other", build.make_step()), created=41
+    )
+    build.add_job(
+        pool_state, build.make_job("new", build.make_step()), created=60
+    )
+    pool_state.set_worker(build.make_entry("gone"), 0.0)
+    pool_state.workers["gone"].blocks = blocks
+    plan = work.plan(pool_state, 0.0, build.WALL)
     assert {placement.step.job for placement in plan.placements} == expected
 
 
 def test_draining_and_silent_workers_get_nothing():
-    book = build.make_book(build.make_job("j", build.make_step(4, gpu=4)))
-    book.set_worker(build.make_entry("w0", draining=True), 0.0)
-    book.note_silent("w1", 0.0)
-    assert work.plan(book, 0.0, build.WALL).placements == []
+    pool_state = build.make_book(build.make_job("j", build.make_step(4, gpu=4)))
+    pool_state.set_worker(build.make_entry("w0", draining=True), 0.0)
+    pool_state.note_silent("w1", 0.0)
+    assert work.plan(pool_state, 0.0, build.WALL).placements == []
 
 
-def test_run_that_stops_keeps_its_room():
-    book = build.make_book(
+def test_stopping_run_keeps_its_room():
+    pool_state = build.make_book(
         build.make_job("j", build.make_step(1, gpu=8)), workers=("w0",)
     )
-    build.start_planned(book)
-    run = book.runs[work.TaskKey("j", 0, 0, 0)]
-    book.stop_run(run, "test", 1.0)
-    build.put(book, build.make_job("k", build.make_step(1, gpu=8)))
+    build.apply_plan(pool_state)
+    run = pool_state.runs[work.TaskKey("j", 0, 0, 0)]
+    pool_state.stop_run(run, "test", 1.0)
+    build.add_job(pool_state, build.make_job("k", build.make_step(1, gpu=8)))
     assert run.phase is runs.Phase.STOPPING
-    assert work.plan(book, 1.0, build.WALL).placements == []
+    assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
 @pytest.mark.parametrize(("waited", "reclaimed"), [(0.0, False), (2.0, True)])
 def test_guaranteed_gang_stops_runs_in_one_rack_first(waited, reclaimed):
-    """Jobs of the first priority hold three times their room, and end late,
-    because runs were stopped for them across racks at once.
+    """Runs must not be stopped across racks at once for a guaranteed gang.
 
-    Only what has waited for a rack as long as its bound allows is spread.
+    Such a gang takes three times as long, holds its room as long, and ends
+    late. It may use several racks only after it has waited for one for as long
+    as allowed.
     """
-    low = build.make_job("low", build.make_step(2, gpu=8), priority=2)
-    gang = build.make_step(2, gpu=8, gang=True, one_rack=True)
-    book = build.make_book(low, racks=("r0-0", "r0-1"), guaranteed={"a": 16})
-    build.start_planned(book)
-    build.put(book, build.make_job("high", gang, priority=0))
-    plan = work.plan(book, waited, build.WALL + waited)
+    low_job = build.make_job("low", build.make_step(2, gpu=8), priority=2)
+    gang_step = build.make_step(2, gpu=8, gang=True, one_rack=True)
+    pool_state = build.make_book(
+        low_job, racks=("r0-0", "r0-1"), guaranteed={"a": 16}
+    )
+    build.apply_plan(pool_state)
+    build.add_job(pool_state, build.make_job("high", gang_step, priority=0))
+    plan = work.plan(pool_state, waited, build.WALL + waited)
     assert bool(plan.reservations) is reclaimed
 
 
-def test_late_work_goes_behind_what_can_still_be_in_time():
-    """All jobs of a burst end late, each started just after its last moment.
+def test_late_step_goes_behind_steps_that_can_still_be_in_time():
+    """A burst must not make all of its jobs late.
 
-    Steps whose objective is past go behind those that can still meet it.
+    If each job started just after its latest start, all would end late. Steps
+    whose objective is past therefore go last.
     """
-    book = build.make_book(workers=("w0",))
-    build.put(
-        book,
+    pool_state = build.make_book(workers=("w0",))
+    build.add_job(
+        pool_state,
         build.make_job(
             "late", build.make_step(1, gpu=8), accepted_at=build.WALL - 8
         ),
     )
-    build.put(book, build.make_job("early", build.make_step(1, gpu=8)))
-    plan = work.plan(book, 0.0, build.WALL)
+    build.add_job(
+        pool_state, build.make_job("early", build.make_step(1, gpu=8))
+    )
+    plan = work.plan(pool_state, 0.0, build.WALL)
     assert [p.step.job for p in plan.placements] == ["early"]
 
 
-# A gang of the second priority waits behind many small tasks of the third,
-# although some of them would lose nothing by a stop.
+# A gang of the second priority must not wait behind many small tasks of the
+# third priority that would lose nothing by a stop.
 @pytest.mark.parametrize(
     ("priority", "checkpoints", "stopped"),
     [
@@ -236,28 +262,37 @@
         (2, True, False),
     ],
 )
-def test_what_makes_room_for_which_priority(priority, checkpoints, stopped):
-    small = build.make_step(16, gpu=1, checkpoints=checkpoints)
-    book = build.make_book(build.make_job("small", small, priority=3))
-    build.start_planned(book)
-    gang = build.make_step(2, gpu=8, gang=True)
-    build.put(book, build.make_job("gang", gang, priority=priority), now=1.0)
-    plan = work.plan(book, 1.0, build.WALL + 1.0)
+def test_runs_that_make_room_for_each_priority(priority, checkpoints, stopped):
+    small_step = build.make_step(16, gpu=1, checkpoints=checkpoints)
+    pool_state = build.make_book(
+        build.make_job("small", small_step, priority=3)
+    )
+    build.apply_plan(pool_state)
+    gang_step = build.make_step(2, gpu=8, gang=True)
+    build.add_job(
+        pool_state,
+        build.make_job("gang", gang_step, priority=priority),
+        now=1.0,
+    )
+    plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert bool(plan.stops) is stopped
 
 
-# Two claims in one decision stopped two runs where one made room for both.
-def test_room_that_one_claim_frees_serves_the_next_one_too():
+# Two urgent steps in one decision must not stop two runs if the room of one is
+# enough for both.
+def test_room_that_one_step_frees_serves_the_next_step_too():
     large = build.make_step(1, gpu=8)
-    book = build.make_book(
+    pool_state = build.make_book(
         build.make_job("l0", large, priority=2),
         build.make_job("l1", large, priority=2),
     )
-    build.start_planned(book)
+    build.apply_plan(pool_state)
     for number in range(2):
-        claim = build.make_step(1, gpu=4)
-        build.put(book, build.make_job(f"c{number}", claim, priority=0))
-    plan = work.plan(book, 1.0, build.WALL + 1.0)
+        urgent_step = build.make_step(1, gpu=4)
+        build.add_job(
+            pool_state, build.make_job(f"c{number}", urgent_step, priority=0)
+        )
+    plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert len(plan.stops) == 1
     assert len(plan.reservations) == 2
 
@@ -276,29 +311,33 @@
 def test_room_is_left_to_urgent_work_after_it_had_to_stop_others(
     priority, lasting, after_s, placed
 ):
-    """Urgent gangs come one after the other in a full pool. What was stopped
-    for one of them started again in the next gap, was stopped again for the
-    next gang within a second, and that gang waited for the stop.
+    """Runs must not be stopped repeatedly for a series of urgent gangs.
+
+    In a full pool, runs that were stopped for one gang started again in the
+    next free room. They were stopped again within a second for the next gang,
+    which had to wait for that stop.
     """
     step = build.make_step(1, lasting=lasting)
-    book = build.make_book(build.make_job("j", step, priority=priority))
+    pool_state = build.make_book(build.make_job("j", step, priority=priority))
     now = 10.0
     if after_s is not None:
-        book.note_contention(now - after_s)
-    plan = work.plan(book, now, build.WALL)
+        pool_state.note_contention(now - after_s)
+    plan = work.plan(pool_state, now, build.WALL)
     assert bool(plan.placements) is placed
 
 
 @pytest.mark.parametrize(("priority", "contended"), [(0, True), (1, False)])
-def test_plan_tells_that_the_first_priority_stops_others(priority, contended):
-    book = build.make_book(
+def test_plan_reports_that_the_first_priority_stops_others(priority, contended):
+    pool_state = build.make_book(
         build.make_job("low", build.make_step(2, checkpoints=True), priority=2)
     )
-    build.start_planned(book)
-    for worker in book.workers.values():
+    build.apply_plan(pool_state)
+    for worker in pool_state.workers.values():
         worker.used = work.Room(0, 0, 8)
-    high = build.make_step(1, gpu=1, expected_s=50.0)
-    build.put(book, build.make_job("high", high, priority=priority))
-    plan = work.plan(book, 1.0, build.WALL + 1.0)
+    high_step = build.make_step(1, gpu=1, expected_s=50.0)
+    build.add_job(
+        pool_state, build.make_job("high", high_step, priority=priority)
+    )
+    plan = work.plan(pool_state, 1.0, build.WALL + 1.0)
     assert len(plan.stops) == 1
     assert plan.contended is contended
