--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -1,19 +1,19 @@
 """Pools of workers: ownership, journal, links, and the callers' desk."""
 
-from crocusrouter.pools.clock import Clock
+from crocusrouter.pools.clocks import Clock
 from crocusrouter.pools.configuration import Basis
-from crocusrouter.pools.desk import Cancelled
-from crocusrouter.pools.desk import Desk
-from crocusrouter.pools.desk import StateUnknownError
-from crocusrouter.pools.desk import Stored
-from crocusrouter.pools.desk import note_refusal
 from crocusrouter.pools.entry import ConfigSource
 from crocusrouter.pools.entry import Identity
 from crocusrouter.pools.entry import PoolEntry
+from crocusrouter.pools.job_api import Cancelled
+from crocusrouter.pools.job_api import Desk
+from crocusrouter.pools.job_api import StateUnknownError
+from crocusrouter.pools.job_api import Stored
+from crocusrouter.pools.job_api import note_refusal
 from crocusrouter.pools.members import find_secret
 from crocusrouter.pools.owner import Platform
 from crocusrouter.pools.owner import PoolOwner
-from crocusrouter.pools.upkeep import Upkeeping
+from crocusrouter.pools.upkeep_controller import Upkeeping
 
 __all__ = [
     "Basis",
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -5,7 +5,7 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.telemetry import log
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
@@ -25,7 +25,7 @@
         self,
         policy: orders.PolicyPort | None,
         book: work.Book,
-        times: clock.Clock,
+        clock: clocks.Clock,
         changed: Callable[[], None],
     ) -> None:
         """Prepare an advisor.
@@ -33,12 +33,12 @@
         Args:
             policy: The service; None if the settings name none.
             book: Keeps the answers.
-            times: The present time.
+            clock: Source of the current time.
             changed: Called when an answer has come.
         """
         self._policy = policy
         self._book = book
-        self._times = times
+        self._clock = clock
         self._changed = changed
         self._wake = trio.Event()
 
@@ -51,7 +51,7 @@
         try:
             while True:
                 question = work.choose_question(
-                    self._book, self._times.steady(), self._times.wall()
+                    self._book, self._clock.steady(), self._clock.wall()
                 )
                 if question is not None:
                     await self._ask(question)
@@ -90,7 +90,7 @@
         held = self._book.find_work(step)
         if held is None:
             return
-        valid_until = self._times.steady() + answer.valid_s
+        valid_until = self._clock.steady() + answer.valid_s
         # A ticket ends with the incarnation that it was given for.
         tickets = {
             by_worker[worker]: ticket
--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -4,7 +4,7 @@
 
 from crocusrouter import codec
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import freshness
 from crocusrouter.pools import intake
 from crocusrouter.pools import keys
@@ -27,7 +27,7 @@
         store: port.KeyValueStore,
         pool: str,
         book: work.Book,
-        times: clock.Clock,
+        clock: clocks.Clock,
         metrics: Metrics,
         changed: Callable[[], None],
     ) -> None:
@@ -37,16 +37,16 @@
             store: The key-value service.
             pool: Jobs of other pools are passed over.
             book: Told of the jobs.
-            times: The present time.
+            clock: Source of the current time.
             metrics: Counts unreadable jobs.
             changed: Called when there may be something to decide.
         """
-        self.freshness = freshness.Freshness(keys.JOBS, times, metrics, changed)
+        self.freshness = freshness.Freshness(keys.JOBS, clock, metrics, changed)
         self.revisions: dict[str, int] = {}
         self._store = store
         self._pool = pool
         self._book = book
-        self._times = times
+        self._clock = clock
         self._metrics = metrics
         self._changed = changed
         self._progress: dict[str, records.Record] = {}
@@ -68,7 +68,7 @@
         await self._follower.run()
 
     def _take(self, events: tuple[records.Event, ...]) -> None:
-        now = self._times.steady()
+        now = self._clock.steady()
         for event in events:
             if isinstance(event, records.Removed):
                 self._book.forget_job(event.key.removeprefix(keys.JOBS))
--- a/crocusrouter/pools/refresh.py
+++ b/crocusrouter/pools/config_refresh.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import configuration as configurations
 from crocusrouter.store import client
 from crocusrouter.store import records
@@ -37,7 +37,7 @@
 Read = Callable[[str], Awaitable[records.Record | None]]
 
 
-class Refresher:
+class ConfigRefresher:
     """Asks for the newest configuration before calls need it."""
 
     def __init__(
@@ -48,7 +48,7 @@
         is_owner: Callable[[], bool],
         is_down: Callable[[], bool],
         note_missed: Callable[[], None],
-        times: clock.Clock,
+        clock: clocks.Clock,
         metrics: Metrics,
     ) -> None:
         """Prepare; `run` looks.
@@ -60,7 +60,7 @@
             is_owner: Whether this entry owns a pool.
             is_down: Whether the service is known not to serve this entry.
             note_missed: Called when a read brings what the watch has not.
-            times: The present time.
+            clock: Source of the current time.
             metrics: Counts looks by how they ended.
         """
         self._configuration = configuration
@@ -69,7 +69,7 @@
         self._is_owner = is_owner
         self._is_down = is_down
         self._note_missed = note_missed
-        self._times = times
+        self._clock = clock
         self._metrics = metrics
         self._wanted = trio.Event()
         self._looked = trio.Event()
@@ -86,18 +86,18 @@
             Whether a call may be decided by what is in force now.
         """
         for _ in range(_MOST_WAITS):
-            began = self._times.steady()
+            began = self._clock.steady()
             with trio.move_on_after(_PATIENCE_S):
-                while self._should_wait(self._times.steady()):
+                while self._should_wait(self._clock.steady()):
                     self._wanted.set()
                     await self._looked.wait()
             if not self._has_stalled(began + _PATIENCE_S):
                 break
-        return self._configuration.is_fresh(self._times.steady())
+        return self._configuration.is_fresh(self._clock.steady())
 
     def _has_stalled(self, limit: float) -> bool:
         """Tell whether a limit was overrun because the process stood still."""
-        return self._times.steady() > limit + _STALL_S
+        return self._clock.steady() > limit + _STALL_S
 
     def _should_wait(self, now: float) -> bool:
         if self._configuration.current is None:
@@ -122,7 +122,7 @@
         Heartbeats vouch for it meanwhile, and then it is due later.
         """
         while True:
-            now = self._times.steady()
+            now = self._clock.steady()
             due = self._configuration.find_next_look(self._is_owner())
             if self._failed_at is not None:
                 due = max(due, self._failed_at + _PAUSE_S)
@@ -135,7 +135,7 @@
     async def _look(self) -> None:
         """Ask until somebody answers or nobody is left to ask."""
         before = self._answered
-        began = self._times.steady()
+        began = self._clock.steady()
         is_down = self._is_down()
         limit_s = _ANSWER_S if is_down else _LOOK_S
         with trio.move_on_after(limit_s):
@@ -149,7 +149,7 @@
             return
         if self._has_stalled(began + limit_s):
             return
-        self._failed_at = self._times.steady()
+        self._failed_at = self._clock.steady()
         self._metrics.count_event("config-look-unanswered")
         log(
             "config:unvouched",
@@ -175,7 +175,7 @@
 
     async def _ask(self, read: Read) -> bool:
         """Ask once; tell whether there was an answer."""
-        sent_at = self._times.steady()
+        sent_at = self._clock.steady()
         try:
             found = await read(self._configuration.key)
         except client.StoreUnavailableError:
--- a/crocusrouter/pools/configuration.py
+++ b/crocusrouter/pools/configuration.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from crocusrouter import queues
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -48,7 +48,7 @@
         key: str,
         parse: Callable[[bytes], queues.Config],
         apply_s: float,
-        times: clock.Clock,
+        clock: clocks.Clock,
         metrics: Metrics,
     ) -> None:
         """Start with none.
@@ -57,7 +57,7 @@
             key: Where the operators' newest one lies.
             parse: Decodes it; raises ValueError for what is none.
             apply_s: Seconds in which a confirmed change has to be in force.
-            times: The present time.
+            clock: Source of the current time.
             metrics: Counts versions.
         """
         self.key = key
@@ -66,7 +66,7 @@
         self.listeners: list[Callable[[queues.Config], None]] = []
         self._parse = parse
         self._apply_s = apply_s
-        self._times = times
+        self._clock = clock
         self._metrics = metrics
         self._vouched_at: float | None = None
         self._refused = b""
@@ -141,7 +141,7 @@
             return False
         if config.version <= self.version:
             return False
-        age = self.measure_age(self._times.steady())
+        age = self.measure_age(self._clock.steady())
         log(
             "config:in-force",
             version=config.version,
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -9,20 +9,20 @@
 from crocusrouter import mesh
 from crocusrouter import queues
 from crocusrouter.mesh import messages
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
+from crocusrouter.pools import config_refresh
 from crocusrouter.pools import configuration as configurations
-from crocusrouter.pools import desk as desks
 from crocusrouter.pools import intake
+from crocusrouter.pools import job_api
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
 from crocusrouter.pools import members
 from crocusrouter.pools import owner as owners
+from crocusrouter.pools import owner_leases
 from crocusrouter.pools import ownership
 from crocusrouter.pools import peers as peer_links
-from crocusrouter.pools import refresh
 from crocusrouter.pools import relay
-from crocusrouter.pools import tenure as tenures
-from crocusrouter.pools import upkeep
+from crocusrouter.pools import upkeep_controller
 from crocusrouter.store import observed
 from crocusrouter.store import port
 from crocusrouter.store import records
@@ -87,7 +87,7 @@
         source: ConfigSource,
         platform: owners.Platform,
         metrics: Metrics,
-        times: clock.Clock | None = None,
+        clock: clocks.Clock | None = None,
         make_link: peer_links.MakeLink | None = None,
     ) -> None:
         """Prepare an entry; `run` does the rest.
@@ -98,12 +98,12 @@
             source: Where the operators' configuration lies.
             platform: How workers are met.
             metrics: Counts what happens.
-            times: The present time; the machine's if None.
+            clock: Source of the current time; the system clocks if None.
             make_link: Opens the calls to a peer; websockets if None.
         """
         self.name = identity.name
         self.metrics = metrics
-        self.times = times or clock.Clock()
+        self.times = clock or clocks.Clock()
         self.is_stopping = False
         self.secret = ""
         self.owned: dict[str, owners.PoolOwner] = {}
@@ -115,11 +115,13 @@
         self._observed = observing
         self._store: port.KeyValueStore = observing
         self._platform = platform
-        self._waves = upkeep.Waves(platform.upkeeping)
+        self._waves = upkeep_controller.OpenWaves(platform.upkeeping)
         self._scopes: dict[str, trio.CancelScope] = {}
-        self._holder = tenures.make_holder(identity.name, identity.mesh_address)
-        self._ownership = ownership.Ownership(self._holder, self._end_replaced)
-        self._tenures: dict[str, tenures.Tenure] = {}
+        self._holder = owner_leases.make_holder(
+            identity.name, identity.mesh_address
+        )
+        self._ownership = ownership.OwnerTable(self._holder, self._end_replaced)
+        self._owner_leases: dict[str, owner_leases.OwnerLease] = {}
         self.peers = peer_links.Peers(
             identity.name,
             make_link
@@ -148,7 +150,7 @@
             patient=True,
         )
         self._relay = relay.RelayedStore(observing, self.peers)
-        self.refresher = refresh.Refresher(
+        self.refresher = config_refresh.ConfigRefresher(
             self.configuration,
             observing.read,
             self._relay.read_by_peers,
@@ -158,7 +160,7 @@
             self.times,
             metrics,
         )
-        self.desk = desks.Desk(
+        self.desk = job_api.Desk(
             self._relay,
             self.peers,
             self.owned,
@@ -338,15 +340,17 @@
             log("loop:stalled", late_s=round(late_s, 3))
 
     def _may_take(self, pool: str, now: float) -> bool:
-        if pool in self._tenures:
+        if pool in self._owner_leases:
             return False
         candidates = self._members | {self.name: self._own_member}
         return self._ownership.may_take(pool, candidates, now)
 
     async def _own(self, pool: str) -> None:
         """Own a pool until it is lost or released."""
-        held = tenures.Tenure(self._store, pool, self._holder, self.times)
-        self._tenures[pool] = held
+        held = owner_leases.OwnerLease(
+            self._store, pool, self._holder, self.times
+        )
+        self._owner_leases[pool] = held
         try:
             if await held.take(self._ownership.find_left_behind(pool)):
                 self.metrics.count_event("owner-took-over")
@@ -364,9 +368,9 @@
                 error="".join(traceback.format_exception(errors)),
             )
         finally:
-            del self._tenures[pool]
+            del self._owner_leases[pool]
 
-    async def _serve(self, held: tenures.Tenure) -> None:
+    async def _serve(self, held: owner_leases.OwnerLease) -> None:
         opened = owners.PoolOwner(
             held,
             self._store,
@@ -379,7 +383,7 @@
         if self.configuration.current is not None:
             opened.set_config(self.configuration.current)
         self.owned[held.pool] = opened
-        duty = upkeep.UpkeepDuty(
+        duty = upkeep_controller.UpkeepController(
             held,
             self.name,
             self._store,
@@ -414,14 +418,14 @@
 
     async def _release(self, pool: str) -> None:
         await self.owned[pool].drain(_DRAIN_S)
-        held = self._tenures.get(pool)
+        held = self._owner_leases.get(pool)
         scope = self._scopes.get(pool)
         if held is not None and scope is not None:
             scope.cancel()
             await held.release()
 
 
-async def _keep(held: tenures.Tenure, scope: trio.CancelScope) -> None:
+async def _keep(held: owner_leases.OwnerLease, scope: trio.CancelScope) -> None:
     await held.keep()
     log("owner:lease-ended", pool=held.pool, epoch=held.epoch)
     scope.cancel()
--- a/crocusrouter/pools/freshness.py
+++ b/crocusrouter/pools/freshness.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
@@ -20,7 +20,7 @@
     def __init__(
         self,
         prefix: str,
-        times: clock.Clock,
+        clock: clocks.Clock,
         metrics: Metrics,
         changed: Callable[[], None],
     ) -> None:
@@ -28,16 +28,16 @@
 
         Args:
             prefix: What is followed.
-            times: The present time.
+            clock: Source of the current time.
             metrics: Counts how often decisions were held back.
             changed: Called when they need not be any more.
         """
         self.unheard_s = 0.0
         self._prefix = prefix
-        self._times = times
+        self._clock = clock
         self._metrics = metrics
         self._changed = changed
-        self._heard_at = times.steady()
+        self._heard_at = clock.steady()
         self._stale = False
 
     @property
@@ -70,7 +70,7 @@
 
     def note_answer(self) -> None:
         """Note that the service has answered."""
-        now = self._times.steady()
+        now = self._clock.steady()
         self.unheard_s = now - self._heard_at
         self._heard_at = now
         if self._stale:
--- a/crocusrouter/pools/desk.py
+++ b/crocusrouter/pools/job_api.py
@@ -8,7 +8,7 @@
 from crocusrouter import work
 from crocusrouter.mesh import messages
 from crocusrouter.outcomes import Refusal
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import configuration as configurations
 from crocusrouter.pools import keys
 from crocusrouter.pools import owner as owners
@@ -86,14 +86,14 @@
         peers: peer_links.Peers,
         owned: dict[str, owners.PoolOwner],
         find_owner: Callable[[str], str | None],
-        times: clock.Clock,
+        clock: clocks.Clock,
         metrics: Metrics,
     ) -> None:
         self._store = store
         self._peers = peers
         self._owned = owned
         self._find_owner = find_owner
-        self._times = times
+        self._clock = clock
         self._metrics = metrics
 
     # Acceptance.
--- a/crocusrouter/pools/expiry.py
+++ b/crocusrouter/pools/job_expiry.py
@@ -10,7 +10,7 @@
 
 from crocusrouter import work
 from crocusrouter.pools import keys
-from crocusrouter.pools import tenure as tenures
+from crocusrouter.pools import owner_leases
 from crocusrouter.store import port
 from crocusrouter.telemetry import log
 
@@ -21,7 +21,7 @@
 
 async def expire_jobs(
     store: port.KeyValueStore,
-    held: tenures.Tenure,
+    held: owner_leases.OwnerLease,
     book: work.Book,
     read_clock: Callable[[], float],
     keep_s: float,
--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -10,7 +10,7 @@
 
 from crocusrouter import work
 from crocusrouter.pools import keys
-from crocusrouter.pools import tenure as tenures
+from crocusrouter.pools import owner_leases
 from crocusrouter.store import port
 from crocusrouter.telemetry import log
 
@@ -33,7 +33,7 @@
     def __init__(
         self,
         store: port.KeyValueStore,
-        held: tenures.Tenure,
+        held: owner_leases.OwnerLease,
         book: work.Book,
         revisions: dict[str, int],
     ) -> None:
@@ -46,7 +46,7 @@
             revisions: Revision of each progress record, by job.
         """
         self._store = store
-        self._tenure = held
+        self._owner_lease = held
         self._book = book
         self._revisions = revisions
         self._wake = trio.Event()
@@ -125,7 +125,7 @@
         self._writing = frozenset()
 
     async def _write(self, values: dict[str, bytes]) -> port.WriteOutcome:
-        guards = [self._tenure.guard]
+        guards = [self._owner_lease.guard]
         writes = []
         for job_id, value in values.items():
             key = keys.build_progress_key(job_id)
@@ -138,9 +138,9 @@
         if not isinstance(outcome, port.Mismatched):
             log("journal:retried", outcome=type(outcome).__name__)
             return
-        owner = outcome.current.get(self._tenure.key)
-        if owner is None or owner.revision != self._tenure.epoch:
-            raise DeposedError(f"{self._tenure.key} has changed")
+        owner = outcome.current.get(self._owner_lease.key)
+        if owner is None or owner.revision != self._owner_lease.epoch:
+            raise DeposedError(f"{self._owner_lease.key} has changed")
         # An unanswered write of ours was carried out. Nobody else writes
         # under this epoch, so its revision is the one to replace.
         for key, record in outcome.current.items():
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/known_workers.py
@@ -11,7 +11,7 @@
 
 from crocusrouter import work
 from crocusrouter.pools import keys
-from crocusrouter.pools import tenure as tenures
+from crocusrouter.pools import owner_leases
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
@@ -21,14 +21,17 @@
 _TICK_S = 0.25
 
 
-class Roster:
+class KnownWorkers:
     """Keeps the record of one pool up to date."""
 
     def __init__(
-        self, store: port.KeyValueStore, held: tenures.Tenure, book: work.Book
+        self,
+        store: port.KeyValueStore,
+        held: owner_leases.OwnerLease,
+        book: work.Book,
     ) -> None:
         self._store = store
-        self._tenure = held
+        self._owner_lease = held
         self._book = book
         self._key = keys.KNOWN_WORKERS + held.pool
         self._found: records.Record | None = None
@@ -51,7 +54,7 @@
                 held = self._book.workers[name]
             else:
                 self._book.set_worker(
-                    _make_entry(name, self._tenure.pool, address), now
+                    _make_entry(name, self._owner_lease.pool, address), now
                 )
                 self._book.unlist_worker(name)
                 held = self._book.workers[name]
@@ -90,7 +93,7 @@
             if value == written:
                 continue
             outcome = await self._store.write(
-                (self._tenure.guard, port.Guard(self._key, revision)),
+                (self._owner_lease.guard, port.Guard(self._key, revision)),
                 (port.Write(self._key, value),),
             )
             if isinstance(outcome, port.Written):
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -11,18 +11,18 @@
 from crocusrouter import work
 from crocusrouter.pools import advisor
 from crocusrouter.pools import backlog
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import connections
-from crocusrouter.pools import expiry
+from crocusrouter.pools import job_expiry
 from crocusrouter.pools import journal as journals
-from crocusrouter.pools import links
-from crocusrouter.pools import listing
-from crocusrouter.pools import parking
+from crocusrouter.pools import known_workers
+from crocusrouter.pools import owner_leases
+from crocusrouter.pools import parked_jobs
 from crocusrouter.pools import reservations
-from crocusrouter.pools import roster
-from crocusrouter.pools import tenure as tenures
-from crocusrouter.pools import unanswered
-from crocusrouter.pools import upkeep
+from crocusrouter.pools import unanswered_starts
+from crocusrouter.pools import upkeep_controller
+from crocusrouter.pools import worker_links
+from crocusrouter.pools import worker_listing
 from crocusrouter.store import client
 from crocusrouter.store import port
 from crocusrouter.telemetry import Metrics
@@ -68,11 +68,11 @@
     """
 
     workers_prefix: str
-    parse_worker: listing.ParseWorker
+    parse_worker: worker_listing.ParseWorker
     open_connection: OpenConnection
     keep_jobs_s: float = 600.0
     make_policy: Callable[[], orders.PolicyPort] | None = None
-    upkeeping: upkeep.Upkeeping | None = None
+    upkeeping: upkeep_controller.Upkeeping | None = None
 
 
 class PoolOwner:
@@ -80,10 +80,10 @@
 
     def __init__(
         self,
-        held: tenures.Tenure,
+        held: owner_leases.OwnerLease,
         store: port.KeyValueStore,
         platform: Platform,
-        times: clock.Clock,
+        clock: clocks.Clock,
         metrics: Metrics,
         may_renew: Callable[[], bool],
     ) -> None:
@@ -93,7 +93,7 @@
             held: The tenure under which it decides.
             store: The key-value service.
             platform: How workers are met.
-            times: The present time.
+            clock: Source of the current time.
             metrics: Counts what happens.
             may_renew: Whether leases may be renewed although the tenure is
                 not known to be valid.
@@ -103,47 +103,51 @@
         self.book = work.Book(held.epoch)
         self.is_loaded = False
         self.is_recovered = False
-        self._tenure = held
+        self._owner_lease = held
         self._store = store
         self._platform = platform
-        self._times = times
+        self._clock = clock
         self._metrics = metrics
         self._may_renew = may_renew
         self._backlog = backlog.Backlog(
-            store, held.pool, self.book, times, metrics, self.wake
+            store, held.pool, self.book, clock, metrics, self.wake
         )
         self._journal = journals.Journal(
             store, held, self.book, self._backlog.revisions
         )
-        self._links: dict[str, links.WorkerLink] = {}
+        self._links: dict[str, worker_links.WorkerLink] = {}
         # By worker; outlives the links to its incarnations.
-        self._unanswered: dict[str, unanswered.UnansweredStarts] = (
-            collections.defaultdict(unanswered.UnansweredStarts)
+        self._unanswered: dict[str, unanswered_starts.UnansweredStarts] = (
+            collections.defaultdict(unanswered_starts.UnansweredStarts)
         )
         self._reservations = reservations.Reservations()
         self._runs = held.epoch << _RUN_BITS
         self._wake = trio.Event()
         self._nursery: trio.Nursery | None = None
-        self._roster = roster.Roster(store, held, self.book)
+        self._roster = known_workers.KnownWorkers(store, held, self.book)
         make_policy = platform.make_policy
-        self._parking = parking.Parking(
-            store, held, self.book, self._journal.is_durable, times.steady
+        self._parking = parked_jobs.ParkedJobs(
+            store, held, self.book, self._journal.is_durable, clock.steady
         )
         self._advisor = advisor.Advisor(
             make_policy() if make_policy is not None else None,
             self.book,
-            times,
+            clock,
             self.wake,
         )
         self._draining = False
-        self._list = listing.WorkerList(
-            listing.Source(platform.workers_prefix, platform.parse_worker),
+        self._list = worker_listing.WorkerList(
+            worker_listing.Source(
+                platform.workers_prefix, platform.parse_worker
+            ),
             store,
             held.pool,
             self.book,
-            times,
+            clock,
             metrics,
-            listing.Listeners(self._open_link, self._note_unlisted, self.wake),
+            worker_listing.Listeners(
+                self._open_link, self._note_unlisted, self.wake
+            ),
         )
 
     def set_config(self, config: queues.Config) -> None:
@@ -175,14 +179,14 @@
             nursery.start_soon(self._parking.run)
             nursery.start_soon(self._advisor.run)
             nursery.start_soon(
-                expiry.expire_jobs,
+                job_expiry.expire_jobs,
                 self._store,
-                self._tenure,
+                self._owner_lease,
                 self.book,
-                self._times.steady,
+                self._clock.steady,
                 self._platform.keep_jobs_s,
             )
-            for known in self._roster.list_unlisted(self._times.steady()):
+            for known in self._roster.list_unlisted(self._clock.steady()):
                 self._open_link(known.entry.id, known.entry.address)
             for listed in list(self.book.workers.values()):
                 self._open_link(listed.entry.id, listed.entry.address)
@@ -238,12 +242,12 @@
         open_connection = functools.partial(
             self._platform.open_connection, worker, address
         )
-        link = links.WorkerLink(
+        link = worker_links.WorkerLink(
             worker,
             connections.Connections(worker, open_connection),
             self.epoch,
             self.book,
-            self._times,
+            self._clock,
             self._journal.settle,
             self._may_hold,
             self._may_start,
@@ -264,14 +268,16 @@
         """
         if worker not in self.book.workers or self.book.workers[worker].gone:
             return
-        now = self._times.steady()
+        now = self._clock.steady()
         if other is not None:
             work.add_successor(self.book, worker, other, now)
         work.note_replaced(self.book, worker, now, other, stops)
         if other is not None:
             self._open_link(other, self.book.workers[other].entry.address)
 
-    async def _run_link(self, worker: str, link: links.WorkerLink) -> None:
+    async def _run_link(
+        self, worker: str, link: worker_links.WorkerLink
+    ) -> None:
         await link.run()
         del self._links[worker]
         held = self.book.workers.get(worker)
@@ -288,12 +294,12 @@
         if held is None or held.listed or held.runs or worker in self._links:
             return
         self.book.forget_worker(worker)
-        if self._unanswered[held.entry.worker].is_settled(self._times.steady()):
+        if self._unanswered[held.entry.worker].is_settled(self._clock.steady()):
             del self._unanswered[held.entry.worker]
         log("worker:forgotten", worker=worker)
 
     def _may_hold(self) -> bool:
-        return self._tenure.is_valid() or self._may_renew()
+        return self._owner_lease.is_valid() or self._may_renew()
 
     def _may_start(self, now: float) -> bool:
         """Tell whether it is known well enough what may start, and where."""
@@ -316,15 +322,15 @@
                 await self._wake.wait()
                 await trio.sleep(max(_GATHER_S, took_s))
             self._wake = trio.Event()
-            began = self._times.steady()
-            self._decide(began, self._times.wall())
+            began = self._clock.steady()
+            self._decide(began, self._clock.wall())
             self._journal.wake()
-            took_s = self._times.steady() - began
+            took_s = self._clock.steady() - began
 
     def _decide(self, now: float, wall: float) -> None:
         self.book.open_due(wall, now)
         self._check_recovered(now)
-        if self._tenure.is_valid() and not self._draining:
+        if self._owner_lease.is_valid() and not self._draining:
             if self._may_start(now):
                 self._place(now, wall)
             self._send_paces(now)
@@ -372,7 +378,7 @@
         found = self.book.find_work(work.TaskKey(*placement.step, 0))
         assert found is not None
         shared = self._take_number()
-        started: list[tuple[links.WorkerLink, orders.Start]] = []
+        started: list[tuple[worker_links.WorkerLink, orders.Start]] = []
         for index, worker in placement.spots.items():
             number = shared if found.step.gang else self._take_number()
             key = work.TaskKey(*placement.step, index)
@@ -401,14 +407,14 @@
         )
 
     def _send_starts(
-        self, started: list[tuple[links.WorkerLink, orders.Start]]
+        self, started: list[tuple[worker_links.WorkerLink, orders.Start]]
     ) -> None:
         assert self._nursery is not None
         for link, order in started:
             self._nursery.start_soon(link.start, order)
 
     async def _start_parked(
-        self, started: list[tuple[links.WorkerLink, orders.Start]]
+        self, started: list[tuple[worker_links.WorkerLink, orders.Start]]
     ) -> None:
         """Send starts once a successor would know that the job may run."""
         job_id = started[0][1].key.job
--- a/crocusrouter/pools/tenure.py
+++ b/crocusrouter/pools/owner_leases.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import keys
 from crocusrouter.store import client
 from crocusrouter.store import port
@@ -76,7 +76,7 @@
     return Holder(name, address, process)
 
 
-class Tenure:
+class OwnerLease:
     """One entry's ownership of one pool, while it lasts."""
 
     def __init__(
@@ -84,14 +84,14 @@
         store: port.KeyValueStore,
         pool: str,
         holder: Holder,
-        times: clock.Clock,
+        clock: clocks.Clock,
     ) -> None:
         self.pool = pool
         self.key = keys.build_owner_key(pool)
         self.epoch = 0
         self._store = store
         self._value = dump_holder(holder)
-        self._times = times
+        self._clock = clock
         self._lease = 0
         self._valid_until = 0.0
 
@@ -106,7 +106,7 @@
         Counted from when the last renewal was sent, not from its answer: the
         process may have been suspended while the answer was on its way.
         """
-        return self._times.steady() < self._valid_until
+        return self._clock.steady() < self._valid_until
 
     async def take(self, replacing: int = 0) -> bool:
         """Try to become owner.
@@ -118,7 +118,7 @@
         Returns:
             Whether this entry is owner now.
         """
-        sent_at = self._times.steady()
+        sent_at = self._clock.steady()
         try:
             self._lease = await self._store.grant(TTL_S)
         except client.StoreUnavailableError as error:
@@ -154,7 +154,7 @@
         while True:
             await trio.sleep(_RENEWAL_S)
             while True:
-                sent_at = self._times.steady()
+                sent_at = self._clock.steady()
                 try:
                     renewed = await self._store.keep(self._lease)
                 except client.StoreUnavailableError as error:
--- a/crocusrouter/pools/ownership.py
+++ b/crocusrouter/pools/ownership.py
@@ -8,8 +8,8 @@
 import dataclasses
 
 from crocusrouter.pools import members
+from crocusrouter.pools import owner_leases
 from crocusrouter.pools import ranking
-from crocusrouter.pools import tenure as tenures
 from crocusrouter.telemetry import log
 
 # Candidates take turns, so that one write settles most elections.
@@ -35,11 +35,11 @@
 _NOBODY = Owner("", 0)
 
 
-class Ownership:
+class OwnerTable:
     """The owners of all pools, as far as they were heard of."""
 
     def __init__(
-        self, ours: tenures.Holder, replaced: Callable[[str, int], None]
+        self, ours: owner_leases.Holder, replaced: Callable[[str, int], None]
     ) -> None:
         """Begin with none.
 
@@ -74,7 +74,7 @@
         After all VMs had lost power, the one that came back as owner waited
         for its own lease of before, up to 1.8 s.
         """
-        holder = tenures.parse_holder(value)
+        holder = owner_leases.parse_holder(value)
         self._left_behind.pop(pool, None)
         if holder.is_predecessor_of(self._ours):
             self._left_behind[pool] = revision
@@ -108,7 +108,7 @@
 
     def note_tried(self, pool: str, now: float) -> None:
         """Leave others a tenure's time after we have tried to take a pool."""
-        self._vacant_since[pool] = now + tenures.TTL_S
+        self._vacant_since[pool] = now + owner_leases.TTL_S
 
     def find_left_behind(self, pool: str) -> int:
         """Return the revision of a key that may be replaced; 0 for none."""
--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -16,7 +16,7 @@
 from crocusrouter import work
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
-from crocusrouter.pools import tenure as tenures
+from crocusrouter.pools import owner_leases
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
@@ -34,13 +34,13 @@
 _RETRY_S = 0.1
 
 
-class Parking:
+class ParkedJobs:
     """Keeps the record of one pool."""
 
     def __init__(
         self,
         store: port.KeyValueStore,
-        held: tenures.Tenure,
+        held: owner_leases.OwnerLease,
         book: work.Book,
         is_durable: Callable[[str], bool],
         read_clock: Callable[[], float],
@@ -55,7 +55,7 @@
             read_clock: Returns steady seconds.
         """
         self._store = store
-        self._tenure = held
+        self._owner_lease = held
         self._book = book
         self._is_durable = is_durable
         self._read_clock = read_clock
@@ -155,7 +155,7 @@
         # counts as parked that stands in either state of the record.
         self._recorded = before | wanted
         outcome = await self._store.write(
-            (self._tenure.guard, port.Guard(self._key, self._revision)),
+            (self._owner_lease.guard, port.Guard(self._key, self._revision)),
             (port.Write(self._key, cbor2.dumps(sorted(wanted))),),
             timeout_s=timeout_s,
         )
@@ -164,9 +164,11 @@
                 self._revision = revision
                 self._recorded = wanted
             case port.Mismatched(current):
-                owner = current.get(self._tenure.key)
-                if owner is None or owner.revision != self._tenure.epoch:
-                    raise journal.DeposedError(f"{self._tenure.key} changed")
+                owner = current.get(self._owner_lease.key)
+                if owner is None or owner.revision != self._owner_lease.epoch:
+                    raise journal.DeposedError(
+                        f"{self._owner_lease.key} changed"
+                    )
                 record = current.get(self._key)
                 self._revision = record.revision if record else 0
             case port.NotWritten():
--- a/crocusrouter/pools/peers.py
+++ b/crocusrouter/pools/peers.py
@@ -18,7 +18,7 @@
 
 from crocusrouter import mesh
 from crocusrouter.mesh import messages
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.telemetry import log
 
 _BEAT_S = 1.0
@@ -56,7 +56,7 @@
         self,
         name: str,
         make_link: MakeLink,
-        times: clock.Clock,
+        clock: clocks.Clock,
         describe: Callable[[], messages.Beat],
         take: Callable[[messages.Beat, float], None],
         find_owners: Callable[[], set[str]],
@@ -66,14 +66,14 @@
         Args:
             name: This entry.
             make_link: Opens the calls to a peer.
-            times: The present time.
+            clock: Source of the current time.
             describe: Returns this entry's heartbeat.
             take: Called with a peer's heartbeat and when it was asked for.
             find_owners: Returns the names of the pools' owners.
         """
         self._name = name
         self._make_link = make_link
-        self._times = times
+        self._clock = clock
         self._describe = describe
         self._take = take
         self._find_owners = find_owners
@@ -167,7 +167,7 @@
 
     def choose_helpers(self) -> list[str]:
         """Return the peers to ask for help: served ones, owners, neighbours."""
-        now = self._times.steady()
+        now = self._clock.steady()
         owners = self._find_owners() - {self._name}
         served = [
             name
@@ -212,7 +212,7 @@
             await trio.sleep(_BEAT_S)
 
     async def _beat(self, name: str) -> None:
-        asked_at = self._times.steady()
+        asked_at = self._clock.steady()
         reply = await self.call(name, self._describe())
         if isinstance(reply, messages.Beat):
             self.note_heard(reply, asked_at)
--- a/crocusrouter/pools/tests/test_advisor.py
+++ b/crocusrouter/pools/tests/test_advisor.py
@@ -4,7 +4,7 @@
 
 from crocusrouter import work
 from crocusrouter.pools import advisor
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.work import orders
 from crocusrouter.work.tests import build
 
@@ -30,9 +30,9 @@
     """A ticket ends with its process; the next one refused it."""
     job = build.make_job("j", build.make_step(1), advised=True)
     book = build.make_book(job, workers=("w0@5",))
-    times = clock.Clock(trio.current_time, lambda: build.WALL)
+    clock = clocks.Clock(trio.current_time, lambda: build.WALL)
     policy = _Policy()
-    asking = advisor.Advisor(policy, book, times, lambda: None)
+    asking = advisor.Advisor(policy, book, clock, lambda: None)
     with trio.move_on_after(1.0):
         await asking.run()
     assert policy.asked[0] == ("w0",)
--- a/crocusrouter/pools/tests/test_refresh.py
+++ b/crocusrouter/pools/tests/test_config_refresh.py
@@ -7,9 +7,9 @@
 
 from crocusrouter import queues
 from crocusrouter.mesh import messages
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
+from crocusrouter.pools import config_refresh
 from crocusrouter.pools import configuration
-from crocusrouter.pools import refresh
 from crocusrouter.store import client
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
@@ -42,22 +42,22 @@
 
 
 def _open(service, *, by_peers=None, apply_s=_APPLY_S):
-    times = clock.Clock(trio.current_time, trio.current_time)
+    clock = clocks.Clock(trio.current_time, trio.current_time)
     held = configuration.Configuration(
         _KEY,
         lambda value: queues.Config(int(value)),
         apply_s,
-        times,
+        clock,
         Metrics(),
     )
-    refresher = refresh.Refresher(
+    refresher = config_refresh.ConfigRefresher(
         held,
         service.read,
         by_peers or service.read_by_peers,
         lambda: False,
         lambda: service.is_down,
         lambda: None,
-        times,
+        clock,
         Metrics(),
     )
     return held, refresher
--- a/crocusrouter/pools/tests/test_foreign_records.py
+++ b/crocusrouter/pools/tests/test_foreign_records.py
@@ -5,11 +5,11 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import keys
+from crocusrouter.pools import known_workers
 from crocusrouter.pools import members
-from crocusrouter.pools import roster
-from crocusrouter.pools import tenure
+from crocusrouter.pools import owner_leases
 from standins import emulator
 from standins.emulator import store as stores
 
@@ -32,8 +32,10 @@
     store = stores.Store(1)
     store.put(keys.KNOWN_WORKERS + "match", value)
     view = stores.StoreView(store, "e0")
-    held = tenure.Tenure(view, "match", tenure.Holder("e0"), clock.Clock())
-    opened = roster.Roster(view, held, work.Book(1))
+    held = owner_leases.OwnerLease(
+        view, "match", owner_leases.Holder("e0"), clocks.Clock()
+    )
+    opened = known_workers.KnownWorkers(view, held, work.Book(1))
     await opened.load()
     assert opened.list_unlisted(0.0) == []
 
--- a/crocusrouter/pools/tests/test_freshness.py
+++ b/crocusrouter/pools/tests/test_freshness.py
@@ -3,7 +3,7 @@
 import eliot.testing
 import pytest
 
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import freshness
 from crocusrouter.telemetry import Metrics
 
@@ -19,41 +19,41 @@
 
 
 def _open_freshness():
-    times = _Times()
+    clock = _Times()
     woken = []
     view = freshness.Freshness(
         "a/",
-        clock.Clock(times.read, times.read),
+        clocks.Clock(clock.read, clock.read),
         Metrics(),
-        lambda: woken.append(times.now),
+        lambda: woken.append(clock.now),
     )
-    return view, times, woken
+    return view, clock, woken
 
 
 @pytest.mark.parametrize(
     ("age_s", "fresh"), [(0.0, True), (1.4, True), (1.9, False), (60.0, False)]
 )
 def test_age_by_which_tasks_may_start(age_s, fresh):
-    view, times, _ = _open_freshness()
-    assert view.is_fresh(times.now + age_s) is fresh
+    view, clock, _ = _open_freshness()
+    assert view.is_fresh(clock.now + age_s) is fresh
 
 
 def test_change_of_age_is_told_once_and_wakes_the_owner():
     """Decisions come many times a second. The owner that holds starts back
     has nothing to wake it but the answer for which it waits.
     """
-    view, times, woken = _open_freshness()
+    view, clock, woken = _open_freshness()
     logger = eliot.testing.MemoryLogger()
     before = eliot.testing.swap_logger(logger)
     try:
         view.note_answer()
         assert woken == []
-        times.now += 2.0
+        clock.now += 2.0
         for _ in range(5):
-            assert not view.is_fresh(times.now)
+            assert not view.is_fresh(clock.now)
         view.note_answer()
         assert woken == [102.0]
-        assert view.is_fresh(times.now)
+        assert view.is_fresh(clock.now)
     finally:
         eliot.testing.swap_logger(before)
     assert [line["message_type"] for line in logger.messages] == [
--- a/crocusrouter/pools/tests/test_journal.py
+++ b/crocusrouter/pools/tests/test_journal.py
@@ -4,20 +4,20 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
-from crocusrouter.pools import tenure
+from crocusrouter.pools import owner_leases
 from crocusrouter.work.tests import build
 from standins import emulator
 from standins.emulator import store as stores
 
-_CLOCK = clock.Clock(trio.current_time, trio.current_time)
+_CLOCK = clocks.Clock(trio.current_time, trio.current_time)
 
 
 async def _open(store, entry="e0"):
-    held = tenure.Tenure(
-        stores.StoreView(store, entry), "p", tenure.Holder(entry), _CLOCK
+    held = owner_leases.OwnerLease(
+        stores.StoreView(store, entry), "p", owner_leases.Holder(entry), _CLOCK
     )
     assert await held.take()
     book = build.make_book(build.make_job("j", build.make_step(3)))
@@ -94,7 +94,7 @@
         await trio.sleep(5.0)
         assert held.is_valid()
         store.fault = emulator.StoreFault.SILENT
-        await trio.sleep(tenure.TTL_S + 0.1)
+        await trio.sleep(owner_leases.TTL_S + 0.1)
         assert not held.is_valid()
         nursery.cancel_scope.cancel()
 
@@ -102,8 +102,8 @@
 async def test_epoch_rises_with_each_owner(autojump_clock):
     store = stores.Store(1)
     first, _, _ = await _open(store)
-    rival = tenure.Tenure(
-        stores.StoreView(store, "e1"), "p", tenure.Holder("e1"), _CLOCK
+    rival = owner_leases.OwnerLease(
+        stores.StoreView(store, "e1"), "p", owner_leases.Holder("e1"), _CLOCK
     )
     assert not await rival.take()
     await first.release()
--- a/crocusrouter/pools/tests/test_roster.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -5,10 +5,10 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import keys
-from crocusrouter.pools import roster
-from crocusrouter.pools import tenure
+from crocusrouter.pools import known_workers
+from crocusrouter.pools import owner_leases
 from crocusrouter.work.tests import build
 from standins import emulator
 from standins.emulator import cluster as clusters
@@ -28,8 +28,10 @@
     store.put(keys.KNOWN_WORKERS + "p", cbor2.dumps([["w0", "w0:1", jobs]]))
     view = stores.StoreView(store, "e0")
     book = work.Book(1)
-    held = tenure.Tenure(view, "p", tenure.Holder("e0"), clock.Clock())
-    opened = roster.Roster(view, held, book)
+    held = owner_leases.OwnerLease(
+        view, "p", owner_leases.Holder("e0"), clocks.Clock()
+    )
+    opened = known_workers.KnownWorkers(view, held, book)
     await opened.load()
     [known] = opened.list_unlisted(0.0)
     known.reached = True
--- a/crocusrouter/pools/tests/test_tenure.py
+++ b/crocusrouter/pools/tests/test_owner_leases.py
@@ -3,13 +3,13 @@
 import pytest
 import trio
 
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import keys
-from crocusrouter.pools import tenure
+from crocusrouter.pools import owner_leases
 from standins.emulator import store as stores
 
-_CLOCK = clock.Clock(trio.current_time, lambda: 1e6 + trio.current_time())
-_OURS = tenure.Holder("e1", "10.0.0.1:7", "b2")
+_CLOCK = clocks.Clock(trio.current_time, lambda: 1e6 + trio.current_time())
+_OURS = owner_leases.Holder("e1", "10.0.0.1:7", "b2")
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
     ],
 )
 def test_only_an_earlier_process_of_our_vm_is_a_predecessor(value, earlier):
-    assert tenure.parse_holder(value).is_predecessor_of(_OURS) is earlier
+    assert owner_leases.parse_holder(value).is_predecessor_of(_OURS) is earlier
 
 
 @pytest.mark.parametrize(
@@ -38,23 +38,25 @@
     store = stores.Store(1)
     key = keys.build_owner_key("p")
     before = store.put(key, b"e1 10.0.0.1:7 a1")
-    held = tenure.Tenure(stores.StoreView(store, "e1"), "p", _OURS, _CLOCK)
+    held = owner_leases.OwnerLease(
+        stores.StoreView(store, "e1"), "p", _OURS, _CLOCK
+    )
     wanted = before if replacing == "found" else replacing
     assert await held.take(wanted) is taken
     if taken:
         assert held.epoch > before
-        assert tenure.parse_holder(store.items[key].value) == _OURS
+        assert owner_leases.parse_holder(store.items[key].value) == _OURS
 
 
 async def test_lease_of_before_ends_no_tenure(autojump_clock):
     """The key lives under the lease with which it was written last."""
     store = stores.Store(1)
-    earlier = tenure.Holder("e1", "10.0.0.1:7", "a1")
+    earlier = owner_leases.Holder("e1", "10.0.0.1:7", "a1")
     view = stores.StoreView(store, "e1")
-    old = tenure.Tenure(view, "p", earlier, _CLOCK)
+    old = owner_leases.OwnerLease(view, "p", earlier, _CLOCK)
     assert await old.take()
     await trio.sleep(0.5)
-    held = tenure.Tenure(view, "p", _OURS, _CLOCK)
+    held = owner_leases.OwnerLease(view, "p", _OURS, _CLOCK)
     assert await held.take(old.epoch)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(held.keep)
--- a/crocusrouter/pools/tests/test_ownership.py
+++ b/crocusrouter/pools/tests/test_ownership.py
@@ -3,17 +3,17 @@
 import pytest
 
 from crocusrouter.pools import members
+from crocusrouter.pools import owner_leases
 from crocusrouter.pools import ownership
-from crocusrouter.pools import tenure
 
-_OURS = tenure.Holder("e1", "10.0.0.1:7", "b2")
+_OURS = owner_leases.Holder("e1", "10.0.0.1:7", "b2")
 _SMALL = members.Member("10.0.0.1:7", 0.5)
 _LARGE = members.Member("10.0.0.2:7", 2.0)
 
 
 def _open():
     replaced = []
-    opened = ownership.Ownership(
+    opened = ownership.OwnerTable(
         _OURS, lambda pool, epoch: replaced.append((pool, epoch))
     )
     return opened, replaced
@@ -82,5 +82,5 @@
     opened.note_vacant("p", 5.0)
     opened.note_tried("p", 6.0)
     candidates = {"e1": _LARGE, "e2": _SMALL}
-    assert not opened.may_take("p", candidates, 6.0 + tenure.TTL_S - 0.1)
-    assert opened.may_take("p", candidates, 6.0 + tenure.TTL_S)
+    assert not opened.may_take("p", candidates, 6.0 + owner_leases.TTL_S - 0.1)
+    assert opened.may_take("p", candidates, 6.0 + owner_leases.TTL_S)
--- a/crocusrouter/pools/tests/test_parking.py
+++ b/crocusrouter/pools/tests/test_parked_jobs.py
@@ -9,8 +9,8 @@
 from crocusrouter import work
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
-from crocusrouter.pools import parking
-from crocusrouter.pools import tenure
+from crocusrouter.pools import owner_leases
+from crocusrouter.pools import parked_jobs
 from crocusrouter.work.tests import build
 from standins.emulator import store as stores
 
@@ -28,9 +28,13 @@
 async def _open(store, book, is_durable=lambda job: True):
     """Return parking under a tenure that has just begun."""
     view = stores.StoreView(store, "e0")
-    held = tenure.Tenure(view, "p", tenure.Holder("e0"), _Times())
+    held = owner_leases.OwnerLease(
+        view, "p", owner_leases.Holder("e0"), _Times()
+    )
     assert await held.take()
-    return parking.Parking(view, held, book, is_durable, trio.current_time)
+    return parked_jobs.ParkedJobs(
+        view, held, book, is_durable, trio.current_time
+    )
 
 
 def _make_book():
--- a/crocusrouter/pools/tests/test_peers.py
+++ b/crocusrouter/pools/tests/test_peers.py
@@ -6,7 +6,7 @@
 from crocusrouter import fleet
 from crocusrouter.controllers import peers as controller_peers
 from crocusrouter.mesh import messages
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import peers
 
 
@@ -26,7 +26,7 @@
     made = peers.Peers(
         "a",
         lambda name, address: _Link(answer_s),
-        clock.Clock(trio.current_time, trio.current_time),
+        clocks.Clock(trio.current_time, trio.current_time),
         lambda: messages.Beat("a", 1, 0.0, (), True),
         lambda beat, at: None,
         set,
--- a/crocusrouter/pools/tests/test_unanswered.py
+++ b/crocusrouter/pools/tests/test_unanswered_starts.py
@@ -1,7 +1,7 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.pools import unanswered
+from crocusrouter.pools import unanswered_starts
 from crocusrouter.work import orders
 
 _KEY = work.TaskKey("00000000000000aa", 0, 0, 0)
@@ -17,7 +17,7 @@
     ],
 )
 def test_who_may_carry_out_a_start_late(incarnation, at, expected):
-    starts = unanswered.UnansweredStarts()
+    starts = unanswered_starts.UnansweredStarts()
     starts.note(orders.Start(_KEY, 7, ""), "w0@5", 1.0)
     stops = starts.list_stops(incarnation, at)
     assert stops == [orders.Stop(_KEY, run) for run in expected]
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize(("at", "settled"), [(1.0, False), (30.0, True)])
 def test_old_starts_are_forgotten(at, settled):
-    starts = unanswered.UnansweredStarts()
+    starts = unanswered_starts.UnansweredStarts()
     assert starts.is_settled(0.0)
     starts.note(orders.Start(_KEY, 7, ""), "w0@5", 1.0)
     assert starts.is_settled(at) is settled
--- a/crocusrouter/pools/tests/test_upkeep.py
+++ b/crocusrouter/pools/tests/test_upkeep_controller.py
@@ -5,9 +5,9 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import keys
-from crocusrouter.pools import upkeep as duties
+from crocusrouter.pools import upkeep_controller
 from crocusrouter.store import port
 from crocusrouter.work import upkeep
 from crocusrouter.work import vms
@@ -43,8 +43,8 @@
         guard=port.Guard("owner", owner),
         is_valid=lambda: True,
     )
-    waves = duties.Waves(
-        duties.Upkeeping(
+    waves = upkeep_controller.OpenWaves(
+        upkeep_controller.Upkeeping(
             "op/wave/",
             lambda key, value: _WAVE,
             lambda: platform,
@@ -52,12 +52,12 @@
         )
     )
     waves.open["op/wave/1"] = _WAVE
-    return duties.UpkeepDuty(
+    return upkeep_controller.UpkeepController(
         held,
         "e0",
         stores.StoreView(store, "e0"),
         work.Book(1),
-        clock.Clock(trio.current_time, lambda: 0.0),
+        clocks.Clock(trio.current_time, lambda: 0.0),
         waves,
         lambda: None,
     )
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_worker_links.py
@@ -6,9 +6,9 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
-from crocusrouter.pools import links
-from crocusrouter.pools import unanswered
+from crocusrouter.pools import clocks
+from crocusrouter.pools import unanswered_starts
+from crocusrouter.pools import worker_links
 from crocusrouter.work import orders
 from crocusrouter.work import runs
 from crocusrouter.work.tests import build
@@ -56,19 +56,19 @@
     book = work.Book(1)
     book.set_worker(build.make_entry(_WORKER), 0.0)
     book.workers[_WORKER].reached = True
-    times = clock.Clock(trio.current_time, lambda: 1e6 + trio.current_time())
-    link = links.WorkerLink(
+    clock = clocks.Clock(trio.current_time, lambda: 1e6 + trio.current_time())
+    link = worker_links.WorkerLink(
         _WORKER,
         port,
         1,
         book,
-        times,
+        clock,
         _settle,
         _always,
         may_start,
         lambda: None,
         lambda *_: None,
-        unanswered.UnansweredStarts(),
+        unanswered_starts.UnansweredStarts(),
     )
     link.lease.note(500, trio.current_time())
     return book, link
--- a/crocusrouter/pools/tests/test_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -7,8 +7,8 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
-from crocusrouter.pools import listing
+from crocusrouter.pools import clocks
+from crocusrouter.pools import worker_listing
 from crocusrouter.store import client
 from crocusrouter.store import port
 from crocusrouter.store import records
@@ -53,14 +53,14 @@
 
 def _open_list(store, book=None):
     metrics = Metrics()
-    listed = listing.WorkerList(
-        listing.Source("listed/", _parse),
+    listed = worker_listing.WorkerList(
+        worker_listing.Source("listed/", _parse),
         store,
         "p",
         book or work.Book(1),
-        clock.Clock(trio.current_time, trio.current_time),
+        clocks.Clock(trio.current_time, trio.current_time),
         metrics,
-        listing.Listeners(
+        worker_listing.Listeners(
             lambda worker, address: None, lambda worker: None, lambda: None
         ),
     )
@@ -163,16 +163,16 @@
     ]
     book = work.Book(1)
     unlisted = []
-    follower = listing.WorkerList(
-        listing.Source(
+    follower = worker_listing.WorkerList(
+        worker_listing.Source(
             "listed/", lambda _, value: build.make_entry(value.decode())
         ),
         _Empty(*events),
         "p",
         book,
-        clock.Clock(trio.current_time, trio.current_time),
+        clocks.Clock(trio.current_time, trio.current_time),
         Metrics(),
-        listing.Listeners(
+        worker_listing.Listeners(
             lambda worker, address: None, unlisted.append, lambda: None
         ),
     )
--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -12,9 +12,9 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import keys
-from crocusrouter.pools import tenure as tenures
+from crocusrouter.pools import owner_leases
 from crocusrouter.store import client
 from crocusrouter.store import port
 from crocusrouter.store import records
@@ -48,7 +48,7 @@
     build_status: BuildStatus
 
 
-class Waves:
+class OpenWaves:
     """The waves that operators ask for, as one entry knows them."""
 
     def __init__(self, meeting: Upkeeping | None) -> None:
@@ -77,17 +77,17 @@
                 self.open[key] = wave
 
 
-class UpkeepDuty:
+class UpkeepController:
     """Does one pool's part of all open waves, under the owner's epoch."""
 
     def __init__(
         self,
-        held: tenures.Tenure,
+        held: owner_leases.OwnerLease,
         holder: str,
         store: port.KeyValueStore,
         book: work.Book,
-        times: clock.Clock,
-        waves: Waves,
+        clock: clocks.Clock,
+        waves: OpenWaves,
         changed: Callable[[], None],
     ) -> None:
         """Prepare the duty; `run` does the rest.
@@ -97,15 +97,15 @@
             holder: Name under which orders are given.
             store: The key-value service.
             book: The pool's book.
-            times: The present time.
+            clock: Source of the current time.
             waves: What operators ask for.
             changed: Called when the book has changed.
         """
-        self._tenure = held
+        self._owner_lease = held
         self._holder = holder
         self._store = store
         self._book = book
-        self._times = times
+        self._clock = clock
         self._waves = waves
         self._changed = changed
         self._records: dict[int, upkeep.WaveRecord] = {}
@@ -176,13 +176,13 @@
         vms: vm_port.VmPort,
     ) -> None:
         record = self._records.get(wave.number)
-        pool = self._tenure.pool
+        pool = self._owner_lease.pool
         if record is None or upkeep.is_shared(wave, record, listed, pool):
             # Owners of other pools change it too.
             record = await self._load(wave.number)
         before = upkeep.dump_record(record)
         upkeep.note_back(record, listed)
-        now = self._times.steady()
+        now = self._clock.steady()
         chosen = upkeep.choose_vm(self._book, pool, wave, record, listed, now)
         if chosen is not None:
             record.begun[chosen.name] = chosen.worker
@@ -204,8 +204,10 @@
         vms: vm_port.VmPort,
     ) -> None:
         """Empty the VMs that are begun; order down those that are empty."""
-        now = self._times.steady()
-        ours = {vm.name: vm for vm in listed if vm.pool == self._tenure.pool}
+        now = self._clock.steady()
+        ours = {
+            vm.name: vm for vm in listed if vm.pool == self._owner_lease.pool
+        }
         for name in list(record.begun):
             vm = ours.get(name)
             if vm is None or vm.state is not vm_port.VmState.UP:
@@ -229,10 +231,10 @@
         vm: vm_port.Vm,
         vms: vm_port.VmPort,
     ) -> None:
-        if not self._tenure.is_valid():
+        if not self._owner_lease.is_valid():
             return
         answer = await vms.begin_upkeep(
-            self._holder, self._tenure.epoch, vm.name, wave
+            self._holder, self._owner_lease.epoch, vm.name, wave
         )
         log("upkeep:ordered", wave=wave, vm=vm.name, answer=str(answer))
         if answer is vm_port.Upkeep.FENCED:
@@ -280,7 +282,7 @@
         assert self._waves.meeting is not None
         status, body = self._waves.meeting.build_status(wave, is_over)
         outcome = await self._store.write(
-            (self._tenure.guard, port.Guard(key, self._revisions[wave])),
+            (self._owner_lease.guard, port.Guard(key, self._revisions[wave])),
             (
                 port.Write(key, upkeep.dump_record(record)),
                 port.Write(status, body),
--- a/crocusrouter/pools/leases.py
+++ b/crocusrouter/pools/worker_leases.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class LeaseClock:
+class WorkerLease:
     """What is known of one worker's clock and lease.
 
     Attributes:
@@ -52,7 +52,7 @@
     def has_lapsed(self, now: float) -> bool:
         """Tell whether nothing that we or an earlier owner leased can run.
 
-        >>> clock = LeaseClock(opened_at=0.0)
+        >>> clock = WorkerLease(opened_at=0.0)
         >>> clock.has_lapsed(7.0), clock.has_lapsed(8.0)
         (False, True)
         """
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/worker_links.py
@@ -6,10 +6,10 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import journal as journals
-from crocusrouter.pools import leases
-from crocusrouter.pools import unanswered as unanswered_starts
+from crocusrouter.pools import unanswered_starts
+from crocusrouter.pools import worker_leases
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
 from crocusrouter.work import runs
@@ -42,7 +42,7 @@
         port: orders.WorkerPort,
         epoch: int,
         book: work.Book,
-        times: clock.Clock,
+        clock: clocks.Clock,
         settle: Callable[[], Awaitable[None]],
         may_renew: Callable[[], bool],
         may_start: Callable[[float], bool],
@@ -57,7 +57,7 @@
             port: How to reach it.
             epoch: The owner's epoch.
             book: Told of everything that the worker says.
-            times: The present time.
+            clock: Source of the current time.
             settle: Waits until what the book has noted is durable.
             may_renew: Whether leases may be renewed now.
             may_start: Whether it is known well enough, at a steady time, which
@@ -68,11 +68,11 @@
                 incarnations.
         """
         self.worker = worker
-        self.lease = leases.LeaseClock(times.steady())
+        self.lease = worker_leases.WorkerLease(clock.steady())
         self._port = port
         self._epoch = epoch
         self._book = book
-        self._times = times
+        self._clock = clock
         self._settle = settle
         self._may_renew = may_renew
         self._may_start = may_start
@@ -113,7 +113,7 @@
                 await self._port.aclose()
 
     async def _look(self, wait_s: float) -> None:
-        now = self._times.steady()
+        now = self._clock.steady()
         held = self._book.workers[self.worker]
         until_ms = None
         # A worker that has not answered gets looks that renew nothing:
@@ -135,7 +135,7 @@
                 await self._take_silence()
 
     async def _take_report(self, report: orders.Report, sent_at: float) -> None:
-        now = self._times.steady()
+        now = self._clock.steady()
         self.lease.note(report.clock_ms, now)
         work.take_report(self._book, self.worker, report, sent_at, now)
         self._changed()
@@ -147,7 +147,7 @@
             self._seen = max(self._seen, last)
 
     async def _take_silence(self) -> None:
-        now = self._times.steady()
+        now = self._clock.steady()
         work.note_silent(self._book, self.worker, now)
         held = self._book.workers[self.worker]
         if not held.lapsed and self.lease.has_lapsed(now):
@@ -162,7 +162,7 @@
         """Give the incarnation up: another one answers in its place."""
         self._gone = True
         stops = (
-            self._unanswered.list_stops(other, self._times.steady())
+            self._unanswered.list_stops(other, self._clock.steady())
             if other is not None
             else []
         )
@@ -178,17 +178,17 @@
         Raises:
             DeposedError: The worker knows a later owner.
         """
-        give_up_at = self._times.steady() + _START_PATIENCE_S
+        give_up_at = self._clock.steady() + _START_PATIENCE_S
         maybe_begun = False
         while self._is_wanted(order):
-            now = self._times.steady()
+            now = self._clock.steady()
             until_ms = self.lease.extend(now)
             if until_ms is None or now > give_up_at:
                 break
             result = await self._port.start(
                 self._epoch, order, until_ms, _ORDER_TIMEOUT_S
             )
-            now = self._times.steady()
+            now = self._clock.steady()
             match result:
                 case orders.Taken(clock_ms):
                     self.lease.note(clock_ms, now)
@@ -240,7 +240,7 @@
             and not held.sealed
             and run.work is not None
             and not held.is_over(run.work.step.charge)
-            and self._may_start(self._times.steady())
+            and self._may_start(self._clock.steady())
         )
 
     def _note_if_leaving(self, order: orders.Start) -> None:
@@ -255,7 +255,7 @@
             )
 
     def _reject(self, order: orders.Start, why: str) -> None:
-        now = self._times.steady()
+        now = self._clock.steady()
         self._book.note_not_begun(order.key, order.run, why, now)
         self._changed()
 
@@ -272,7 +272,7 @@
             self._reject(order, "unreachable")
             return
         if run.phase is runs.Phase.ORDERED:
-            now = self._times.steady()
+            now = self._clock.steady()
             self._book.stop_run(run, "its start was not answered", now)
             if run.work is not None and run.work.step.gang:
                 # The others would wait for it until they end alone.
@@ -285,7 +285,7 @@
         held = self._book.workers.get(self.worker)
         if self._gone or held is None or not held.reached:
             return
-        now = self._times.steady()
+        now = self._clock.steady()
         for order in self._unanswered.list_stops(self.worker, now):
             await self.stop(order)
 
@@ -310,7 +310,7 @@
                 case orders.Rejected(orders.Why.FENCED):
                     raise journals.DeposedError(f"fenced by {self.worker}")
                 case orders.Taken(clock_ms):
-                    now = self._times.steady()
+                    now = self._clock.steady()
                     self.lease.note(clock_ms, now)
                     await self._settle_stop(order, now)
                     return
@@ -319,7 +319,7 @@
                     return
             if known and not self._is_current(order):
                 return
-            if not known and self.lease.has_lapsed(self._times.steady()):
+            if not known and self.lease.has_lapsed(self._clock.steady()):
                 return
             self.wake()
             await trio.sleep(_RETRY_S)
@@ -331,7 +331,7 @@
             DeposedError: The worker knows a later owner.
         """
         result = await self._port.pace(self._epoch, order, _ORDER_TIMEOUT_S)
-        now = self._times.steady()
+        now = self._clock.steady()
         match result:
             case orders.Taken():
                 self._book.note_paced(order.key, order.run, order.percent, now)
--- a/crocusrouter/pools/listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from crocusrouter import work
-from crocusrouter.pools import clock
+from crocusrouter.pools import clocks
 from crocusrouter.pools import freshness
 from crocusrouter.pools import intake
 from crocusrouter.store import port
@@ -61,7 +61,7 @@
         store: port.KeyValueStore,
         pool: str,
         book: work.Book,
-        times: clock.Clock,
+        clock: clocks.Clock,
         metrics: Metrics,
         listeners: Listeners,
     ) -> None:
@@ -72,20 +72,20 @@
             store: The key-value service.
             pool: Workers of other pools are passed over.
             book: Told of the workers.
-            times: The present time.
+            clock: Source of the current time.
             metrics: Counts unreadable entries.
             listeners: Told what the book can't act on.
         """
         self._source = source
         self._pool = pool
         self._book = book
-        self._times = times
+        self._clock = clock
         self._metrics = metrics
         self._listeners = listeners
         # The incarnation that each key tells of.
         self._incarnations: dict[str, str] = {}
         self.freshness = freshness.Freshness(
-            source.prefix, times, metrics, listeners.changed
+            source.prefix, clock, metrics, listeners.changed
         )
         self._follower = intake.Follower(
             store,
@@ -105,7 +105,7 @@
         await self._follower.run()
 
     def _take(self, events: tuple[records.Event, ...]) -> None:
-        now = self._times.steady()
+        now = self._clock.steady()
         for event in events:
             if isinstance(event, records.Removed):
                 self._unlist(event.key)
