--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -1,4 +1,4 @@
-"""Pools of workers: ownership, journal, links, and the callers' desk."""
+"""Pools of workers: ownership, scheduling, journal and job calls."""
 
 from crocusrouter.pools.clocks import Clock
 from crocusrouter.pools.configuration import Basis
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -1,4 +1,4 @@
-"""Asks the policy service which workers may run the steps in turn."""
+"""Asks the policy service which workers may run the next steps."""
 
 from collections.abc import Callable
 
@@ -10,44 +10,44 @@
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
 
-# An answer takes the service's fixed time and some more for each of at most
-# thirty workers; past this it is taken for lost.
+# An answer takes the service's fixed time plus some time for each of at most
+# thirty workers; a later answer is considered lost.
 _ANSWER_TIMEOUT_S = 3.0
-_RETRY_S = 0.25
-# Tickets end without an event that would wake the advisor.
-_TICK_S = 0.25
+_RETRY_DELAY_S = 0.25
+# Tickets expire without an event that would wake the advisor.
+_CHECK_INTERVAL_S = 0.25
 
 
 class Advisor:
-    """Asks one question at a time; the service takes no more of one VM."""
+    """Asks one question at a time; the service accepts no more from one VM."""
 
     def __init__(
         self,
         policy: orders.PolicyPort | None,
         book: work.Book,
         clock: clocks.Clock,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         """Prepare an advisor.
 
         Args:
-            policy: The service; None if the settings name none.
+            policy: The policy service; None if the settings name none.
             book: Keeps the answers.
             clock: Source of the current time.
-            changed: Called when an answer has come.
+            on_change: Called when an answer has arrived.
         """
         self._policy = policy
         self._book = book
         self._clock = clock
-        self._changed = changed
-        self._wake = trio.Event()
+        self._on_change = on_change
+        self._wake_event = trio.Event()
 
     def wake(self) -> None:
-        """Say that there may be something to ask."""
-        self._wake.set()
+        """Check again whether there is a question to ask."""
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Ask whatever the next step in turn needs, until cancelled."""
+        """Ask the questions of the next steps until cancelled."""
         try:
             while True:
                 question = work.choose_question(
@@ -56,9 +56,9 @@
                 if question is not None:
                     await self._ask(question)
                     continue
-                with trio.move_on_after(_TICK_S):
-                    await self._wake.wait()
-                self._wake = trio.Event()
+                with trio.move_on_after(_CHECK_INTERVAL_S):
+                    await self._wake_event.wait()
+                self._wake_event = trio.Event()
         finally:
             if self._policy is not None:
                 with trio.CancelScope(shield=True):
@@ -70,15 +70,16 @@
             log("policy:no-address", step=step, remedy="set policy_address")
             await trio.sleep(_ANSWER_TIMEOUT_S)
             return
-        by_worker = {
-            incarnations.find_worker(name): name for name in question.workers
+        incarnation_by_worker = {
+            incarnations.find_worker(incarnation): incarnation
+            for incarnation in question.workers
         }
         answer = await self._policy.advise(
-            step, tuple(by_worker), _ANSWER_TIMEOUT_S
+            step, tuple(incarnation_by_worker), _ANSWER_TIMEOUT_S
         )
         if isinstance(answer, orders.Silent):
             log("policy:no-answer", step=step, cause=answer.cause)
-            await trio.sleep(_RETRY_S)
+            await trio.sleep(_RETRY_DELAY_S)
             return
         log(
             "policy:answered",
@@ -87,15 +88,15 @@
             allowed=sorted(answer.tickets),
             valid_s=answer.valid_s,
         )
-        held = self._book.find_work(step)
-        if held is None:
+        step_work = self._book.find_work(step)
+        if step_work is None:
             return
         valid_until = self._clock.steady() + answer.valid_s
-        # A ticket ends with the incarnation that it was given for.
+        # A ticket is valid only for the incarnation for which it was requested.
         tickets = {
-            by_worker[worker]: ticket
-            for worker, ticket in answer.tickets.items()
-            if worker in by_worker
+            incarnation_by_worker[worker_id]: ticket
+            for worker_id, ticket in answer.tickets.items()
+            if worker_id in incarnation_by_worker
         }
-        held.permits.note_answer(question.workers, tickets, valid_until)
-        self._changed()
+        step_work.permits.note_answer(question.workers, tickets, valid_until)
+        self._on_change()
--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -1,4 +1,4 @@
-"""The accepted jobs of one pool, as its owner reads and follows them."""
+"""Follows the accepted jobs of one pool for its owner."""
 
 from collections.abc import Callable
 
@@ -15,11 +15,11 @@
 
 
 class Backlog:
-    """Keeps a book's jobs as the entries have stored them.
+    """Keeps the jobs of a book in line with the stored ones.
 
     Attributes:
-        freshness: How recently jobs were heard.
-        revisions: Revision of each job's progress record that was found.
+        freshness: How recently jobs were received.
+        revisions: Revision of each progress record that was read, by job.
     """
 
     def __init__(
@@ -29,35 +29,41 @@
         book: work.Book,
         clock: clocks.Clock,
         metrics: Metrics,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """Prepare the follower.
+        """Prepare to follow the jobs.
 
         Args:
             store: The key-value service.
-            pool: Jobs of other pools are passed over.
-            book: Told of the jobs.
+            pool: Name of the pool; jobs of other pools are ignored.
+            book: Updated with the jobs.
             clock: Source of the current time.
             metrics: Counts unreadable jobs.
-            changed: Called when there may be something to decide.
+            on_change: Called when there may be something to schedule.
         """
-        self.freshness = freshness.Freshness(keys.JOBS, clock, metrics, changed)
+        self.freshness = freshness.Freshness(
+            keys.JOBS, clock, metrics, on_change
+        )
         self.revisions: dict[str, int] = {}
         self._store = store
         self._pool = pool
         self._book = book
         self._clock = clock
         self._metrics = metrics
-        self._changed = changed
-        self._progress: dict[str, records.Record] = {}
+        self._on_change = on_change
+        self._progress_records: dict[str, records.Record] = {}
         self._follower = intake.Follower(
-            store, keys.JOBS, self._take, metrics, self.freshness.note_answer
+            store,
+            keys.JOBS,
+            self._handle_events,
+            metrics,
+            self.freshness.note_answer,
         )
 
     async def load(self) -> None:
-        """Read all jobs and what has ended; raises StoreUnavailableError."""
+        """Read all jobs and their progress; raises StoreUnavailableError."""
         snapshot = await self._store.read_prefix(keys.PROGRESS)
-        self._progress = {
+        self._progress_records = {
             record.key.removeprefix(keys.PROGRESS): record
             for record in snapshot.records
         }
@@ -67,17 +73,17 @@
         """Follow changes until cancelled."""
         await self._follower.run()
 
-    def _take(self, events: tuple[records.Event, ...]) -> None:
+    def _handle_events(self, events: tuple[records.Event, ...]) -> None:
         now = self._clock.steady()
         for event in events:
             if isinstance(event, records.Removed):
                 self._book.forget_job(event.key.removeprefix(keys.JOBS))
             else:
-                self._take_record(event.record, now)
-        self._changed()
+                self._handle_record(event.record, now)
+        self._on_change()
 
-    def _take_record(self, record: records.Record, now: float) -> None:
-        """Take one stored job; a record that can't be read harms no other."""
+    def _handle_record(self, record: records.Record, now: float) -> None:
+        """Apply one stored job; an unreadable record affects no other job."""
         try:
             job: work.Job = codec.unpack(work.Job, record.value)
             if job.pool == self._pool:
@@ -88,11 +94,11 @@
 
     def _put_job(self, job: work.Job, revision: int, now: float) -> None:
         progress = work.Progress()
-        kept = self._progress.pop(job.id, None)
-        if kept is not None:
-            progress = work.parse_progress(kept.value)
-            self.revisions[job.id] = kept.revision
-        known = job.id in self._book.jobs
+        progress_record = self._progress_records.pop(job.id, None)
+        if progress_record is not None:
+            progress = work.parse_progress(progress_record.value)
+            self.revisions[job.id] = progress_record.revision
+        is_known = job.id in self._book.jobs
         self._book.put_job(job, progress, revision, now)
         log(
             "job:seen",
@@ -101,7 +107,7 @@
             priority=job.priority,
             cancelled=job.cancelled,
             revision=revision,
-            repeat=known,
+            repeat=is_known,
             objective_s=round(job.objective_s, 3),
             expected_s=round(max(job.tails, default=0.0), 3),
         )
--- a/crocusrouter/pools/clocks.py
+++ b/crocusrouter/pools/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks that the pools' controllers read."""
+"""Defines the steady and the wall clock that the controllers read."""
 
 from collections.abc import Callable
 import dataclasses
@@ -6,18 +6,18 @@
 
 
 def read_steady() -> float:
-    """Return steady seconds that go on while the process is suspended.
+    """Return steady seconds that include time in suspension.
 
-    The usual steady clock stands still then. An owner that wakes after its
-    lease has ended would find it still good and give orders beside its
-    successor.
+    The usual monotonic clock stops while the process is suspended. An owner
+    that resumes after its lease has ended would consider it valid and send
+    orders alongside its successor.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclasses.dataclass(frozen=True)
 class Clock:
-    """Where the present time comes from.
+    """Source of the current time.
 
     Attributes:
         steady: Returns seconds for intervals and leases.
--- a/crocusrouter/pools/config_refresh.py
+++ b/crocusrouter/pools/config_refresh.py
@@ -1,8 +1,8 @@
-"""Keeps the configuration of an entry young enough to decide calls by it.
+"""Refreshes the configuration so that its age allows deciding calls.
 
-A watch brings changes at once, but an answer that is lost or held up shows
-nothing. So a configuration is believed for a bounded time only, counted from a
-read that was answered; a call that comes later waits for the next read.
+A watch reports changes at once, but a lost or delayed answer shows nothing. So
+a configuration is trusted only for a bounded time after an answered read; a
+call that comes later waits for the next read.
 """
 
 from collections.abc import Awaitable
@@ -17,28 +17,28 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
-# Reads are answered in milliseconds. One whose answer may be lost is left open,
-# since the service may only be slow, and after this another is sent, and peers
+# Reads are answered in milliseconds. A read without an answer in this time
+# stays open, since the service may only be slow; another one is sent, and peers
 # are asked too.
-_ANSWER_S = 0.3
-# How long a look goes on: a read has a second to be answered.
-_LOOK_S = 1.2
-# How long a call waits for a look: enough for a second read, and little beside
-# the three seconds that callers wait for the whole call.
-_PATIENCE_S = 0.5
-# After a look that nobody has answered, the next one begins, and calls wait
-# for it, no earlier than this.
-_PAUSE_S = 0.5
-# A limit that is overrun by this means that the process stood still, with
-# answers in its sockets; then it passed for nobody.
-_STALL_S = 0.2
-_MOST_WAITS = 4
+_ANSWER_TIMEOUT_S = 0.3
+# Duration of a check: a read has one second to be answered.
+_CHECK_TIMEOUT_S = 1.2
+# How long a call waits for a check: enough for a second read, and short
+# compared with the three seconds for which callers wait.
+_CALL_WAIT_S = 0.5
+# Delay after an unanswered check until the next one begins, and until calls
+# wait for one again.
+_RETRY_DELAY_S = 0.5
+# A timeout that is exceeded by this much means that the process was blocked
+# while answers lay in its sockets. Such a timeout does not count.
+_STALL_THRESHOLD_S = 0.2
+_MAX_WAITS = 4
 
 Read = Callable[[str], Awaitable[records.Record | None]]
 
 
 class ConfigRefresher:
-    """Asks for the newest configuration before calls need it."""
+    """Checks for the newest configuration before calls need it."""
 
     def __init__(
         self,
@@ -47,107 +47,112 @@
         read_by_peers: Read,
         is_owner: Callable[[], bool],
         is_down: Callable[[], bool],
-        note_missed: Callable[[], None],
+        on_missed_change: Callable[[], None],
         clock: clocks.Clock,
         metrics: Metrics,
     ) -> None:
-        """Prepare; `run` looks.
+        """Prepare; `run` checks regularly.
 
         Args:
-            configuration: What to keep young.
+            configuration: The configuration to refresh.
             read: Reads a key of the key-value service.
-            read_by_peers: Reads it by way of peers.
-            is_owner: Whether this entry owns a pool.
-            is_down: Whether the service is known not to serve this entry.
-            note_missed: Called when a read brings what the watch has not.
+            read_by_peers: Reads a key through peers.
+            is_owner: Returns whether this entry owns a pool.
+            is_down: Returns whether the service is known not to serve this
+                entry.
+            on_missed_change: Called when a read returns a version that the
+                watch has not reported.
             clock: Source of the current time.
-            metrics: Counts looks by how they ended.
+            metrics: Counts checks by outcome.
         """
         self._configuration = configuration
         self._read = read
         self._read_by_peers = read_by_peers
         self._is_owner = is_owner
         self._is_down = is_down
-        self._note_missed = note_missed
+        self._on_missed_change = on_missed_change
         self._clock = clock
         self._metrics = metrics
-        self._wanted = trio.Event()
-        self._looked = trio.Event()
+        self._check_requested = trio.Event()
+        self._check_finished = trio.Event()
         self._failed_at: float | None = None
-        self._answered = 0
+        self._answer_count = 0
 
     async def ensure_current(self) -> bool:
-        """Wait, if need be and not for long, for the newest configuration.
+        """Wait, if necessary and not for long, for the newest configuration.
 
-        If neither the service nor a peer answers, what was known a moment ago
-        decides: then nobody can be served by a newer one.
+        If neither the service nor a peer answers, the configuration known so
+        far decides: nobody could be served by a newer one then.
 
         Returns:
-            Whether a call may be decided by what is in force now.
+            Whether a call may be decided by the configuration in force.
         """
-        for _ in range(_MOST_WAITS):
-            began = self._clock.steady()
-            with trio.move_on_after(_PATIENCE_S):
+        for _ in range(_MAX_WAITS):
+            began_at = self._clock.steady()
+            with trio.move_on_after(_CALL_WAIT_S):
                 while self._should_wait(self._clock.steady()):
-                    self._wanted.set()
-                    await self._looked.wait()
-            if not self._has_stalled(began + _PATIENCE_S):
+                    self._check_requested.set()
+                    await self._check_finished.wait()
+            if not self._has_stalled(began_at + _CALL_WAIT_S):
                 break
         return self._configuration.is_fresh(self._clock.steady())
 
-    def _has_stalled(self, limit: float) -> bool:
-        """Tell whether a limit was overrun because the process stood still."""
-        return self._clock.steady() > limit + _STALL_S
+    def _has_stalled(self, deadline: float) -> bool:
+        """Return whether a timeout was exceeded because the process blocked."""
+        return self._clock.steady() > deadline + _STALL_THRESHOLD_S
 
     def _should_wait(self, now: float) -> bool:
         if self._configuration.current is None:
-            # Callers of an entry that comes up go elsewhere at once.
+            # Callers of a starting entry go to another entry at once.
             return False
         if self._configuration.is_current(now):
             return False
-        return self._failed_at is None or now >= self._failed_at + _PAUSE_S
+        return (
+            self._failed_at is None or now >= self._failed_at + _RETRY_DELAY_S
+        )
 
     async def run(self) -> None:
-        """Look whenever it is time, or a call waits, until cancelled."""
+        """Check whenever it is due or a call waits, until cancelled."""
         while True:
             await self._wait_until_due()
-            self._wanted = trio.Event()
-            await self._look()
-            self._looked.set()
-            self._looked = trio.Event()
+            self._check_requested = trio.Event()
+            await self._check()
+            self._check_finished.set()
+            self._check_finished = trio.Event()
 
     async def _wait_until_due(self) -> None:
-        """Wait until the configuration is due, or a call wants it earlier.
+        """Wait until a check is due or a call requests one.
 
-        Heartbeats vouch for it meanwhile, and then it is due later.
+        Heartbeats confirm the configuration meanwhile, which postpones the
+        check.
         """
         while True:
             now = self._clock.steady()
-            due = self._configuration.find_next_look(self._is_owner())
+            due_at = self._configuration.find_next_check(self._is_owner())
             if self._failed_at is not None:
-                due = max(due, self._failed_at + _PAUSE_S)
-            if now >= due:
+                due_at = max(due_at, self._failed_at + _RETRY_DELAY_S)
+            if now >= due_at:
                 return
-            with trio.move_on_after(due - now):
-                await self._wanted.wait()
+            with trio.move_on_after(due_at - now):
+                await self._check_requested.wait()
                 return
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         """Ask until somebody answers or nobody is left to ask."""
-        before = self._answered
-        began = self._clock.steady()
+        answers_before = self._answer_count
+        began_at = self._clock.steady()
         is_down = self._is_down()
-        limit_s = _ANSWER_S if is_down else _LOOK_S
-        with trio.move_on_after(limit_s):
+        timeout_s = _ANSWER_TIMEOUT_S if is_down else _CHECK_TIMEOUT_S
+        with trio.move_on_after(timeout_s):
             if is_down:
                 await self._ask(self._read_by_peers)
             else:
                 await self._ask_all()
-        if self._answered > before:
+        if self._answer_count > answers_before:
             self._failed_at = None
             self._metrics.count_event("config-look-answered")
             return
-        if self._has_stalled(began + limit_s):
+        if self._has_stalled(began_at + timeout_s):
             return
         self._failed_at = self._clock.steady()
         self._metrics.count_event("config-look-unanswered")
@@ -157,32 +162,32 @@
         )
 
     async def _ask_all(self) -> None:
-        """Ask the service, and once it is late, again and peers as well."""
+        """Ask the service; without an answer, ask it again and the peers."""
         async with trio.open_nursery() as nursery:
-            refused = trio.Event()
+            first_read_failed = trio.Event()
 
             async def ask(read: Read) -> None:
                 if await self._ask(read):
                     nursery.cancel_scope.cancel()
-                refused.set()
+                first_read_failed.set()
 
             nursery.start_soon(ask, self._read)
-            with trio.move_on_after(_ANSWER_S):
-                await refused.wait()
+            with trio.move_on_after(_ANSWER_TIMEOUT_S):
+                await first_read_failed.wait()
             nursery.start_soon(ask, self._read_by_peers)
-            if not refused.is_set():
+            if not first_read_failed.is_set():
                 nursery.start_soon(ask, self._read)
 
     async def _ask(self, read: Read) -> bool:
-        """Ask once; tell whether there was an answer."""
+        """Ask once; return whether there was an answer."""
         sent_at = self._clock.steady()
         try:
-            found = await read(self._configuration.key)
+            record = await read(self._configuration.key)
         except client.StoreUnavailableError:
             return False
-        if found is not None:
-            if self._configuration.take(found.value, "read"):
-                self._note_missed()
-            self._configuration.vouch(sent_at)
-        self._answered += 1
+        if record is not None:
+            if self._configuration.apply(record.value, "read"):
+                self._on_missed_change()
+            self._configuration.confirm_newest(sent_at)
+        self._answer_count += 1
         return True
--- a/crocusrouter/pools/configuration.py
+++ b/crocusrouter/pools/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one entry, and how old it may be."""
+"""Holds the configuration in force at one entry and bounds its age."""
 
 from collections.abc import Callable
 import dataclasses
@@ -9,39 +9,41 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
-# Shares of the time in which operators are promised a change to be in force.
-# No call is decided by what was known longer ago than this; the rest is margin.
-_DECIDE_SHARE = 0.9
-# Without calls, an entry asks anew at this age to stay ready; an owner does so
-# earlier and vouches for all who exchange heartbeats with it.
-_LOOK_SHARE = 1.6
-_OWNER_LOOK_SHARE = 1.0
-# While nobody can be asked, calls are decided by what was known this long ago;
-# after that they are refused. Above the others, so that looking keeps an entry
-# ready.
-_STALE_SHARE = 2.5
+# Limits of the configuration's age, as shares of the time in which operators
+# are promised that a change is in force. No call is decided by a configuration
+# that was last confirmed longer ago than this; the rest is margin.
+_MAX_AGE_SHARE = 0.9
+# Without calls, an entry asks again at this age to stay ready. An owner asks
+# earlier and confirms the configuration to all peers that exchange heartbeats
+# with it.
+_CHECK_SHARE = 1.6
+_OWNER_CHECK_SHARE = 1.0
+# While neither the store nor a peer answers, calls are decided up to this age
+# and refused after that. The limit is above the others, so that regular checks
+# keep an entry ready.
+_MAX_UNCONFIRMED_AGE_SHARE = 2.5
 
 
 @dataclasses.dataclass(frozen=True)
 class Basis:
-    """By which configuration a call was decided.
+    """The configuration by which a call was decided.
 
     Attributes:
         version: Its version; 0 if there was none.
-        age_s: Seconds since it was certainly the newest; None if never.
+        age_s: Seconds since it was certainly the newest; None if it never was.
     """
 
     version: int
     age_s: float | None
 
-    def show(self) -> dict[str, float | int | None]:
+    def build_log_fields(self) -> dict[str, float | int | None]:
         """Return the fields of a log line."""
         age = None if self.age_s is None else round(self.age_s, 3)
         return {"version": self.version, "config_age_s": age}
 
 
 class Configuration:
-    """Holds the newest valid configuration; it only moves forward."""
+    """Holds the newest valid configuration; its version never decreases."""
 
     def __init__(
         self,
@@ -51,14 +53,14 @@
         clock: clocks.Clock,
         metrics: Metrics,
     ) -> None:
-        """Start with none.
+        """Start without a configuration.
 
         Args:
-            key: Where the operators' newest one lies.
-            parse: Decodes it; raises ValueError for what is none.
-            apply_s: Seconds in which a confirmed change has to be in force.
+            key: Key of the operators' configuration in the store.
+            parse: Decodes a document; raises ValueError if it is invalid.
+            apply_s: Seconds within which a confirmed change has to be in force.
             clock: Source of the current time.
-            metrics: Counts versions.
+            metrics: Counts versions and invalid documents.
         """
         self.key = key
         self.current: queues.Config | None = None
@@ -68,8 +70,8 @@
         self._apply_s = apply_s
         self._clock = clock
         self._metrics = metrics
-        self._vouched_at: float | None = None
-        self._refused = b""
+        self._confirmed_at: float | None = None
+        self._invalid_document = b""
 
     @property
     def version(self) -> int:
@@ -77,60 +79,60 @@
         return self.current.version if self.current is not None else 0
 
     def is_current(self, now: float) -> bool:
-        """Tell whether no change can lack that operators may rely on."""
-        return self._is_younger(_DECIDE_SHARE * self._apply_s, now)
+        """Return whether it has every change that operators may rely on."""
+        return self._is_younger(_MAX_AGE_SHARE * self._apply_s, now)
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether calls may be decided while nobody can be asked."""
-        return self._is_younger(_STALE_SHARE * self._apply_s, now)
+        """Return whether calls may be decided while nobody can be asked."""
+        return self._is_younger(_MAX_UNCONFIRMED_AGE_SHARE * self._apply_s, now)
 
     def _is_younger(self, limit_s: float, now: float) -> bool:
         age = self.measure_age(now)
         return self.current is not None and age is not None and age < limit_s
 
-    def find_next_look(self, is_owner: bool) -> float:
-        """Return the steady time at which to ask for the newest one.
+    def find_next_check(self, is_owner: bool) -> float:
+        """Return the steady time at which to ask for the newest version.
 
         Args:
             is_owner: Whether this entry owns a pool.
         """
-        if self._vouched_at is None:
+        if self._confirmed_at is None:
             return float("-inf")
-        share = _OWNER_LOOK_SHARE if is_owner else _LOOK_SHARE
-        return self._vouched_at + share * self._apply_s
+        share = _OWNER_CHECK_SHARE if is_owner else _CHECK_SHARE
+        return self._confirmed_at + share * self._apply_s
 
     def measure_age(self, now: float) -> float | None:
-        """Return the seconds since this was certainly the newest one."""
-        if self._vouched_at is None:
+        """Return the seconds since it was certainly the newest version."""
+        if self._confirmed_at is None:
             return None
-        return max(0.0, now - self._vouched_at)
+        return max(0.0, now - self._confirmed_at)
 
     def describe(self, now: float) -> Basis:
-        """Return what a call that is decided now is decided by."""
+        """Return the basis for a call that is decided now."""
         return Basis(self.version, self.measure_age(now))
 
-    def vouch(self, at: float) -> None:
-        """Note that at this moment it was the newest one.
+    def confirm_newest(self, asked_at: float) -> None:
+        """Record that at this time it was the newest version.
 
         Args:
-            at: When the question was sent, not when its answer arrived: the
-                answer may have been on its way for seconds.
+            asked_at: When the question was sent, not when its answer arrived:
+                the answer may have been in flight for seconds.
         """
-        if self._vouched_at is None or at > self._vouched_at:
-            self._vouched_at = at
+        if self._confirmed_at is None or asked_at > self._confirmed_at:
+            self._confirmed_at = asked_at
 
-    def take(self, document: bytes, source: str) -> bool:
+    def apply(self, document: bytes, source: str) -> bool:
         """Put a configuration in force if it is valid and newer.
 
         Returns:
-            Whether it was.
+            Whether it was valid and newer.
         """
-        if document in (self.document, self._refused):
+        if document in (self.document, self._invalid_document):
             return False
         try:
             config = self._parse(document)
         except ValueError as error:
-            self._refused = document
+            self._invalid_document = document
             self._metrics.count_event("config-invalid")
             log(
                 "config:invalid",
@@ -158,10 +160,10 @@
             listener(config)
         return True
 
-    def take_events(self, events: tuple[records.Event, ...]) -> None:
-        """Take what a watch of the operators' keys saw."""
+    def apply_events(self, events: tuple[records.Event, ...]) -> None:
+        """Apply the events of a watch of the operators' keys."""
         for event in events:
             if isinstance(event, records.Removed):
                 continue
             if event.record.key == self.key:
-                self.take(event.record.value, "store")
+                self.apply(event.record.value, "store")
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -1,11 +1,11 @@
-"""The connections of a link to one incarnation of a worker.
-
-A call names the worker's id, and the next process under that id would take it:
-a look would confirm ends that nobody has read, a start would begin a task that
-the owner counts elsewhere. A connection does not outlive the process at its
-other end. So the first call on each connection is a look that confirms and
-renews nothing, and whatever else is sent follows on a connection on which the
-expected incarnation has answered.
+"""Connections to one incarnation of a worker.
+
+Calls name the worker's id, so the next process under that id would accept them:
+a poll would confirm ended tasks that nobody has read, and a start would begin a
+task that the owner counts elsewhere. A connection does not outlive the process
+at its other end. So the first call on each connection is a poll that confirms
+and renews nothing, and all other calls are sent only on a connection on which
+the expected incarnation has answered.
 """
 
 from collections.abc import Awaitable
@@ -16,14 +16,15 @@
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
 
-# One look waits for an end; another may be asked for meanwhile.
-_MOST_LOOKS = 2
-# Orders that can be under way at once; an unanswered one keeps its connection
-# busy until its timeout.
-_MOST_ORDERS = 3
-# A connection on which an order is under way is free again within
-# milliseconds; a new one costs a round trip more, a look, and its price.
-_SHARING_S = 0.01
+# One poll waits for a task to end; another one may be needed meanwhile.
+_MAX_POLLS = 2
+# Concurrent orders; an unanswered order occupies its connection until it times
+# out.
+_MAX_ORDERS = 3
+# How long to wait for a connection that is in use by an order, which is free
+# again within milliseconds. A new connection costs an extra round trip, a poll,
+# and its price.
+_IDLE_WAIT_S = 0.01
 
 _Refused = orders.Rejected | orders.Silent
 _Answer = orders.Taken | _Refused
@@ -38,33 +39,34 @@
         """Prepare; nothing is sent.
 
         Args:
-            incarnation: Who must answer.
-            open_connection: Opens a connection to whoever answers there.
+            incarnation: The incarnation that must answer.
+            open_connection: Opens a connection to the process at the worker's
+                address.
         """
         self._incarnation = incarnation
         self._open_connection = open_connection
         self._idle: list[orders.Connection] = []
         self._is_closed = False
-        self._ordering = 0
-        self._returned = trio.Event()
-        self._looks = trio.CapacityLimiter(_MOST_LOOKS)
-        self._orders = trio.CapacityLimiter(_MOST_ORDERS)
+        self._orders_in_flight = 0
+        self._connection_returned = trio.Event()
+        self._poll_limiter = trio.CapacityLimiter(_MAX_POLLS)
+        self._order_limiter = trio.CapacityLimiter(_MAX_ORDERS)
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
     ) -> orders.Report | orders.Rejected | orders.Silent:
-        """Look; confirm and renew only where the incarnation is known."""
-        async with self._looks:
+        """Poll; confirm and renew only where the incarnation has answered."""
+        async with self._poll_limiter:
             connection = await self._take_idle()
             if connection is None:
                 connection = self._open_connection()
                 answer = await self._identify(connection, epoch, wait_s)
             else:
-                answer = self._check(
+                answer = self._check_incarnation(
                     await connection.hold(epoch, seen, until_ms, wait_s)
                 )
             if isinstance(answer, orders.Report):
-                await self._put_back(connection)
+                await self._release_connection(connection)
             else:
                 await connection.aclose()
             return answer
@@ -76,7 +78,9 @@
         return await self._send(
             epoch,
             timeout_s,
-            lambda found: found.start(epoch, order, until_ms, timeout_s),
+            lambda connection: connection.start(
+                epoch, order, until_ms, timeout_s
+            ),
         )
 
     async def stop(
@@ -84,19 +88,23 @@
     ) -> orders.Taken | orders.Rejected | orders.Silent:
         """Stop a run."""
         return await self._send(
-            epoch, timeout_s, lambda found: found.stop(epoch, order, timeout_s)
+            epoch,
+            timeout_s,
+            lambda connection: connection.stop(epoch, order, timeout_s),
         )
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
-        """Set the share of its speed at which a run works."""
+        """Set the share of its full speed at which a run works."""
         return await self._send(
-            epoch, timeout_s, lambda found: found.pace(epoch, order, timeout_s)
+            epoch,
+            timeout_s,
+            lambda connection: connection.pace(epoch, order, timeout_s),
         )
 
     async def aclose(self) -> None:
-        """Close all connections, those in use once they are answered."""
+        """Close all connections; busy ones after their answers."""
         self._is_closed = True
         while self._idle:
             await self._idle.pop().aclose()
@@ -107,9 +115,9 @@
         timeout_s: float,
         call: Callable[[orders.Connection], Awaitable[_Answer]],
     ) -> _Answer:
-        with trio.move_on_after(timeout_s) as waiting:
-            await self._orders.acquire()
-        if waiting.cancelled_caught:
+        with trio.move_on_after(timeout_s) as wait_scope:
+            await self._order_limiter.acquire()
+        if wait_scope.cancelled_caught:
             return orders.Silent("all connections are busy", maybe_done=False)
         try:
             connection = await self._await_idle()
@@ -119,25 +127,25 @@
                 if not isinstance(identity, orders.Report):
                     await connection.aclose()
                     return _mark_unsent(identity)
-            self._ordering += 1
+            self._orders_in_flight += 1
             try:
                 answer = await call(connection)
             finally:
-                self._ordering -= 1
-            await self._put_back(connection)
+                self._orders_in_flight -= 1
+            await self._release_connection(connection)
             return answer
         finally:
-            self._orders.release()
+            self._order_limiter.release()
 
     async def _await_idle(self) -> orders.Connection | None:
-        """Take an idle connection, or one that is about to be."""
-        with trio.move_on_after(_SHARING_S):
-            while self._ordering and not self._idle:
-                await self._returned.wait()
+        """Return an idle connection, waiting briefly for a busy one."""
+        with trio.move_on_after(_IDLE_WAIT_S):
+            while self._orders_in_flight and not self._idle:
+                await self._connection_returned.wait()
         return await self._take_idle()
 
     async def _take_idle(self) -> orders.Connection | None:
-        """Return a connection on which the incarnation has answered."""
+        """Return an idle connection to the incarnation, or None."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
@@ -145,38 +153,42 @@
             await connection.aclose()
         return None
 
-    async def _put_back(self, connection: orders.Connection) -> None:
+    async def _release_connection(self, connection: orders.Connection) -> None:
         if self._is_closed:
             await connection.aclose()
         else:
             self._idle.append(connection)
-        self._returned.set()
-        self._returned = trio.Event()
+        self._connection_returned.set()
+        self._connection_returned = trio.Event()
 
     async def _identify(
         self, connection: orders.Connection, epoch: int, wait_s: float
     ) -> orders.Report | _Refused:
-        return self._check(await connection.hold(epoch, 0, None, wait_s))
+        return self._check_incarnation(
+            await connection.hold(epoch, 0, None, wait_s)
+        )
 
-    def _check(
+    def _check_incarnation(
         self, answer: orders.Report | _Refused
     ) -> orders.Report | _Refused:
-        """Refuse a report of another incarnation."""
+        """Reject a report of another incarnation."""
         if not isinstance(answer, orders.Report):
             return answer
-        worker = incarnations.find_worker(self._incarnation)
-        told = incarnations.build_incarnation(worker, answer.born_ms)
-        if told == self._incarnation:
+        worker_id = incarnations.find_worker(self._incarnation)
+        answering = incarnations.build_incarnation(worker_id, answer.born_ms)
+        if answering == self._incarnation:
             return answer
         if answer.born_ms is None:
-            return orders.Silent("does not say when its process started")
+            return orders.Silent(
+                "the worker does not report when its process started"
+            )
         return orders.Rejected(
-            orders.Why.OTHER_INCARNATION, answer.clock_ms, told
+            orders.Why.OTHER_INCARNATION, answer.clock_ms, answering
         )
 
 
-def _mark_unsent(refused: _Refused) -> _Refused:
-    """Return why an order was not sent: nobody can carry it out."""
-    if isinstance(refused, orders.Silent):
-        return orders.Silent(refused.cause, maybe_done=False)
-    return refused
+def _mark_unsent(refusal: _Refused) -> _Refused:
+    """Return a refusal that rules out that the order is carried out."""
+    if isinstance(refusal, orders.Silent):
+        return orders.Silent(refusal.cause, maybe_done=False)
+    return refusal
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -1,4 +1,4 @@
-"""One entry: joins configuration, peers, ownership and the callers' desk."""
+"""Runs one entry process: configuration, peers, pool ownership, job calls."""
 
 from collections.abc import Callable
 import dataclasses
@@ -29,24 +29,25 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
-_ELECTION_TICK_S = 0.1
-# A timer that comes this late is worth a line: calls waited as long.
-_STALL_S = 0.25
-_DRAIN_S = 0.8
-# Bounds of what a refused caller is told. A shorter one asks more often than
-# anything here recovers; a longer one is missed by callers whose work is due.
-_SHORTEST_RETRY_S = 1.0
-_LONGEST_RETRY_S = 4.0
+_ELECTION_INTERVAL_S = 0.1
+# An event loop delay of this length is logged: calls waited as long.
+_STALL_THRESHOLD_S = 0.25
+_DRAIN_TIMEOUT_S = 0.8
+# Bounds of the retry delay sent with a refusal. With a shorter delay callers
+# ask again before anything here can recover; a longer one makes callers miss
+# their own deadlines.
+_MIN_RETRY_AFTER_S = 1.0
+_MAX_RETRY_AFTER_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """Who an entry is.
+    """Name, address and size of an entry.
 
     Attributes:
         name: Unique among the entries.
         mesh_address: "IP:port" on which peers reach it.
-        cores: Processor that its VM has; 0 if unknown.
+        cores: Processor cores of its VM; 0 if unknown.
     """
 
     name: str
@@ -56,13 +57,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigSource:
-    """Where the operators' configuration lies.
+    """Location and format of the operators' configuration.
 
     Attributes:
-        prefix: Watched.
-        key: The configuration itself.
+        prefix: Key prefix that is watched.
+        key: Key of the configuration itself.
         parse: Decodes it.
-        apply_s: Seconds in which a confirmed change has to be in force.
+        apply_s: Seconds within which a confirmed change has to be in force.
     """
 
     prefix: str
@@ -72,9 +73,9 @@
 
 
 class PoolEntry:
-    """Everything that one process runs, except its listeners.
+    """Runs all controllers of one process; its listeners run elsewhere.
 
-    Until `run` it answers callers that it is not ready.
+    Until `run` is called it answers callers that it is not ready.
 
     Attributes:
         secret: Shared by all entries; set before `run`.
@@ -90,16 +91,16 @@
         clock: clocks.Clock | None = None,
         make_link: peer_links.MakeLink | None = None,
     ) -> None:
-        """Prepare an entry; `run` does the rest.
+        """Prepare an entry; `run` starts it.
 
         Args:
-            identity: Who it is.
+            identity: Name, address and size of this entry.
             store: The key-value service.
-            source: Where the operators' configuration lies.
-            platform: How workers are met.
-            metrics: Counts what happens.
+            source: Location of the operators' configuration.
+            platform: How workers are reached.
+            metrics: Counts events.
             clock: Source of the current time; the system clocks if None.
-            make_link: Opens the calls to a peer; websockets if None.
+            make_link: Opens the connection to a peer; websockets if None.
         """
         self.name = identity.name
         self.metrics = metrics
@@ -110,53 +111,59 @@
         self.configuration = configurations.Configuration(
             source.key, source.parse, source.apply_s, self.times, metrics
         )
-        self.configuration.listeners.append(self._spread_config)
-        observing = observed.ObservedStore(store, self.times.steady)
-        self._observed = observing
-        self._store: port.KeyValueStore = observing
+        self.configuration.listeners.append(self._apply_config_to_owners)
+        observed_store = observed.ObservedStore(store, self.times.steady)
+        self._observed_store = observed_store
+        self._store: port.KeyValueStore = observed_store
         self._platform = platform
-        self._waves = upkeep_controller.OpenWaves(platform.upkeeping)
-        self._scopes: dict[str, trio.CancelScope] = {}
+        self._open_waves = upkeep_controller.OpenWaves(platform.upkeeping)
+        self._owner_scopes: dict[str, trio.CancelScope] = {}
         self._holder = owner_leases.make_holder(
             identity.name, identity.mesh_address
         )
-        self._ownership = ownership.OwnerTable(self._holder, self._end_replaced)
+        self._ownership = ownership.OwnerTable(
+            self._holder, self._stop_replaced_owner
+        )
         self._owner_leases: dict[str, owner_leases.OwnerLease] = {}
         self.peers = peer_links.Peers(
             identity.name,
             make_link
-            or (lambda name, where: mesh.PeerLink(name, where, self.secret)),
+            or (
+                lambda name, address: mesh.PeerLink(name, address, self.secret)
+            ),
             self.times,
-            self._describe,
-            self._take_answer,
+            self._build_heartbeat,
+            self._handle_heartbeat_answer,
             self._ownership.list_names,
         )
         self._members: dict[str, members.Member] = {}
-        own = members.Member(identity.mesh_address, identity.cores)
-        self._own_member = own
-        self._membership = members.Membership(observing, identity.name, own)
+        own_member = members.Member(identity.mesh_address, identity.cores)
+        self._own_member = own_member
+        self._membership = members.Membership(
+            observed_store, identity.name, own_member
+        )
         self._config_watch = intake.Follower(
-            observing,
+            observed_store,
             source.prefix,
-            self._take_operators,
+            self._handle_operator_events,
             metrics,
             patient=True,
         )
         self._system_watch = intake.Follower(
-            observing,
+            observed_store,
             keys.SYSTEM,
-            self._take_system,
+            self._handle_system_events,
             metrics,
             patient=True,
         )
-        self._relay = relay.RelayedStore(observing, self.peers)
+        self._relay = relay.RelayedStore(observed_store, self.peers)
         self.refresher = config_refresh.ConfigRefresher(
             self.configuration,
-            observing.read,
+            observed_store.read,
             self._relay.read_by_peers,
             lambda: bool(self.owned),
-            observing.is_down,
-            self._config_watch.look_again,
+            observed_store.is_down,
+            self._config_watch.restart_watch,
             self.times,
             metrics,
         )
@@ -173,20 +180,21 @@
     def choose_retry_after(self) -> float:
         """Return the seconds after which a refused caller should ask again.
 
-        An outage of the store that all entries share is taken to last as long
-        again as it has lasted. Callers ask four times more; told one second
-        each time, they had given up when an outage of 4.2 s ended. Where only
-        this entry is affected, another one serves the next try.
+        An outage of the store that all entries share is expected to last as
+        long again as it has lasted so far. Callers retry four times: with a
+        constant delay of one second they had given up when an outage of 4.2 s
+        ended. If only this entry is affected, another entry serves the next
+        try.
         """
         now = self.times.steady()
-        outage = self._observed.measure_outage()
-        if not self.peers.shares_outage(now - outage):
-            return _SHORTEST_RETRY_S
-        return min(_LONGEST_RETRY_S, max(_SHORTEST_RETRY_S, outage))
+        outage_s = self._observed_store.measure_outage()
+        if not self.peers.shares_outage(now - outage_s):
+            return _MIN_RETRY_AFTER_S
+        return min(_MAX_RETRY_AFTER_S, max(_MIN_RETRY_AFTER_S, outage_s))
 
     @property
     def is_ready(self) -> bool:
-        """Whether this entry may take new callers."""
+        """Whether this entry may accept new callers."""
         fresh = self.configuration.is_fresh(self.times.steady())
         return fresh and not self.is_stopping
 
@@ -206,66 +214,78 @@
 
     # Configuration.
 
-    def _take_operators(self, events: tuple[records.Event, ...]) -> None:
-        self.configuration.take_events(events)
-        self._waves.take_events(events)
+    def _handle_operator_events(
+        self, events: tuple[records.Event, ...]
+    ) -> None:
+        self.configuration.apply_events(events)
+        self._open_waves.apply_events(events)
 
-    def _spread_config(self, config: queues.Config) -> None:
-        for held in self.owned.values():
-            held.set_config(config)
+    def _apply_config_to_owners(self, config: queues.Config) -> None:
+        for pool_owner in self.owned.values():
+            pool_owner.set_config(config)
 
     # Peers.
 
-    def _describe(self) -> messages.Beat:
+    def _build_heartbeat(self) -> messages.Beat:
         now = self.times.steady()
         return messages.Beat(
             self.name,
             self.configuration.version,
             self.configuration.measure_age(now),
             self._ownership.list_rows(),
-            not self._observed.is_failing(),
+            not self._observed_store.is_failing(),
             self._system_watch.last_event,
         )
 
-    def _take_answer(self, beat: messages.Beat, asked_at: float) -> None:
-        """Take a peer's heartbeat that answers one of ours.
+    def _handle_heartbeat_answer(
+        self, beat: messages.Beat, asked_at: float
+    ) -> None:
+        """Process the heartbeat with which a peer answers one of ours.
 
-        Only such a one vouches, from when it was asked for: one that comes
-        unasked may have been on its way for seconds.
+        Only an answer confirms the configuration, as of the time when it was
+        requested. An unrequested heartbeat may have been in flight for seconds.
         """
         if (
             beat.vouched_age_s is not None
             and beat.version == self.configuration.version
         ):
-            self.configuration.vouch(asked_at - beat.vouched_age_s)
-        self._take_beat(beat)
+            self.configuration.confirm_newest(asked_at - beat.vouched_age_s)
+        self._handle_heartbeat(beat)
+
+    def _handle_heartbeat(self, beat: messages.Beat) -> None:
+        """Process the parts of a heartbeat that are valid at any age.
 
-    def _take_beat(self, beat: messages.Beat) -> None:
-        """Take what only moves forward, however old the heartbeat is."""
-        self._system_watch.compare(beat.last_event)
+        They only move forward: the configuration version, the latest event and
+        the owners' epochs.
+        """
+        self._system_watch.check_for_missed(beat.last_event)
         is_behind = beat.version > self.configuration.version
         if is_behind and self._nursery is not None:
-            self._nursery.start_soon(self._fetch_config, beat.name)
-        self._ownership.take_rows(beat.owners)
+            self._nursery.start_soon(self._fetch_config_from, beat.name)
+        self._ownership.apply_rows(beat.owners)
 
-    async def _fetch_config(self, peer: str) -> None:
+    async def _fetch_config_from(self, peer: str) -> None:
         reply = await self.peers.call(peer, messages.AskConfig())
         if isinstance(reply, messages.ConfigReply) and reply.document:
-            self.configuration.take(reply.document, peer)
+            self.configuration.apply(reply.document, peer)
 
     async def answer_peer(self, message: object) -> object:
-        """Answer another entry."""
+        """Answer a message of another entry."""
         match message:
             case messages.Beat():
-                self.peers.note_unasked(message, self.times.steady())
-                self._take_beat(message)
-                return self._describe()
+                self.peers.note_unrequested(message, self.times.steady())
+                self._handle_heartbeat(message)
+                return self._build_heartbeat()
             case messages.AskConfig():
                 return messages.ConfigReply(self.configuration.document)
             case messages.FindState(pool, job):
-                return messages.StateReply(self.desk.show_here(pool, job))
+                return messages.StateReply(
+                    self.desk.find_local_state(pool, job)
+                )
             case messages.CountPending(pool, queue):
-                return messages.PendingReply(self.desk.count_here(pool, queue))
+                return messages.PendingReply(
+                    self.desk.count_local_pending(pool, queue)
+                )
             case messages.RelayRead():
                 return await self._relay.answer_read(message)
             case messages.RelayWrite():
@@ -275,32 +295,32 @@
 
     # Members and owners.
 
-    def _take_system(self, events: tuple[records.Event, ...]) -> None:
+    def _handle_system_events(self, events: tuple[records.Event, ...]) -> None:
         for event in events:
             if isinstance(event, records.Removed):
-                self._remove_system(event.key)
+                self._handle_removed_key(event.key)
                 continue
             value = event.record.value
             key = event.record.key
             if key.startswith(keys.MEMBERS):
-                self._take_member(key.removeprefix(keys.MEMBERS), value)
+                self._handle_member(key.removeprefix(keys.MEMBERS), value)
             elif key.startswith(keys.OWNERS):
-                self._ownership.take_key(
+                self._ownership.apply_owner_key(
                     key.removeprefix(keys.OWNERS), value, event.record.revision
                 )
         self.peers.set_members(
             {name: member.address for name, member in self._members.items()}
         )
 
-    def _take_member(self, name: str, value: bytes) -> None:
-        """Take a member; one that can't be read must not end the entry."""
+    def _handle_member(self, name: str, value: bytes) -> None:
+        """Record a member; an unreadable record must not end the entry."""
         try:
             self._members[name] = members.parse_member(value)
         except ValueError as error:
             self.metrics.count_event("member-unreadable")
             log("member:unreadable", member=name, error=str(error))
 
-    def _remove_system(self, key: str) -> None:
+    def _handle_removed_key(self, key: str) -> None:
         if key.startswith(keys.MEMBERS):
             self._members.pop(key.removeprefix(keys.MEMBERS), None)
         elif key.startswith(keys.OWNERS):
@@ -308,35 +328,37 @@
                 key.removeprefix(keys.OWNERS), self.times.steady()
             )
 
-    def _end_replaced(self, pool: str, epoch: int) -> None:
-        """Stop deciding on a pool that another entry owns by now."""
-        held = self.owned.get(pool)
-        if held is not None and held.epoch < epoch:
-            self._scopes[pool].cancel()
+    def _stop_replaced_owner(self, pool: str, epoch: int) -> None:
+        """Stop scheduling a pool that another entry owns by now."""
+        pool_owner = self.owned.get(pool)
+        if pool_owner is not None and pool_owner.epoch < epoch:
+            self._owner_scopes[pool].cancel()
 
     # Ownership.
 
     async def _run_elections(self) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                await self._sleep_watched(_ELECTION_TICK_S)
+                await self._sleep_and_measure_stall(_ELECTION_INTERVAL_S)
                 config = self.configuration.current
                 if config is None or not self.is_ready:
                     continue
                 now = self.times.steady()
-                for service in config.services.values():
-                    if service.standby or not self._may_take(service.name, now):
+                for pool_config in config.services.values():
+                    if pool_config.standby or not self._may_take(
+                        pool_config.name, now
+                    ):
                         continue
-                    self._ownership.note_tried(service.name, now)
-                    nursery.start_soon(self._own, service.name)
-
-    async def _sleep_watched(self, for_s: float) -> None:
-        """Sleep, and tell of an event loop that stood still meanwhile."""
-        due = self.times.steady() + for_s
-        await trio.sleep(for_s)
-        late_s = self.times.steady() - due
+                    self._ownership.note_attempt(pool_config.name, now)
+                    nursery.start_soon(self._own_pool, pool_config.name)
+
+    async def _sleep_and_measure_stall(self, duration_s: float) -> None:
+        """Sleep, and report if the event loop was blocked meanwhile."""
+        due_at = self.times.steady() + duration_s
+        await trio.sleep(duration_s)
+        late_s = self.times.steady() - due_at
         self.metrics.note_stall(late_s)
-        if late_s > _STALL_S:
+        if late_s > _STALL_THRESHOLD_S:
             log("loop:stalled", late_s=round(late_s, 3))
 
     def _may_take(self, pool: str, now: float) -> bool:
@@ -345,22 +367,25 @@
         candidates = self._members | {self.name: self._own_member}
         return self._ownership.may_take(pool, candidates, now)
 
-    async def _own(self, pool: str) -> None:
-        """Own a pool until it is lost or released."""
-        held = owner_leases.OwnerLease(
+    async def _own_pool(self, pool: str) -> None:
+        """Own a pool until ownership is lost or released."""
+        owner_lease = owner_leases.OwnerLease(
             self._store, pool, self._holder, self.times
         )
-        self._owner_leases[pool] = held
+        self._owner_leases[pool] = owner_lease
         try:
-            if await held.take(self._ownership.find_left_behind(pool)):
+            if await owner_lease.acquire(
+                self._ownership.find_replaceable_revision(pool)
+            ):
                 self.metrics.count_event("owner-took-over")
-                await self._serve(held)
+                await self._run_owner(owner_lease)
         except* journal.DeposedError as errors:
             self.metrics.count_event("owner-deposed")
             log("owner:deposed", pool=pool, cause=repr(errors.exceptions))
         except* Exception as errors:
-            # A fault in one pool's decisions must not end the entry, which
-            # serves callers too. The key's lease ends and another takes over.
+            # A fault in one pool's scheduling must not end the entry, which
+            # serves callers too. The lease of the owner key expires and another
+            # entry takes over.
             self.metrics.count_event("owner-failed")
             log(
                 "owner:failed",
@@ -370,62 +395,68 @@
         finally:
             del self._owner_leases[pool]
 
-    async def _serve(self, held: owner_leases.OwnerLease) -> None:
-        opened = owners.PoolOwner(
-            held,
+    async def _run_owner(self, owner_lease: owner_leases.OwnerLease) -> None:
+        pool_owner = owners.PoolOwner(
+            owner_lease,
             self._store,
             self._platform,
             self.times,
             self.metrics,
-            lambda: self.peers.may_hear(self.times.steady()),
+            lambda: self.peers.would_know_successor(self.times.steady()),
+        )
+        self._ownership.note_owner(
+            owner_lease.pool, self.name, owner_lease.epoch
         )
-        self._ownership.note_owner(held.pool, self.name, held.epoch)
         if self.configuration.current is not None:
-            opened.set_config(self.configuration.current)
-        self.owned[held.pool] = opened
-        duty = upkeep_controller.UpkeepController(
-            held,
+            pool_owner.set_config(self.configuration.current)
+        self.owned[owner_lease.pool] = pool_owner
+        pool_upkeep = upkeep_controller.UpkeepController(
+            owner_lease,
             self.name,
             self._store,
-            opened.book,
+            pool_owner.book,
             self.times,
-            self._waves,
-            opened.wake,
+            self._open_waves,
+            pool_owner.wake,
         )
-        scope = trio.CancelScope()
-        self._scopes[held.pool] = scope
-        log("owner:began", pool=held.pool, epoch=held.epoch)
+        owner_scope = trio.CancelScope()
+        self._owner_scopes[owner_lease.pool] = owner_scope
+        log("owner:began", pool=owner_lease.pool, epoch=owner_lease.epoch)
         try:
-            with scope:
+            with owner_scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(_keep, held, scope)
-                    nursery.start_soon(duty.run)
-                    await opened.run()
+                    nursery.start_soon(
+                        _cancel_when_lease_ends, owner_lease, owner_scope
+                    )
+                    nursery.start_soon(pool_upkeep.run)
+                    await pool_owner.run()
         finally:
-            del self.owned[held.pool]
-            del self._scopes[held.pool]
-            if self._ownership.find_owner(held.pool) == self.name:
-                self._ownership.forget_owner(held.pool)
-            log("owner:ended", pool=held.pool, epoch=held.epoch)
+            del self.owned[owner_lease.pool]
+            del self._owner_scopes[owner_lease.pool]
+            if self._ownership.find_owner(owner_lease.pool) == self.name:
+                self._ownership.forget_owner(owner_lease.pool)
+            log("owner:ended", pool=owner_lease.pool, epoch=owner_lease.epoch)
 
     async def release_all(self) -> None:
-        """Hand every pool over; part of a planned stop."""
+        """Release every pool to other entries; part of a planned stop."""
         self.is_stopping = True
         async with trio.open_nursery() as nursery:
             for pool in list(self.owned):
-                nursery.start_soon(self._release, pool)
+                nursery.start_soon(self._release_pool, pool)
         await self._membership.leave()
 
-    async def _release(self, pool: str) -> None:
-        await self.owned[pool].drain(_DRAIN_S)
-        held = self._owner_leases.get(pool)
-        scope = self._scopes.get(pool)
-        if held is not None and scope is not None:
-            scope.cancel()
-            await held.release()
-
-
-async def _keep(held: owner_leases.OwnerLease, scope: trio.CancelScope) -> None:
-    await held.keep()
-    log("owner:lease-ended", pool=held.pool, epoch=held.epoch)
-    scope.cancel()
+    async def _release_pool(self, pool: str) -> None:
+        await self.owned[pool].drain(_DRAIN_TIMEOUT_S)
+        owner_lease = self._owner_leases.get(pool)
+        owner_scope = self._owner_scopes.get(pool)
+        if owner_lease is not None and owner_scope is not None:
+            owner_scope.cancel()
+            await owner_lease.release()
+
+
+async def _cancel_when_lease_ends(
+    owner_lease: owner_leases.OwnerLease, owner_scope: trio.CancelScope
+) -> None:
+    await owner_lease.renew_until_lost()
+    log("owner:lease-ended", pool=owner_lease.pool, epoch=owner_lease.epoch)
+    owner_scope.cancel()
--- a/crocusrouter/pools/freshness.py
+++ b/crocusrouter/pools/freshness.py
@@ -1,4 +1,4 @@
-"""How recently an owner has heard what it decides by."""
+"""Tracks how recently an owner has received the data it schedules by."""
 
 from collections.abc import Callable
 
@@ -6,11 +6,12 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
-# Tasks start only by what was heard this recently. A worker that says that it
-# leaves must get nothing new from 2 s on, a cancelled job from 3 s on, and any
-# watch may go unheard without a sign. With no such bound an owner gave 8 tasks
-# to a worker 9 s after its word, and started 48 tasks of a job after its
-# confirmed cancel. One lost answer costs 1.4 s and holds nothing back.
+# Tasks start only by data that was received this recently. A worker that
+# announces that it drains must get nothing new from 2 s on, a cancelled job
+# from 3 s on, and any watch may miss changes without a sign. Without this bound
+# an owner gave 8 tasks to a worker 9 s after its announcement, and started 48
+# tasks of a job after its confirmed cancel. One lost answer takes 1.4 s and
+# delays no start.
 MAX_AGE_S = 1.8
 
 
@@ -22,56 +23,56 @@
         prefix: str,
         clock: clocks.Clock,
         metrics: Metrics,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """Begin with what is heard now.
+        """Start with data that is received now.
 
         Args:
-            prefix: What is followed.
+            prefix: The followed prefix.
             clock: Source of the current time.
-            metrics: Counts how often decisions were held back.
-            changed: Called when they need not be any more.
+            metrics: Counts how often starts were held back.
+            on_change: Called when an answer ends a time of holding back.
         """
-        self.unheard_s = 0.0
+        self.last_gap_s = 0.0
         self._prefix = prefix
         self._clock = clock
         self._metrics = metrics
-        self._changed = changed
-        self._heard_at = clock.steady()
-        self._stale = False
+        self._on_change = on_change
+        self._last_answer_at = clock.steady()
+        self._is_stale = False
 
     @property
-    def heard_before(self) -> float:
+    def previous_answer_at(self) -> float:
         """Steady time of the answer before the latest one."""
-        return self._heard_at - self.unheard_s
+        return self._last_answer_at - self.last_gap_s
 
     def measure_age(self, now: float) -> float:
-        """Return for how many seconds nothing has been heard."""
-        return now - self._heard_at
+        """Return the seconds since the latest answer."""
+        return now - self._last_answer_at
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether tasks may start by it; logs when that changes.
+        """Return whether tasks may start by the data; logs a change.
 
         Args:
             now: Steady time in seconds.
         """
         age_s = self.measure_age(now)
-        stale = age_s > MAX_AGE_S
-        if stale is not self._stale:
-            self._stale = stale
+        is_stale = age_s > MAX_AGE_S
+        if is_stale is not self._is_stale:
+            self._is_stale = is_stale
             log(
-                "view:stale" if stale else "view:fresh",
+                "view:stale" if is_stale else "view:fresh",
                 prefix=self._prefix,
                 age_s=round(age_s, 3),
             )
-            if stale:
+            if is_stale:
                 self._metrics.count_event("view-stale")
-        return not stale
+        return not is_stale
 
     def note_answer(self) -> None:
-        """Note that the service has answered."""
+        """Record that the service has answered."""
         now = self._clock.steady()
-        self.unheard_s = now - self._heard_at
-        self._heard_at = now
-        if self._stale:
-            self._changed()
+        self.last_gap_s = now - self._last_answer_at
+        self._last_answer_at = now
+        if self._is_stale:
+            self._on_change()
--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -1,4 +1,4 @@
-"""Follows a prefix of the key-value service: a snapshot, then its changes."""
+"""Follows a key prefix of the key-value service: snapshot, then changes."""
 
 from collections.abc import Callable
 
@@ -10,82 +10,85 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
-# How long a watch waits for a change. An answer that is lost alone is noticed
-# when this and `observed.WATCH_GRACE_S` are over, since its connection stays
-# open and goes on answering keep-alive probes. With watches of 15 s an owner
-# heard of no new job for 13 s after a silent outage of 4 s, and a day earned
-# 0.23 of what it was owed.
-_SHORT_S = 0.6
-# Where peers tell of what was missed, watches wait longer: each is one call
-# however long it waits. Shorter than the history that the service keeps (20 s
-# on the users' sites), or a quiet watch would end with its history gone.
-_LONG_S = 10.0
-# A short watch that has failed is tried again as a question: an empty answer
+# How long a watch waits for a change. A lost answer is noticed only after this
+# plus `observed.WATCH_GRACE_S`, since its connection stays open and keeps
+# answering keep-alive probes. With watches of 15 s an owner received no new job
+# for 13 s after a silent outage of 4 s, and a day earned only 0.23 of its
+# target value.
+_SHORT_WAIT_S = 0.6
+# Where peers report missed changes, watches wait longer, since each watch is
+# one call however long it waits. This is shorter than the history that the
+# service keeps (20 s on the users' sites); otherwise a quiet watch would end
+# after its history was gone.
+_LONG_WAIT_S = 10.0
+# A short watch that has failed is retried with almost no wait: an empty answer
 # also shows that nothing was missed. Waiting for a change again would add 0.6 s
-# to the 1.4 s for which one lost answer leaves the list of workers unheard.
-_PROBE_S = 0.001
-# Pause from the beginning of an attempt that failed to the next one.
-_RETRY_S = 0.2
-# A follower in doubt knows all changes this long after the service answers
-# again, if it answers within a fifth of a second.
+# to the 1.4 s during which one lost answer leaves the list of workers out of
+# date.
+_PROBE_WAIT_S = 0.001
+# Delay from the beginning of a failed attempt to the next one.
+_RETRY_DELAY_S = 0.2
+# A follower that may have missed changes has them all this long after the
+# service answers again, if it answers within a fifth of a second.
 DEAF_S = 1.0
 
 
 class Follower:
-    """Keeps a prefix in memory and tells of changes."""
+    """Follows the keys under a prefix and reports their changes."""
 
     def __init__(
         self,
         store: port.KeyValueStore,
         prefix: str,
-        take: Callable[[tuple[records.Event, ...]], None],
+        on_events: Callable[[tuple[records.Event, ...]], None],
         metrics: Metrics,
-        note_contact: Callable[[], None] = lambda: None,
+        on_contact: Callable[[], None] = lambda: None,
         pace_s: float = 0.0,
         *,
         patient: bool = False,
     ) -> None:
-        """Open a follower.
+        """Prepare; `run` follows the prefix.
 
         Args:
             store: The key-value service.
-            prefix: Which keys.
-            take: Called with events; after a snapshot, with a change for
-                each key there and a removal for each one that is gone.
-            metrics: Told how long the service gave no answer.
-            note_contact: Called whenever the service has answered.
-            pace_s: Pause after each answer. Where keys change all the time,
-                changes then share calls: with 24 workers that write every
+            prefix: The prefix of the keys.
+            on_events: Called with events. A snapshot is reported as a change of
+                each key in it and a removal of each key that is gone.
+            metrics: Measures how long the service gave no answer.
+            on_contact: Called whenever the service has answered.
+            pace_s: Pause after each answer with changes. If keys change all the
+                time, changes then share calls: with 24 workers that write every
                 1.5 s, 0.4 s costs 2.5 calls/s instead of 16.
-            patient: Whether watches may wait long while nothing is in doubt.
+            patient: Whether watches may wait long while no change is believed
+                missed.
         """
         self.failing = False
         self._store = store
         self._prefix = prefix
-        self._take = take
+        self._on_events = on_events
         self._metrics = metrics
-        self._note_contact = note_contact
-        self._pace_s = pace_s
-        self._patient = patient
-        self._doubted = False
-        self._open = trio.CancelScope()
+        self._on_contact = on_contact
+        self._answer_pause_s = pace_s
+        self._may_wait_long = patient
+        self._may_have_missed = False
+        self._watch_scope = trio.CancelScope()
         self._last_event = 0
-        self._known: set[str] = set()
+        self._known_keys: set[str] = set()
         self._revision = 0
-        self._heard_at: float | None = None
+        self._last_answer_at: float | None = None
 
     @property
     def last_event(self) -> int:
-        """Revision of the latest change that was heard."""
+        """Revision of the latest change that was received."""
         return self._last_event
 
-    def compare(self, last_event: int) -> None:
-        """Look again if a peer has heard of a change that we have not.
+    def check_for_missed(self, last_event: int) -> None:
+        """Watch again if a peer has received a change that we have not.
 
-        A short watch that is under way is left to end: heartbeats come several
+        A short watch in progress is not interrupted: heartbeats arrive several
         times a second, and each would end it before a slow service answers.
         """
-        if self.failing or self._doubted:
+        if self.failing or self._may_have_missed:
             return
         if self._revision and last_event > self._revision:
             log(
@@ -95,42 +98,43 @@
                 peer_revision=last_event,
             )
             self._metrics.count_event("watch-behind-peer")
-            self.look_again()
+            self.restart_watch()
 
-    def look_again(self) -> None:
-        """End a watch that may have lost its answer, and ask at once.
+    def restart_watch(self) -> None:
+        """Cancel a watch whose answer may be lost, and ask again at once.
 
-        A watch that waits for long would hear of no later change either.
+        A long watch that has lost its answer would report no later change
+        either.
         """
-        if self.failing or self._doubted:
+        if self.failing or self._may_have_missed:
             return
-        self._doubted = True
-        self._open.cancel()
+        self._may_have_missed = True
+        self._watch_scope.cancel()
 
     async def load(self) -> None:
         """Read the snapshot; raises StoreUnavailableError."""
         snapshot = await self._store.read_prefix(self._prefix)
-        self._note_heard()
-        keys = {record.key for record in snapshot.records}
-        gone = tuple(
+        self._note_answer()
+        snapshot_keys = {record.key for record in snapshot.records}
+        removals = tuple(
             records.Removed(key, snapshot.revision)
-            for key in sorted(self._known - keys)
+            for key in sorted(self._known_keys - snapshot_keys)
         )
-        self._known = keys
+        self._known_keys = snapshot_keys
         self._revision = snapshot.revision
-        changed = tuple(map(records.Changed, snapshot.records))
-        self._tell(gone + changed)
+        changes = tuple(map(records.Changed, snapshot.records))
+        self._report_events(removals + changes)
 
-    def _tell(self, events: tuple[records.Event, ...]) -> None:
+    def _report_events(self, events: tuple[records.Event, ...]) -> None:
         revisions = (records.find_revision(event) for event in events)
         self._last_event = max(self._last_event, *revisions, 0)
-        self._take(events)
+        self._on_events(events)
 
-    def _note_heard(self) -> None:
-        """Note an answer; tell how long there was none."""
+    def _note_answer(self) -> None:
+        """Record an answer; report how long there was none."""
         now = trio.current_time()
-        if self.failing and self._heard_at is not None:
-            behind_s = now - self._heard_at
+        if self.failing and self._last_answer_at is not None:
+            behind_s = now - self._last_answer_at
             log(
                 "watch:regained",
                 prefix=self._prefix,
@@ -138,23 +142,23 @@
             )
             self._metrics.note_behind(self._prefix, behind_s)
         self.failing = False
-        self._heard_at = now
-        self._note_contact()
+        self._last_answer_at = now
+        self._on_contact()
 
     async def run(self) -> None:
         """Follow changes until cancelled."""
         with self._metrics.show_silence(self._prefix, self.measure_silence):
-            await self._follow()
+            await self._follow_forever()
 
     def measure_silence(self) -> float:
         """Return the seconds since the service last answered."""
-        if self._heard_at is None:
+        if self._last_answer_at is None:
             return 0.0
-        return trio.current_time() - self._heard_at
+        return trio.current_time() - self._last_answer_at
 
-    async def _follow(self) -> None:
+    async def _follow_forever(self) -> None:
         while True:
-            began = trio.current_time()
+            began_at = trio.current_time()
             try:
                 if not self._revision:
                     await self.load()
@@ -163,31 +167,35 @@
                 if not self.failing:
                     log("watch:lost", prefix=self._prefix, cause=str(error))
                 self.failing = True
-                await trio.sleep_until(began + _RETRY_S)
+                await trio.sleep_until(began_at + _RETRY_DELAY_S)
             except port.HistoryGoneError:
                 log("watch:history-gone", prefix=self._prefix)
                 self._revision = 0
 
     def _choose_wait(self) -> float:
-        if not self._patient:
-            return _PROBE_S if self.failing else _SHORT_S
-        return _SHORT_S if self.failing or self._doubted else _LONG_S
+        if not self._may_wait_long:
+            return _PROBE_WAIT_S if self.failing else _SHORT_WAIT_S
+        return (
+            _SHORT_WAIT_S
+            if self.failing or self._may_have_missed
+            else _LONG_WAIT_S
+        )
 
     async def _follow_once(self) -> None:
-        with trio.CancelScope() as self._open:
+        with trio.CancelScope() as self._watch_scope:
             changes = await self._store.watch(
                 self._prefix, self._revision, self._choose_wait()
             )
-        if self._open.cancelled_caught:
+        if self._watch_scope.cancelled_caught:
             return
-        self._doubted = False
-        self._note_heard()
+        self._may_have_missed = False
+        self._note_answer()
         self._revision = max(self._revision, changes.revision)
         for event in changes.events:
             if isinstance(event, records.Removed):
-                self._known.discard(event.key)
+                self._known_keys.discard(event.key)
             else:
-                self._known.add(event.record.key)
+                self._known_keys.add(event.record.key)
         if changes.events:
-            self._tell(changes.events)
-            await trio.sleep(self._pace_s)
+            self._report_events(changes.events)
+            await trio.sleep(self._answer_pause_s)
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -1,4 +1,4 @@
-"""What callers ask of jobs: hand in, cancel, state, how many wait."""
+"""Serves callers' requests about jobs: submit, cancel, state, counts."""
 
 from collections.abc import Callable
 import dataclasses
@@ -19,23 +19,23 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
-_CANCEL_TRIES = 3
+_MAX_CANCEL_TRIES = 3
 
 
 class Stored(enum.StrEnum):
     """Whether a job is stored."""
 
     STORED = "stored"
-    NOT_STORED = "not-stored"  # and never will be by this call
+    NOT_STORED = "not-stored"  # nor can this call still store it
     UNKNOWN = "unknown"
 
 
 class Cancelled(enum.Enum):
-    """How a cancel went."""
+    """Outcome of a cancel request."""
 
     DONE = "done"
     NO_JOB = "no-job"
-    NOT_TRIED = "not-tried"  # the job could not even be read
+    NOT_TRIED = "not-tried"  # the job could not be read
     UNKNOWN = "unknown"
 
 
@@ -43,8 +43,12 @@
     """Neither the owner nor the store could be asked."""
 
 
-def _judge(outcome: port.WriteOutcome) -> Stored:
-    """Tell what the write of a job under a key that must not exist means."""
+def _classify_outcome(outcome: port.WriteOutcome) -> Stored:
+    """Return what the write of a job says about whether it is stored.
+
+    The write requires that the key does not exist, so a mismatch means that an
+    earlier try has stored the job.
+    """
     if isinstance(outcome, port.Written | port.Mismatched):
         return Stored.STORED
     if isinstance(outcome, port.NotWritten):
@@ -58,13 +62,13 @@
     refusal: Refusal,
     basis: configurations.Basis,
 ) -> None:
-    """Write the line that explains a refusal, with the job's id in it.
+    """Log a refusal with its reason and the job's path.
 
     Args:
         method: HTTP method.
         path: Path, with the job's id.
-        refusal: What the caller hears.
-        basis: The configuration that decided.
+        refusal: The answer to the caller.
+        basis: The configuration by which the call was decided.
     """
     log(
         "call:refused",
@@ -73,25 +77,25 @@
         reason=str(refusal.reason),
         detail=refusal.detail,
         retry_after_s=refusal.retry_after_s,
-        **basis.show(),
+        **basis.build_log_fields(),
     )
 
 
 class Desk:
-    """Serves the callers of one entry."""
+    """Serves the job requests of one entry's callers."""
 
     def __init__(
         self,
         store: relay.RelayedStore,
         peers: peer_links.Peers,
-        owned: dict[str, owners.PoolOwner],
+        pool_owners: dict[str, owners.PoolOwner],
         find_owner: Callable[[str], str | None],
         clock: clocks.Clock,
         metrics: Metrics,
     ) -> None:
         self._store = store
         self._peers = peers
-        self._owned = owned
+        self._pool_owners = pool_owners
         self._find_owner = find_owner
         self._clock = clock
         self._metrics = metrics
@@ -103,19 +107,20 @@
     ) -> Stored:
         """Store a job.
 
-        A job is stored under a key that must not exist, so any number of
-        tries by any entry make one job. Only if every try was certainly
-        without effect may the caller hear that the job never runs.
+        The key must not exist before, so any number of tries by any entries
+        creates one job. Only if every try certainly had no effect may the
+        caller be told that the job never runs.
 
         Args:
-            job: What was handed in.
-            basis: The configuration that allowed it; None if none did.
+            job: The submitted job.
+            basis: The configuration by which the call was decided; None if
+                there was none.
         """
         key = keys.build_job_key(job.id)
         outcome = await self._store.write(
             port.Guard(key, 0), port.Write(key, codec.pack(job))
         )
-        stored = _judge(outcome)
+        stored = _classify_outcome(outcome)
         self._metrics.count_job(f"accept-{stored}")
         log(
             "job:accept",
@@ -123,7 +128,7 @@
             queue=job.queue,
             customer=job.customer,
             outcome=str(stored),
-            **(basis.show() if basis is not None else {}),
+            **(basis.build_log_fields() if basis is not None else {}),
         )
         return stored
 
@@ -132,28 +137,28 @@
     async def cancel(self, job_id: str) -> Cancelled:
         """Mark a job as cancelled; its owner stops it."""
         key = keys.build_job_key(job_id)
-        tried = False
-        for _ in range(_CANCEL_TRIES):
+        was_written = False
+        for _ in range(_MAX_CANCEL_TRIES):
             try:
-                found = await self._store.read(key)
+                record = await self._store.read(key)
             except client.StoreUnavailableError as error:
                 log("job:cancel", job=job_id, outcome=str(error))
                 break
-            if found is None:
+            if record is None:
                 return Cancelled.NO_JOB
-            job: work.Job = codec.unpack(work.Job, found.value)
+            job: work.Job = codec.unpack(work.Job, record.value)
             if job.cancelled:
                 return Cancelled.DONE
-            marked = dataclasses.replace(job, cancelled=True)
-            tried = True
+            cancelled_job = dataclasses.replace(job, cancelled=True)
+            was_written = True
             outcome = await self._store.write(
-                port.Guard(key, found.revision),
-                port.Write(key, codec.pack(marked)),
+                port.Guard(key, record.revision),
+                port.Write(key, codec.pack(cancelled_job)),
             )
             log("job:cancel", job=job_id, outcome=type(outcome).__name__)
             if isinstance(outcome, port.Written):
                 return Cancelled.DONE
-        return Cancelled.UNKNOWN if tried else Cancelled.NOT_TRIED
+        return Cancelled.UNKNOWN if was_written else Cancelled.NOT_TRIED
 
     # State.
 
@@ -161,10 +166,10 @@
         """Return a job's state, or None if no such job was accepted.
 
         Raises:
-            StateUnknownError: Nobody could be asked.
+            StateUnknownError: Neither the owner nor the store answered.
         """
-        state = self.show_here(pool, job_id)
-        if state is None and pool not in self._owned:
+        state = self.find_local_state(pool, job_id)
+        if state is None and pool not in self._pool_owners:
             state = await self._ask_owner(pool, job_id)
         if state is not None:
             return work.State(state)
@@ -180,38 +185,44 @@
     async def _read_state(self, job_id: str) -> work.State | None:
         """Read a job's state from the store.
 
-        The owner may not have heard of a job yet; only the store can say
-        that there is none.
+        The owner may not know a job yet; only the store can tell that there is
+        none.
         """
         try:
-            found = await self._store.read(keys.build_job_key(job_id))
-            if found is None:
+            job_record = await self._store.read(keys.build_job_key(job_id))
+            if job_record is None:
                 return None
-            kept = await self._store.read(keys.build_progress_key(job_id))
+            progress_record = await self._store.read(
+                keys.build_progress_key(job_id)
+            )
         except client.StoreUnavailableError as error:
             raise StateUnknownError(str(error)) from error
-        job: work.Job = codec.unpack(work.Job, found.value)
-        progress = work.parse_progress(kept.value) if kept else work.Progress()
+        job: work.Job = codec.unpack(work.Job, job_record.value)
+        progress = (
+            work.parse_progress(progress_record.value)
+            if progress_record
+            else work.Progress()
+        )
         if progress.final is not None:
             return progress.final
         if job.cancelled:
             return work.State.CANCELLED
         return work.State.RUNNING if progress.steps else work.State.QUEUED
 
-    def show_here(self, pool: str, job_id: str) -> str | None:
-        """Return a job's state if this entry owns the pool and knows it."""
-        held = self._owned.get(pool)
-        if held is None or not held.is_loaded:
+    def find_local_state(self, pool: str, job_id: str) -> str | None:
+        """Return a job's state if this entry owns the pool and has the job."""
+        pool_owner = self._pool_owners.get(pool)
+        if pool_owner is None or not pool_owner.is_loaded:
             return None
-        found = held.book.jobs.get(job_id)
-        return str(found.show_state()) if found is not None else None
+        job_work = pool_owner.book.jobs.get(job_id)
+        return str(job_work.show_state()) if job_work is not None else None
 
     # Counts.
 
     async def count_pending(self, pool: str, queue: str) -> int | None:
-        """Return how many jobs wait; None if the owner can't be asked."""
-        if pool in self._owned:
-            return self.count_here(pool, queue)
+        """Return the number of waiting jobs; None without a reachable owner."""
+        if pool in self._pool_owners:
+            return self.count_local_pending(pool, queue)
         owner = self._find_owner(pool)
         if owner is None:
             return None
@@ -220,9 +231,9 @@
         )
         return reply.count if isinstance(reply, messages.PendingReply) else None
 
-    def count_here(self, pool: str, queue: str) -> int | None:
-        """Return how many jobs wait if this entry owns the pool."""
-        held = self._owned.get(pool)
-        if held is None or not held.is_loaded:
+    def count_local_pending(self, pool: str, queue: str) -> int | None:
+        """Return the number of waiting jobs if this entry owns the pool."""
+        pool_owner = self._pool_owners.get(pool)
+        if pool_owner is None or not pool_owner.is_loaded:
             return None
-        return held.book.count_pending(queue)
+        return pool_owner.book.count_pending(queue)
--- a/crocusrouter/pools/job_expiry.py
+++ b/crocusrouter/pools/job_expiry.py
@@ -1,7 +1,7 @@
-"""Removes jobs that have been over for long enough from the store.
+"""Removes jobs from the store that have been over for long enough.
 
-Without it every job ever accepted would be read at each takeover: 2,200 a
-day, each some 600 bytes.
+Otherwise each takeover would read every job ever accepted: 2,200 a day of about
+600 bytes each.
 """
 
 from collections.abc import Callable
@@ -14,39 +14,41 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import log
 
-_TICK_S = 10.0
-# The store takes 32 rows a call: the owner's guard, and two keys a job.
+_INTERVAL_S = 10.0
+# The store accepts 32 rows per call: the owner's guard and two keys per job.
 _BATCH_JOBS = 15
 
 
 async def expire_jobs(
     store: port.KeyValueStore,
-    held: owner_leases.OwnerLease,
+    owner_lease: owner_leases.OwnerLease,
     book: work.Book,
     read_clock: Callable[[], float],
     keep_s: float,
 ) -> None:
-    """Remove final jobs until cancelled.
+    """Remove finished jobs until cancelled.
 
     Args:
         store: The key-value service.
-        held: This owner's tenure; guards each removal.
-        book: Told when its jobs are over; forgets them by the watch.
+        owner_lease: This owner's lease; guards each removal.
+        book: Lists the finished jobs; its watch of the store forgets them.
         read_clock: Returns steady seconds.
-        keep_s: How long callers may still ask for a job that is over.
+        keep_s: Seconds for which the state of a finished job stays available.
     """
     while True:
-        await trio.sleep(_TICK_S)
-        over = book.list_over(read_clock() - keep_s)[:_BATCH_JOBS]
-        if not over:
+        await trio.sleep(_INTERVAL_S)
+        expired_ids = book.list_over(read_clock() - keep_s)[:_BATCH_JOBS]
+        if not expired_ids:
             continue
-        removals = tuple(
+        removed_keys = tuple(
             key
-            for job_id in over
+            for job_id in expired_ids
             for key in (
                 keys.build_job_key(job_id),
                 keys.build_progress_key(job_id),
             )
         )
-        outcome = await store.write((held.guard,), (), removals)
-        log("job:expired", jobs=len(over), outcome=type(outcome).__name__)
+        outcome = await store.write((owner_lease.guard,), (), removed_keys)
+        log(
+            "job:expired", jobs=len(expired_ids), outcome=type(outcome).__name__
+        )
--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -1,9 +1,9 @@
-"""The journal of a pool: what has ended, written in batches.
+"""Writes the progress of a pool's jobs to the store in batches.
 
 Each write is guarded by the owner's key and by the revision of every record
-that it replaces. The first keeps an earlier owner from writing; the second
-keeps one of our own writes that was left unanswered, and is carried out
-seconds later, from putting an older record over a newer one.
+that it replaces. The first guard keeps an earlier owner from writing. The
+second one keeps our own unanswered write, which may be carried out seconds
+later, from replacing a newer record with an older one.
 """
 
 import trio
@@ -14,17 +14,17 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import log
 
-# Ends that come within this time share a write. A job's last end does not
-# wait: its caller does.
+# Ended tasks within this window share a write. The end of a job's last task
+# does not wait, because the job's caller does.
 _BATCH_WINDOW_S = 0.08
-_RETRY_S = 0.2
-# The store takes 32 rows a call: the owner's guard, and a guard and a write
-# for each job.
+_RETRY_DELAY_S = 0.2
+# The store accepts 32 rows per call: the owner's guard, and a guard and a write
+# per job.
 _BATCH_JOBS = 15
 
 
 class DeposedError(Exception):
-    """Another owner has taken over; this one must stop deciding."""
+    """Another owner has taken over; this owner must stop scheduling."""
 
 
 class Journal:
@@ -33,7 +33,7 @@
     def __init__(
         self,
         store: port.KeyValueStore,
-        held: owner_leases.OwnerLease,
+        owner_lease: owner_leases.OwnerLease,
         book: work.Book,
         revisions: dict[str, int],
     ) -> None:
@@ -41,72 +41,77 @@
 
         Args:
             store: The key-value service.
-            held: This owner's tenure.
-            book: Whose dirty jobs are written.
-            revisions: Revision of each progress record, by job.
+            owner_lease: This owner's lease.
+            book: The jobs of the pool and which of them are dirty.
+            revisions: Revision of each progress record, keyed by job.
         """
         self._store = store
-        self._owner_lease = held
+        self._owner_lease = owner_lease
         self._book = book
         self._revisions = revisions
-        self._wake = trio.Event()
-        self._cycle = 0
-        self._done = 0
-        self._writing: frozenset[str] = frozenset()
-        self._finished = trio.Condition()
+        self._wake_event = trio.Event()
+        self._started_cycles = 0
+        self._finished_cycles = 0
+        self._writing_ids: frozenset[str] = frozenset()
+        self._cycle_finished = trio.Condition()
 
     def wake(self) -> None:
-        """Say that a job may be dirty."""
+        """Start a write if any job is dirty."""
         if self._book.dirty:
-            self._wake.set()
+            self._wake_event.set()
 
     def is_durable(self, job_id: str) -> bool:
-        """Tell whether a successor would read all that is known of a job."""
-        return job_id not in self._book.dirty and job_id not in self._writing
+        """Return whether a successor would read all that is known of a job."""
+        return (
+            job_id not in self._book.dirty and job_id not in self._writing_ids
+        )
 
     async def settle(self) -> None:
-        """Wait until all that is dirty now is durable."""
-        if not self._book.dirty and self._done == self._cycle:
+        """Wait until all jobs that are dirty now have been written."""
+        if (
+            not self._book.dirty
+            and self._finished_cycles == self._started_cycles
+        ):
             return
-        wanted = self._cycle + 1
+        wanted_cycle = self._started_cycles + 1
         self.wake()
-        async with self._finished:
-            while self._done < wanted and (
-                self._book.dirty or self._done < self._cycle
+        async with self._cycle_finished:
+            while self._finished_cycles < wanted_cycle and (
+                self._book.dirty or self._finished_cycles < self._started_cycles
             ):
-                await self._finished.wait()
+                await self._cycle_finished.wait()
 
     async def run(self) -> None:
         """Write until cancelled; raises DeposedError."""
         while True:
-            await self._wake.wait()
-            self._wake = trio.Event()
-            if not self._has_final():
+            await self._wake_event.wait()
+            self._wake_event = trio.Event()
+            if not self._has_finished_job():
                 await trio.sleep(_BATCH_WINDOW_S)
-            self._cycle += 1
+            self._started_cycles += 1
             while self._book.dirty:
-                await self._flush()
-            self._done = self._cycle
-            async with self._finished:
-                self._finished.notify_all()
+                await self._write_batch()
+            self._finished_cycles = self._started_cycles
+            async with self._cycle_finished:
+                self._cycle_finished.notify_all()
 
-    def _has_final(self) -> bool:
+    def _has_finished_job(self) -> bool:
         return any(
-            held.progress.final is not None
+            job_work.progress.final is not None
             for job_id in self._book.dirty
-            if (held := self._book.jobs.get(job_id)) is not None
+            if (job_work := self._book.jobs.get(job_id)) is not None
         )
 
-    async def _flush(self) -> None:
-        chosen = sorted(self._book.dirty)[:_BATCH_JOBS]
-        self._book.dirty -= set(chosen)
-        self._writing = frozenset(chosen)
+    async def _write_batch(self) -> None:
+        job_ids = sorted(self._book.dirty)[:_BATCH_JOBS]
+        self._book.dirty -= set(job_ids)
+        self._writing_ids = frozenset(job_ids)
         values = {
-            job_id: work.dump_progress(held.progress)
-            for job_id in chosen
-            if (held := self._book.jobs.get(job_id)) is not None
+            job_id: work.dump_progress(job_work.progress)
+            for job_id in job_ids
+            if (job_work := self._book.jobs.get(job_id)) is not None
         }
-        finals = [
+        finished_ids = [
             job_id
             for job_id in values
             if self._book.jobs[job_id].progress.final is not None
@@ -116,13 +121,13 @@
             if isinstance(outcome, port.Written):
                 for job_id in values:
                     self._revisions[job_id] = outcome.revision
-                self._book.note_durable(finals)
+                self._book.note_durable(finished_ids)
                 self._book.note_crashes_kept(values.keys() - self._book.dirty)
                 break
-            self._take_failure(outcome)
+            self._handle_failure(outcome)
             if not isinstance(outcome, port.Mismatched):
-                await trio.sleep(_RETRY_S)
-        self._writing = frozenset()
+                await trio.sleep(_RETRY_DELAY_S)
+        self._writing_ids = frozenset()
 
     async def _write(self, values: dict[str, bytes]) -> port.WriteOutcome:
         guards = [self._owner_lease.guard]
@@ -133,16 +138,19 @@
             writes.append(port.Write(key, value))
         return await self._store.write(tuple(guards), tuple(writes))
 
-    def _take_failure(self, outcome: port.WriteOutcome) -> None:
-        """Learn from a failed write; raises DeposedError."""
+    def _handle_failure(self, outcome: port.WriteOutcome) -> None:
+        """Handle a failed write; raises DeposedError."""
         if not isinstance(outcome, port.Mismatched):
             log("journal:retried", outcome=type(outcome).__name__)
             return
-        owner = outcome.current.get(self._owner_lease.key)
-        if owner is None or owner.revision != self._owner_lease.epoch:
+        owner_record = outcome.current.get(self._owner_lease.key)
+        if (
+            owner_record is None
+            or owner_record.revision != self._owner_lease.epoch
+        ):
             raise DeposedError(f"{self._owner_lease.key} has changed")
-        # An unanswered write of ours was carried out. Nobody else writes
-        # under this epoch, so its revision is the one to replace.
+        # An unanswered write of ours was carried out. Nobody else writes under
+        # this epoch, so the next write replaces that revision.
         for key, record in outcome.current.items():
             if key.startswith(keys.PROGRESS):
                 job_id = key.removeprefix(keys.PROGRESS)
--- a/crocusrouter/pools/keys.py
+++ b/crocusrouter/pools/keys.py
@@ -1,7 +1,7 @@
-"""Where the pools keep what must last, in the key-value service."""
+"""Keys of the pools' persistent records in the key-value service."""
 
 ROOT = "crocusrouter/"
-# Watched by every entry: members and owners.
+# Every entry watches this prefix: members and owners.
 SYSTEM = f"{ROOT}sys/"
 SECRET = f"{ROOT}secret"
 JOBS = f"{ROOT}job/"
@@ -14,10 +14,10 @@
 
 
 def build_job_key(job_id: str) -> str:
-    """Return where an accepted job is kept.
+    """Return the key of an accepted job.
 
-    The pool stands in the record and not in the key: a queue may move to
-    another pool, and a job accepted before that must still be found.
+    The record names the pool, not the key: a queue may move to another pool,
+    and a job accepted before the move must still be found.
 
     >>> build_job_key("0a")
     'crocusrouter/job/0a'
@@ -26,20 +26,20 @@
 
 
 def build_progress_key(job_id: str) -> str:
-    """Return where a job's progress is kept."""
+    """Return the key of a job's progress record."""
     return f"{PROGRESS}{job_id}"
 
 
 def build_wave_key(wave: int) -> str:
-    """Return where it is kept how far a wave of upkeep is."""
+    """Return the key of the progress record of a wave of upkeep."""
     return f"{WAVES}{wave}"
 
 
 def build_owner_key(pool: str) -> str:
-    """Return where a pool's owner is named."""
+    """Return the key that names a pool's owner."""
     return f"{OWNERS}{pool}"
 
 
 def build_member_key(entry: str) -> str:
-    """Return where an entry's mesh address is kept."""
+    """Return the key that holds an entry's mesh address."""
     return f"{MEMBERS}{entry}"
--- a/crocusrouter/pools/known_workers.py
+++ b/crocusrouter/pools/known_workers.py
@@ -1,9 +1,9 @@
-"""The workers that may run tasks, written down for a successor.
+"""Persists the workers that may run tasks, for the owner's successor.
 
-The platform's own list drops workers that are cut off, and all of them while
-it is away; a successor must know whom to wait out. A worker that drains gets
-nothing new, so for it the jobs still running there are written down as well:
-when it is gone, a successor need not hold all other jobs back.
+The platform's own list drops workers that are cut off, and all workers while it
+is unavailable; a successor must know which leases it has to wait for. A
+draining worker gets no new work, so the jobs still running there are recorded
+too: if the worker is gone, a successor need not hold back all other jobs.
 """
 
 import cbor2
@@ -18,115 +18,127 @@
 from crocusrouter.work import orders
 from crocusrouter.work import runs
 
-_TICK_S = 0.25
+_WRITE_INTERVAL_S = 0.25
 
 
 class KnownWorkers:
-    """Keeps the record of one pool up to date."""
+    """Maintains the record of known workers of one pool."""
 
     def __init__(
         self,
         store: port.KeyValueStore,
-        held: owner_leases.OwnerLease,
+        owner_lease: owner_leases.OwnerLease,
         book: work.Book,
     ) -> None:
         self._store = store
-        self._owner_lease = held
+        self._owner_lease = owner_lease
         self._book = book
-        self._key = keys.KNOWN_WORKERS + held.pool
-        self._found: records.Record | None = None
+        self._key = keys.KNOWN_WORKERS + owner_lease.pool
+        self._loaded_record: records.Record | None = None
 
     async def load(self) -> None:
-        """Read what the owner before wrote; raises StoreUnavailableError."""
-        self._found = await self._store.read(self._key)
+        """Read the previous owner's record; raises StoreUnavailableError."""
+        self._loaded_record = await self._store.read(self._key)
 
-    def list_unlisted(self, now: float) -> list[runs.Worker]:
-        """Put the workers into the book that the platform lists no more.
+    def restore_unlisted(self, now: float) -> list[runs.Worker]:
+        """Add recorded workers to the book that the platform no longer lists.
 
         Returns:
-            These workers, none of which has told what it runs.
+            The added workers, none of which has reported its runs yet.
         """
-        if self._found is None:
+        if self._loaded_record is None:
             return []
-        unlisted = []
-        for name, address, jobs in _parse_rows(self._found):
-            if name in self._book.workers:
-                held = self._book.workers[name]
+        restored = []
+        for incarnation, address, job_ids in _parse_rows(self._loaded_record):
+            if incarnation in self._book.workers:
+                worker_state = self._book.workers[incarnation]
             else:
                 self._book.set_worker(
-                    _make_entry(name, self._owner_lease.pool, address), now
+                    _make_entry(incarnation, self._owner_lease.pool, address),
+                    now,
                 )
-                self._book.unlist_worker(name)
-                held = self._book.workers[name]
-                unlisted.append(held)
-            if jobs is not None:
-                held.sealed = True
-                held.blocks = frozenset(jobs)
-        return unlisted
-
-    def _describe(self) -> bytes:
+                self._book.unlist_worker(incarnation)
+                worker_state = self._book.workers[incarnation]
+                restored.append(worker_state)
+            if job_ids is not None:
+                worker_state.sealed = True
+                worker_state.blocks = frozenset(job_ids)
+        return restored
+
+    def _encode(self) -> bytes:
         rows = []
-        for name, held in sorted(self._book.workers.items()):
-            jobs: list[str] | None = None
-            if held.sealed:
-                jobs = sorted({key.job for key in held.runs})
-                if held.is_untold:
-                    known = held.blocks
-                    jobs = sorted(known) if known is not None else None
-                elif not jobs and not held.listed:
-                    # One that is still listed stands here as long as that: a
-                    # successor that knew nothing of it would hold all older
-                    # jobs back until its lease had ended.
+        for incarnation, worker_state in sorted(self._book.workers.items()):
+            job_ids: list[str] | None = None
+            if worker_state.sealed:
+                job_ids = sorted({key.job for key in worker_state.runs})
+                if worker_state.is_untold:
+                    possible_jobs = worker_state.blocks
+                    job_ids = (
+                        sorted(possible_jobs)
+                        if possible_jobs is not None
+                        else None
+                    )
+                elif not job_ids and not worker_state.listed:
+                    # A listed worker stays in the record. A successor that knew
+                    # nothing of it would hold back all older jobs until its
+                    # lease had ended.
                     continue
-            elif held.gone or (held.lapsed and not held.listed):
+            elif worker_state.gone or (
+                worker_state.lapsed and not worker_state.listed
+            ):
                 continue
-            rows.append([name, held.entry.address, jobs])
+            rows.append([incarnation, worker_state.entry.address, job_ids])
         return cbor2.dumps(rows)
 
     async def run(self) -> None:
         """Write changes until cancelled."""
-        revision = self._found.revision if self._found else 0
-        written = self._found.value if self._found else b""
+        revision = self._loaded_record.revision if self._loaded_record else 0
+        written_value = (
+            self._loaded_record.value if self._loaded_record else b""
+        )
         while True:
-            await trio.sleep(_TICK_S)
-            value = self._describe()
-            if value == written:
+            await trio.sleep(_WRITE_INTERVAL_S)
+            value = self._encode()
+            if value == written_value:
                 continue
             outcome = await self._store.write(
                 (self._owner_lease.guard, port.Guard(self._key, revision)),
                 (port.Write(self._key, value),),
             )
             if isinstance(outcome, port.Written):
-                revision, written = outcome.revision, value
+                revision, written_value = outcome.revision, value
             elif isinstance(outcome, port.Mismatched):
-                current = outcome.current.get(self._key)
-                revision = current.revision if current else 0
+                current_record = outcome.current.get(self._key)
+                revision = current_record.revision if current_record else 0
 
 
 def _parse_rows(
     record: records.Record,
 ) -> list[tuple[str, str, list[str] | None]]:
-    """Decode the record; one that can't be read names nobody.
+    """Decode the record; an unreadable record names no worker.
 
-    An owner that failed here would be followed by the next one that does.
+    If an owner failed here, each of its successors would fail too.
     """
     try:
         return [
-            (str(name), str(address), jobs)
-            for name, address, jobs in cbor2.loads(record.value)
+            (str(incarnation), str(address), job_ids)
+            for incarnation, address, job_ids in cbor2.loads(record.value)
         ]
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
         log("roster:unreadable", key=record.key, error=str(error))
         return []
 
 
-def _make_entry(name: str, pool: str, address: str) -> orders.WorkerEntry:
-    """Describe a worker of which only its address is known.
+def _make_entry(
+    incarnation: str, pool: str, address: str
+) -> orders.WorkerEntry:
+    """Return an entry for a worker of which only the address is known.
 
-    It is not listed and gets nothing, but it doesn't drain: after an outage
-    in which all entries lapsed, 17 of 22 workers were taken for draining, and
-    15 got nothing any more although they were listed again within a second.
+    The worker is unlisted and gets no work, but is not marked as draining:
+    after an outage in which all entries lapsed, 17 of 22 workers were taken for
+    draining, and 15 never got work again although they were listed again within
+    a second.
     """
     return orders.WorkerEntry(
-        name, pool, address, "", False, work.Room(), frozenset()
+        incarnation, pool, address, "", False, work.Room(), frozenset()
     )
--- a/crocusrouter/pools/members.py
+++ b/crocusrouter/pools/members.py
@@ -1,4 +1,4 @@
-"""This entry's own key among the members, under a lease."""
+"""Registers this entry as a member by a leased key in the store."""
 
 import dataclasses
 import os
@@ -10,21 +10,21 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import log
 
-# A member that says nothing for this long is dropped from the list. Nobody
-# decides by it alone, so it need not be short: each renewal is a call.
+# Time to live of a member's key. No decision depends on the member list alone,
+# so it need not be short, and each renewal is a call.
 _TTL_S = 8.0
-_RENEWAL_S = 3.0
-_RETRY_S = 0.4
+_RENEWAL_INTERVAL_S = 3.0
+_RETRY_DELAY_S = 0.4
 _SECRET_BYTES = 24
 
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-    """What other entries know of one.
+    """Address and size of an entry.
 
     Attributes:
         address: "IP:port" of its mesh listener.
-        cores: Processor that its VM has; 0 if it doesn't say.
+        cores: Processor cores of its VM; 0 if unknown.
     """
 
     address: str
@@ -32,7 +32,7 @@
 
 
 def dump_member(member: Member) -> bytes:
-    """Encode for the store.
+    """Encode a member for the store.
 
     >>> parse_member(dump_member(Member("10.1.0.1:7000", 2.0))).cores
     2.0
@@ -41,15 +41,15 @@
 
 
 def parse_member(data: bytes) -> Member:
-    """Decode what `dump_member` encoded.
+    """Decode the output of `dump_member`.
 
     Raises:
-        ValueError: The bytes describe no member.
+        ValueError: The bytes are not a valid member.
     """
     address, _, cores = data.decode().partition(" ")
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal():
-        raise ValueError(f"{address!r} is no IP:port")
+        raise ValueError(f"{address!r} is not IP:port")
     return Member(address, float(cores or 0.0))
 
 
@@ -62,39 +62,39 @@
         self._store = store
         self._name = name
         self._member = member
-        self._lease = 0
-        self._left = False
+        self._store_lease = 0
+        self._has_left = False
 
     async def run(self) -> None:
-        """Stay registered until cancelled or gone."""
-        while not self._left:
+        """Stay registered until cancelled or `leave` was called."""
+        while not self._has_left:
             try:
                 await self._register()
             except client.StoreUnavailableError as error:
                 log("member:unregistered", cause=str(error))
-                await trio.sleep(_RETRY_S)
+                await trio.sleep(_RETRY_DELAY_S)
                 continue
-            await self._keep()
+            await self._renew_until_lost()
             log("member:lease-ended")
 
-    async def _keep(self) -> None:
-        """Renew until the store says that the lease has ended.
+    async def _renew_until_lost(self) -> None:
+        """Renew the lease until the store reports that it has ended.
 
-        A lease that was opened anew after each outage had every entry write
-        its key, and all others hear of it.
+        Opening a new lease after each outage would make every entry write its
+        key, and all other entries receive the change.
         """
-        pause_s = _RENEWAL_S
+        pause_s = _RENEWAL_INTERVAL_S
         while True:
             await trio.sleep(pause_s)
             try:
-                if not await self._store.keep(self._lease):
+                if not await self._store.keep(self._store_lease):
                     return
-                pause_s = _RENEWAL_S
+                pause_s = _RENEWAL_INTERVAL_S
             except client.StoreUnavailableError:
-                pause_s = _RETRY_S
+                pause_s = _RETRY_DELAY_S
 
     async def _register(self) -> None:
-        """Write our key under a fresh lease, whatever stands there."""
+        """Write our key under a new lease, replacing any earlier value."""
         lease = await self._store.grant(_TTL_S)
         key = keys.build_member_key(self._name)
         outcome = await self._store.write(
@@ -102,28 +102,29 @@
         )
         if not isinstance(outcome, port.Written):
             raise client.StoreUnavailableError(type(outcome).__name__)
-        self._lease = lease
+        self._store_lease = lease
 
     async def leave(self) -> None:
-        """Take our key away; part of a planned stop."""
-        self._left = True
+        """Remove our key; part of a planned stop."""
+        self._has_left = True
         key = keys.build_member_key(self._name)
         await self._store.write((), (), (key,))
 
 
 async def find_secret(store: port.KeyValueStore) -> str:
-    """Return the secret that all entries share, making it if need be.
+    """Return the secret that all entries share; create it if missing.
 
     Raises:
-        StoreUnavailableError: Try again.
+        StoreUnavailableError: The caller should try again.
     """
-    found = await store.read(keys.SECRET)
-    if found is None:
-        made = os.urandom(_SECRET_BYTES).hex().encode()
+    record = await store.read(keys.SECRET)
+    if record is None:
+        new_secret = os.urandom(_SECRET_BYTES).hex().encode()
         await store.write(
-            (port.Guard(keys.SECRET, 0),), (port.Write(keys.SECRET, made),)
+            (port.Guard(keys.SECRET, 0),),
+            (port.Write(keys.SECRET, new_secret),),
         )
-        found = await store.read(keys.SECRET)
-    if found is None:
+        record = await store.read(keys.SECRET)
+    if record is None:
         raise client.StoreUnavailableError("the secret could not be stored")
-    return found.value.decode()
+    return record.value.decode()
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -1,4 +1,4 @@
-"""The owner of one pool: joins book, journal, watches and worker links."""
+"""Runs one pool under an epoch: scheduling, journal and links to workers."""
 
 import collections
 from collections.abc import Callable
@@ -29,20 +29,23 @@
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
 
-# Events that arrive within this time share one decision.
-_GATHER_S = 0.002
-# Decisions are also made this often: pauses and suspicions run out.
-_TICK_S = 0.25
-_RETRY_S = 0.2
-# A start that waits for the record of parked jobs is planned anew after this:
-# the store is away, and what its room was kept for may be more urgent then.
-_UNPARK_PATIENCE_S = 1.0
-# Numbers of starts rise from the epoch on, so a successor's outrank all of
-# its predecessor's without a written counter.
-_RUN_BITS = 20
-
-# What the book notes and operators also count.
-_COUNTED = {
+# Events that arrive within this window share one decision.
+_EVENT_BATCH_S = 0.002
+# Decisions are also made at this interval, because pauses and suspicions expire
+# without an event.
+_DECISION_INTERVAL_S = 0.25
+_LOAD_RETRY_S = 0.2
+# A start that waits this long for its job to leave the record of parked jobs is
+# withdrawn and planned again. By then the store is unavailable, and more urgent
+# work may need the room.
+_UNPARK_TIMEOUT_S = 1.0
+# Run numbers start at the epoch shifted left by this many bits, so a
+# successor's numbers are higher than all of its predecessor's without a
+# persisted counter.
+_RUN_NUMBER_BITS = 20
+
+# Events of the book that are also counted as metrics.
+_EVENT_METRICS = {
     "run:on-leaving": "start-on-leaving-worker",
     "run:lost": "run-lost-with-its-worker",
     "run:missing": "run-missing-on-its-worker",
@@ -54,17 +57,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Platform:
-    """How the owner meets the workers of the platform.
+    """How the owner reaches the platform's workers and services.
 
     Attributes:
-        workers_prefix: Where they are listed in the key-value service.
+        workers_prefix: Prefix of the list of workers in the key-value service.
         parse_worker: Decodes an entry of that list.
-        open_connection: Opens a connection to an incarnation of a worker, at
-            an address.
-        keep_jobs_s: Seconds for which a job that is over can be asked for.
-        make_policy: Opens the policy service of advised queues; None if
-            there is none.
-        upkeeping: How waves of upkeep are met; None if there are none.
+        open_connection: Opens a connection to an incarnation of a worker at an
+            address.
+        keep_jobs_s: Seconds for which the state of a finished job stays
+            available.
+        make_policy: Opens the policy service of advised queues; None if there
+            is none.
+        upkeeping: How waves of upkeep are read and carried out; None if there
+            are none.
     """
 
     workers_prefix: str
@@ -76,58 +81,64 @@
 
 
 class PoolOwner:
-    """Decides on the jobs of one pool under one epoch."""
+    """Schedules the jobs of one pool under one epoch."""
 
     def __init__(
         self,
-        held: owner_leases.OwnerLease,
+        owner_lease: owner_leases.OwnerLease,
         store: port.KeyValueStore,
         platform: Platform,
         clock: clocks.Clock,
         metrics: Metrics,
         may_renew: Callable[[], bool],
     ) -> None:
-        """Prepare an owner; `run` does the rest.
+        """Prepare an owner; `run` starts it.
 
         Args:
-            held: The tenure under which it decides.
+            owner_lease: The lease and epoch under which it owns the pool.
             store: The key-value service.
-            platform: How workers are met.
+            platform: How workers are reached.
             clock: Source of the current time.
-            metrics: Counts what happens.
-            may_renew: Whether leases may be renewed although the tenure is
-                not known to be valid.
+            metrics: Counts events.
+            may_renew: Returns whether worker leases may be renewed although the
+                owner lease is not known to be valid.
         """
-        self.pool = held.pool
-        self.epoch = held.epoch
-        self.book = work.Book(held.epoch)
+        self.pool = owner_lease.pool
+        self.epoch = owner_lease.epoch
+        self.book = work.Book(owner_lease.epoch)
         self.is_loaded = False
         self.is_recovered = False
-        self._owner_lease = held
+        self._owner_lease = owner_lease
         self._store = store
         self._platform = platform
         self._clock = clock
         self._metrics = metrics
         self._may_renew = may_renew
         self._backlog = backlog.Backlog(
-            store, held.pool, self.book, clock, metrics, self.wake
+            store, owner_lease.pool, self.book, clock, metrics, self.wake
         )
         self._journal = journals.Journal(
-            store, held, self.book, self._backlog.revisions
+            store, owner_lease, self.book, self._backlog.revisions
         )
         self._links: dict[str, worker_links.WorkerLink] = {}
-        # By worker; outlives the links to its incarnations.
-        self._unanswered: dict[str, unanswered_starts.UnansweredStarts] = (
-            collections.defaultdict(unanswered_starts.UnansweredStarts)
-        )
+        # Keyed by worker id; outlives the links to the worker's incarnations.
+        self._unanswered_starts: dict[
+            str, unanswered_starts.UnansweredStarts
+        ] = collections.defaultdict(unanswered_starts.UnansweredStarts)
         self._reservations = reservations.Reservations()
-        self._runs = held.epoch << _RUN_BITS
-        self._wake = trio.Event()
+        self._last_run_number = owner_lease.epoch << _RUN_NUMBER_BITS
+        self._wake_event = trio.Event()
         self._nursery: trio.Nursery | None = None
-        self._roster = known_workers.KnownWorkers(store, held, self.book)
+        self._known_workers = known_workers.KnownWorkers(
+            store, owner_lease, self.book
+        )
         make_policy = platform.make_policy
-        self._parking = parked_jobs.ParkedJobs(
-            store, held, self.book, self._journal.is_durable, clock.steady
+        self._parked_jobs = parked_jobs.ParkedJobs(
+            store,
+            owner_lease,
+            self.book,
+            self._journal.is_durable,
+            clock.steady,
         )
         self._advisor = advisor.Advisor(
             make_policy() if make_policy is not None else None,
@@ -136,22 +147,22 @@
             self.wake,
         )
         self._draining = False
-        self._list = worker_listing.WorkerList(
+        self._worker_list = worker_listing.WorkerList(
             worker_listing.Source(
                 platform.workers_prefix, platform.parse_worker
             ),
             store,
-            held.pool,
+            owner_lease.pool,
             self.book,
             clock,
             metrics,
             worker_listing.Listeners(
-                self._open_link, self._note_unlisted, self.wake
+                self._open_link, self._handle_unlisted, self.wake
             ),
         )
 
     def set_config(self, config: queues.Config) -> None:
-        """Take the customers' guarantees of a configuration."""
+        """Apply the customers' guarantees of a configuration."""
         self.book.guaranteed = {
             customer.name: customer.guaranteed
             for customer in config.customers.values()
@@ -159,8 +170,8 @@
         self.wake()
 
     def wake(self) -> None:
-        """Say that there may be something to decide."""
-        self._wake.set()
+        """Schedule a decision because something may have changed."""
+        self._wake_event.set()
         self._journal.wake()
 
     async def run(self) -> None:
@@ -174,9 +185,9 @@
             self._nursery = nursery
             nursery.start_soon(self._journal.run)
             nursery.start_soon(self._backlog.run)
-            nursery.start_soon(self._list.run)
-            nursery.start_soon(self._roster.run)
-            nursery.start_soon(self._parking.run)
+            nursery.start_soon(self._worker_list.run)
+            nursery.start_soon(self._known_workers.run)
+            nursery.start_soon(self._parked_jobs.run)
             nursery.start_soon(self._advisor.run)
             nursery.start_soon(
                 job_expiry.expire_jobs,
@@ -186,166 +197,189 @@
                 self._clock.steady,
                 self._platform.keep_jobs_s,
             )
-            for known in self._roster.list_unlisted(self._clock.steady()):
-                self._open_link(known.entry.id, known.entry.address)
-            for listed in list(self.book.workers.values()):
-                self._open_link(listed.entry.id, listed.entry.address)
+            for worker_state in self._known_workers.restore_unlisted(
+                self._clock.steady()
+            ):
+                self._open_link(
+                    worker_state.entry.id, worker_state.entry.address
+                )
+            for worker_state in list(self.book.workers.values()):
+                self._open_link(
+                    worker_state.entry.id, worker_state.entry.address
+                )
             self.is_loaded = True
-            await self._decide_forever()
+            await self._run_decision_loop()
 
-    async def drain(self, patience_s: float) -> None:
-        """Start nothing more and let what is under way settle."""
+    async def drain(self, timeout_s: float) -> None:
+        """Stop starting tasks and wait until the journal has caught up.
+
+        Args:
+            timeout_s: Longest time to wait.
+        """
         self._draining = True
-        with trio.move_on_after(patience_s):
+        with trio.move_on_after(timeout_s):
             await self._journal.settle()
 
     # Loading.
 
     async def _load(self) -> None:
-        """Read what earlier owners and the entries have stored."""
+        """Read the state that earlier owners and the entries have stored."""
         while True:
             try:
-                await self._roster.load()
-                parked = await self._parking.load()
+                await self._known_workers.load()
+                parked_ids = await self._parked_jobs.load()
                 await self._backlog.load()
-                await self._list.load()
+                await self._worker_list.load()
                 break
             except client.StoreUnavailableError as error:
                 log("owner:load-failed", pool=self.pool, cause=str(error))
-                await trio.sleep(_RETRY_S)
-        for job_id in parked & self.book.jobs.keys():
+                await trio.sleep(_LOAD_RETRY_S)
+        for job_id in parked_ids & self.book.jobs.keys():
             self.book.jobs[job_id].parked = True
         log(
             "owner:loaded",
             pool=self.pool,
             epoch=self.epoch,
             jobs=len(self.book.jobs),
-            parked=len(parked),
+            parked=len(parked_ids),
             workers=len(self.book.workers),
         )
 
     # Workers.
 
-    def _note_unlisted(self, worker: str) -> None:
-        link = self._links.get(worker)
+    def _handle_unlisted(self, incarnation: str) -> None:
+        link = self._links.get(incarnation)
         if link is not None:
             link.wake()
-        self._forget_if_over(worker)
+        self._forget_if_finished(incarnation)
 
-    def _open_link(self, worker: str, address: str) -> None:
+    def _open_link(self, incarnation: str, address: str) -> None:
         if self._nursery is None:
-            # Not running yet; all that was loaded is opened then.
+            # `run` opens the links to all loaded workers.
             return
-        held = self.book.workers[worker]
-        if worker in self._links or held.gone:
+        worker_state = self.book.workers[incarnation]
+        if incarnation in self._links or worker_state.gone:
             return
         open_connection = functools.partial(
-            self._platform.open_connection, worker, address
+            self._platform.open_connection, incarnation, address
         )
         link = worker_links.WorkerLink(
-            worker,
-            connections.Connections(worker, open_connection),
+            incarnation,
+            connections.Connections(incarnation, open_connection),
             self.epoch,
             self.book,
             self._clock,
             self._journal.settle,
-            self._may_hold,
-            self._may_start,
+            self._may_renew_leases,
+            self._may_start_tasks,
             self.wake,
-            self._take_replaced,
-            self._unanswered[held.entry.worker],
+            self._handle_replaced,
+            self._unanswered_starts[worker_state.entry.worker],
         )
-        self._links[worker] = link
-        self._nursery.start_soon(self._run_link, worker, link)
+        self._links[incarnation] = link
+        self._nursery.start_soon(self._run_link, incarnation, link)
 
-    def _take_replaced(
-        self, worker: str, other: str | None, stops: list[orders.Stop]
+    def _handle_replaced(
+        self, incarnation: str, successor: str | None, stops: list[orders.Stop]
     ) -> None:
-        """Note that another incarnation answers in place of one.
+        """Record that another incarnation answers in place of an expected one.
 
-        It may not be listed yet; it is asked at once what it runs. Orders that
-        were under way tell the same once more.
+        The new incarnation may not be listed yet, but it is asked at once what
+        it runs. Orders that were in flight may report the same replacement
+        again.
         """
-        if worker not in self.book.workers or self.book.workers[worker].gone:
+        if (
+            incarnation not in self.book.workers
+            or self.book.workers[incarnation].gone
+        ):
             return
         now = self._clock.steady()
-        if other is not None:
-            work.add_successor(self.book, worker, other, now)
-        work.note_replaced(self.book, worker, now, other, stops)
-        if other is not None:
-            self._open_link(other, self.book.workers[other].entry.address)
+        if successor is not None:
+            work.add_successor(self.book, incarnation, successor, now)
+        work.note_replaced(self.book, incarnation, now, successor, stops)
+        if successor is not None:
+            self._open_link(
+                successor, self.book.workers[successor].entry.address
+            )
 
     async def _run_link(
-        self, worker: str, link: worker_links.WorkerLink
+        self, incarnation: str, link: worker_links.WorkerLink
     ) -> None:
         await link.run()
-        del self._links[worker]
-        held = self.book.workers.get(worker)
-        if held is None:
+        del self._links[incarnation]
+        worker_state = self.book.workers.get(incarnation)
+        if worker_state is None:
             return
-        if held.listed and not held.gone:
-            # Listed again while its link was being closed.
-            self._open_link(worker, held.entry.address)
+        if worker_state.listed and not worker_state.gone:
+            # The worker was listed again while its link was being closed.
+            self._open_link(incarnation, worker_state.entry.address)
         else:
-            self._forget_if_over(worker)
-
-    def _forget_if_over(self, worker: str) -> None:
-        held = self.book.workers.get(worker)
-        if held is None or held.listed or held.runs or worker in self._links:
+            self._forget_if_finished(incarnation)
+
+    def _forget_if_finished(self, incarnation: str) -> None:
+        worker_state = self.book.workers.get(incarnation)
+        if (
+            worker_state is None
+            or worker_state.listed
+            or worker_state.runs
+            or incarnation in self._links
+        ):
             return
-        self.book.forget_worker(worker)
-        if self._unanswered[held.entry.worker].is_settled(self._clock.steady()):
-            del self._unanswered[held.entry.worker]
-        log("worker:forgotten", worker=worker)
-
-    def _may_hold(self) -> bool:
+        self.book.forget_worker(incarnation)
+        if self._unanswered_starts[worker_state.entry.worker].is_settled(
+            self._clock.steady()
+        ):
+            del self._unanswered_starts[worker_state.entry.worker]
+        log("worker:forgotten", worker=incarnation)
+
+    def _may_renew_leases(self) -> bool:
         return self._owner_lease.is_valid() or self._may_renew()
 
-    def _may_start(self, now: float) -> bool:
-        """Tell whether it is known well enough what may start, and where."""
-        workers_known = self._list.freshness.is_fresh(now)
-        jobs_known = self._backlog.freshness.is_fresh(now)
-        return workers_known and jobs_known
+    def _may_start_tasks(self, now: float) -> bool:
+        """Return whether workers and jobs are known well enough for starts."""
+        workers_fresh = self._worker_list.freshness.is_fresh(now)
+        jobs_fresh = self._backlog.freshness.is_fresh(now)
+        return workers_fresh and jobs_fresh
 
     # Decisions.
 
-    async def _decide_forever(self) -> None:
+    async def _run_decision_loop(self) -> None:
         """Decide whenever something has changed.
 
-        A long decision is followed by a pause of its own length: under load
-        events never cease, and decisions one after another would leave the
-        loop no time for orders and renewals.
+        A long decision is followed by a pause of the same length. Under load
+        events arrive continuously, and back-to-back decisions would leave the
+        event loop no time for orders and lease renewals.
         """
-        took_s = 0.0
+        decision_s = 0.0
         while True:
-            with trio.move_on_after(_TICK_S):
-                await self._wake.wait()
-                await trio.sleep(max(_GATHER_S, took_s))
-            self._wake = trio.Event()
-            began = self._clock.steady()
-            self._decide(began, self._clock.wall())
+            with trio.move_on_after(_DECISION_INTERVAL_S):
+                await self._wake_event.wait()
+                await trio.sleep(max(_EVENT_BATCH_S, decision_s))
+            self._wake_event = trio.Event()
+            began_at = self._clock.steady()
+            self._decide(began_at, self._clock.wall())
             self._journal.wake()
-            took_s = self._clock.steady() - began
+            decision_s = self._clock.steady() - began_at
 
     def _decide(self, now: float, wall: float) -> None:
         self.book.open_due(wall, now)
         self._check_recovered(now)
         if self._owner_lease.is_valid() and not self._draining:
-            if self._may_start(now):
-                self._place(now, wall)
+            if self._may_start_tasks(now):
+                self._run_plan(now, wall)
             self._send_paces(now)
         self._advisor.wake()
         self._send_stops()
-        self._write_log()
+        self._log_book_events()
 
-    def _place(self, now: float, wall: float) -> None:
-        """Start what has room, and stop what is in the way of guarantees."""
-        self._start_reserved(now)
+    def _run_plan(self, now: float, wall: float) -> None:
+        """Start steps that have room and stop runs that block guarantees."""
+        self._start_reserved_steps(now)
         plan = work.plan(
             self.book, now, wall, reserved=self._reservations.list_spots()
         )
         for placement in plan.placements:
-            self._start(placement, now)
+            self._start_step(placement, now)
         for run, why in plan.stops:
             self.book.stop_run(run, why, now)
         if plan.contended:
@@ -354,10 +388,13 @@
             self._reservations.add(placement, now)
 
     def _check_recovered(self, now: float) -> None:
-        """Note when every worker has told what an earlier owner started."""
+        """Record when every worker has reported the runs of earlier owners."""
         if self.is_recovered:
             return
-        if any(held.is_untold for held in self.book.workers.values()):
+        if any(
+            worker_state.is_untold
+            for worker_state in self.book.workers.values()
+        ):
             return
         self.is_recovered = True
         self.book.check_gangs(now)
@@ -368,74 +405,81 @@
             runs=len(self.book.runs),
         )
 
-    def _start_reserved(self, now: float) -> None:
+    def _start_reserved_steps(self, now: float) -> None:
         for placement in self._reservations.take_ready(self.book, now):
-            self._start(placement, now)
+            self._start_step(placement, now)
 
-    def _start(self, placement: work.Placement, now: float) -> None:
+    def _start_step(self, placement: work.Placement, now: float) -> None:
         assert self._nursery is not None
-        held = self.book.jobs[placement.step.job]
-        found = self.book.find_work(work.TaskKey(*placement.step, 0))
-        assert found is not None
-        shared = self._take_number()
-        started: list[tuple[worker_links.WorkerLink, orders.Start]] = []
-        for index, worker in placement.spots.items():
-            number = shared if found.step.gang else self._take_number()
+        job_work = self.book.jobs[placement.step.job]
+        step_work = self.book.find_work(work.TaskKey(*placement.step, 0))
+        assert step_work is not None
+        step_run_number = self._allocate_run_number()
+        start_orders: list[tuple[worker_links.WorkerLink, orders.Start]] = []
+        for index, incarnation in placement.spots.items():
+            run_number = (
+                step_run_number
+                if step_work.step.gang
+                else self._allocate_run_number()
+            )
             key = work.TaskKey(*placement.step, index)
             run = self.book.add_run(
-                key, number, worker, now, alone=placement.alone
+                key, run_number, incarnation, now, alone=placement.alone
             )
-            ticket = found.permits.find_ticket(worker, now)
+            ticket = step_work.permits.find_ticket(incarnation, now)
             order = orders.Start(
-                key, number, held.job.payload, run.saved, ticket
+                key, run_number, job_work.job.payload, run.saved, ticket
             )
-            started.append((self._links[worker], order))
-        if self._parking.is_parked(placement.step.job):
-            self._nursery.start_soon(self._start_parked, started)
+            start_orders.append((self._links[incarnation], order))
+        if self._parked_jobs.is_parked(placement.step.job):
+            self._nursery.start_soon(self._start_parked, start_orders)
         else:
-            self._send_starts(started)
+            self._send_starts(start_orders)
         log(
             "step:start",
             step=placement.step,
-            run=shared,
+            run=step_run_number,
             spots=list(placement.spots.items()),
-            cores=found.step.charge.cores,
-            checkpoints=found.step.checkpoints,
-            gang=found.step.gang,
-            waited=round(now - (found.waiting_since or now), 3),
-            list_age_s=round(self._list.freshness.measure_age(now), 3),
+            cores=step_work.step.charge.cores,
+            checkpoints=step_work.step.checkpoints,
+            gang=step_work.step.gang,
+            waited=round(now - (step_work.waiting_since or now), 3),
+            list_age_s=round(self._worker_list.freshness.measure_age(now), 3),
         )
 
     def _send_starts(
-        self, started: list[tuple[worker_links.WorkerLink, orders.Start]]
+        self, start_orders: list[tuple[worker_links.WorkerLink, orders.Start]]
     ) -> None:
         assert self._nursery is not None
-        for link, order in started:
+        for link, order in start_orders:
             self._nursery.start_soon(link.start, order)
 
     async def _start_parked(
-        self, started: list[tuple[worker_links.WorkerLink, orders.Start]]
+        self, start_orders: list[tuple[worker_links.WorkerLink, orders.Start]]
     ) -> None:
-        """Send starts once a successor would know that the job may run."""
-        job_id = started[0][1].key.job
-        with trio.move_on_after(_UNPARK_PATIENCE_S):
-            await self._parking.leave(job_id)
-            self._send_starts(started)
+        """Send starts once the stored record no longer names the job as parked.
+
+        Otherwise a successor would assume that nothing of the job runs.
+        """
+        job_id = start_orders[0][1].key.job
+        with trio.move_on_after(_UNPARK_TIMEOUT_S):
+            await self._parked_jobs.wait_until_removed(job_id)
+            self._send_starts(start_orders)
             return
-        log("start:withdrawn", job=job_id, tasks=len(started))
-        for _, order in started:
+        log("start:withdrawn", job=job_id, tasks=len(start_orders))
+        for _, order in start_orders:
             self.book.withdraw_run(order.key, order.run)
         self.wake()
 
-    def _take_number(self) -> int:
-        self._runs += 1
-        return self._runs
+    def _allocate_run_number(self) -> int:
+        self._last_run_number += 1
+        return self._last_run_number
 
     def _send_stops(self) -> None:
         assert self._nursery is not None
         stops, self.book.outbox = self.book.outbox, []
-        for worker, order in stops:
-            link = self._links.get(worker)
+        for incarnation, order in stops:
+            link = self._links.get(incarnation)
             if link is not None:
                 self._nursery.start_soon(link.stop, order)
 
@@ -444,14 +488,15 @@
         for run, percent in work.choose_paces(self.book, now):
             link = self._links.get(run.worker)
             if link is not None:
-                # Sent again only when this one can have been answered.
+                # Prevents another pace order until this one can have been
+                # answered.
                 run.paced_at = now
                 order = orders.Pace(run.key, run.number, percent)
                 self._nursery.start_soon(link.pace, order)
 
-    def _write_log(self) -> None:
+    def _log_book_events(self) -> None:
         while self.book.events:
-            what, facts = self.book.events.popleft()
-            log(what, pool=self.pool, **facts)
-            if what in _COUNTED:
-                self._metrics.count_event(_COUNTED[what])
+            event, fields = self.book.events.popleft()
+            log(event, pool=self.pool, **fields)
+            if event in _EVENT_METRICS:
+                self._metrics.count_event(_EVENT_METRICS[event])
--- a/crocusrouter/pools/owner_leases.py
+++ b/crocusrouter/pools/owner_leases.py
@@ -1,9 +1,9 @@
-"""Ownership of one pool: a key in the store under a lease.
+"""Ownership of one pool: a leased key in the store and its epoch.
 
 The epoch is the revision at which the key was created. It rises with every
-owner without a counter of its own, fences workers, and guards each journal
-write: a write names the key at this revision, so one that an earlier owner
-left on its way fails.
+owner without a separate counter, fences workers, and guards each journal write:
+a write requires the key at this revision, so a late write of an earlier owner
+fails.
 """
 
 import dataclasses
@@ -17,51 +17,58 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import log
 
-# How long an owner that says nothing stays owner. Takeover after a kill takes
-# about this long; a store that answers 50 times slower than its 4 ms still
-# leaves time for two renewals.
+# Time to live of an owner's lease. Takeover after a kill takes about this long.
+# Even a store that answers 50 times slower than its usual 4 ms leaves time for
+# two renewals.
 TTL_S = 1.8
-_RENEWAL_S = 0.5
-_RETRY_S = 0.1
-_PROCESS_BYTES = 4
+_RENEWAL_INTERVAL_S = 0.5
+_RETRY_DELAY_S = 0.1
+_PROCESS_ID_BYTES = 4
 
 
 @dataclasses.dataclass(frozen=True)
 class Holder:
-    """Who stands in an owner's key.
+    """The process that an owner key names.
 
     Attributes:
         name: The entry.
         address: "IP:port" of its mesh listener.
-        process: Drawn by each process of the entry; empty if it is not told.
+        process: Random id of the process; empty if unknown.
     """
 
     name: str
     address: str = ""
     process: str = ""
 
-    def is_predecessor_of(self, ours: "Holder") -> bool:
-        """Tell whether this is an earlier process that has certainly ended.
+    def is_predecessor_of(self, current: "Holder") -> bool:
+        """Return whether this is an earlier process that has certainly ended.
 
-        Two processes can't listen on one address: while ours does, the one
-        that stands in the key under our name and address does not run.
+        Two processes can't listen on one address. While our process does, an
+        earlier one under the same name and address does not run.
 
         >>> Holder("e1", "10.0.0.1:7", "a1").is_predecessor_of(
         ...     Holder("e1", "10.0.0.1:7", "b2")
         ... )
         True
         """
-        same = (self.name, self.address) == (ours.name, ours.address)
-        return same and bool(self.process) and self.process != ours.process
+        has_same_address = (self.name, self.address) == (
+            current.name,
+            current.address,
+        )
+        return (
+            has_same_address
+            and bool(self.process)
+            and self.process != current.process
+        )
 
 
 def make_holder(name: str, address: str) -> Holder:
-    """Return how this process names itself in owners' keys."""
-    return Holder(name, address, os.urandom(_PROCESS_BYTES).hex())
+    """Return the holder that this process writes into owner keys."""
+    return Holder(name, address, os.urandom(_PROCESS_ID_BYTES).hex())
 
 
 def dump_holder(holder: Holder) -> bytes:
-    """Encode for the store.
+    """Encode a holder for the store.
 
     >>> dump_holder(Holder("e1", "10.0.0.1:7", "a1"))
     b'e1 10.0.0.1:7 a1'
@@ -70,14 +77,14 @@
 
 
 def parse_holder(data: bytes) -> Holder:
-    """Decode what `dump_holder` encoded; a name alone is one too."""
+    """Decode the output of `dump_holder`; a name alone is valid too."""
     name, _, rest = data.decode(errors="replace").partition(" ")
     address, _, process = rest.partition(" ")
     return Holder(name, address, process)
 
 
 class OwnerLease:
-    """One entry's ownership of one pool, while it lasts."""
+    """One entry's ownership of one pool while its lease lasts."""
 
     def __init__(
         self,
@@ -90,9 +97,9 @@
         self.key = keys.build_owner_key(pool)
         self.epoch = 0
         self._store = store
-        self._value = dump_holder(holder)
+        self._encoded_holder = dump_holder(holder)
         self._clock = clock
-        self._lease = 0
+        self._store_lease = 0
         self._valid_until = 0.0
 
     @property
@@ -101,62 +108,62 @@
         return port.Guard(self.key, self.epoch)
 
     def is_valid(self) -> bool:
-        """Tell whether nobody else can own the pool yet.
+        """Return whether certainly no other entry owns the pool yet.
 
-        Counted from when the last renewal was sent, not from its answer: the
-        process may have been suspended while the answer was on its way.
+        Validity counts from the time when the last renewal was sent, not from
+        its answer: the process may have been suspended in between.
         """
         return self._clock.steady() < self._valid_until
 
-    async def take(self, replacing: int = 0) -> bool:
-        """Try to become owner.
+    async def acquire(self, replaced_revision: int = 0) -> bool:
+        """Try to become the owner.
 
         Args:
-            replacing: Revision of the key of an owner that has certainly
-                ended; 0 if there must be none.
+            replaced_revision: Revision of the key of an owner that has
+                certainly ended; 0 if the key must not exist.
 
         Returns:
-            Whether this entry is owner now.
+            Whether this entry is the owner now.
         """
         sent_at = self._clock.steady()
         try:
-            self._lease = await self._store.grant(TTL_S)
+            self._store_lease = await self._store.grant(TTL_S)
         except client.StoreUnavailableError as error:
             log("owner:no-lease", pool=self.pool, cause=str(error))
             return False
         outcome = await self._store.write(
-            (port.Guard(self.key, replacing),),
-            (port.Write(self.key, self._value, self._lease),),
+            (port.Guard(self.key, replaced_revision),),
+            (port.Write(self.key, self._encoded_holder, self._store_lease),),
         )
         if isinstance(outcome, port.MaybeWritten):
-            return await self._find_out(sent_at)
+            return await self._check_unanswered_write(sent_at)
         if not isinstance(outcome, port.Written):
             return False
-        return self._begin(outcome.revision, sent_at)
+        return self._mark_acquired(outcome.revision, sent_at)
 
-    async def _find_out(self, sent_at: float) -> bool:
-        """Read back whether an unanswered take has won."""
+    async def _check_unanswered_write(self, sent_at: float) -> bool:
+        """Read back whether an unanswered write has acquired the pool."""
         try:
-            found = await self._store.read(self.key)
+            record = await self._store.read(self.key)
         except client.StoreUnavailableError:
             return False
-        if found is None or found.value != self._value:
+        if record is None or record.value != self._encoded_holder:
             return False
-        return self._begin(found.revision, sent_at)
+        return self._mark_acquired(record.revision, sent_at)
 
-    def _begin(self, epoch: int, sent_at: float) -> bool:
+    def _mark_acquired(self, epoch: int, sent_at: float) -> bool:
         self.epoch = epoch
         self._valid_until = sent_at + TTL_S
         return True
 
-    async def keep(self) -> None:
-        """Renew until the lease has ended; returns then."""
+    async def renew_until_lost(self) -> None:
+        """Renew the lease until it has ended; returns then."""
         while True:
-            await trio.sleep(_RENEWAL_S)
+            await trio.sleep(_RENEWAL_INTERVAL_S)
             while True:
                 sent_at = self._clock.steady()
                 try:
-                    renewed = await self._store.keep(self._lease)
+                    renewed = await self._store.keep(self._store_lease)
                 except client.StoreUnavailableError as error:
                     if not self.is_valid():
                         log(
@@ -165,7 +172,7 @@
                             epoch=self.epoch,
                             cause=str(error),
                         )
-                    await trio.sleep(_RETRY_S)
+                    await trio.sleep(_RETRY_DELAY_S)
                     continue
                 break
             if not renewed:
@@ -173,7 +180,7 @@
             self._valid_until = sent_at + TTL_S
 
     async def release(self) -> None:
-        """Give the pool up at once; part of a planned stop."""
+        """Release the pool at once; part of a planned stop."""
         self._valid_until = 0.0
         outcome = await self._store.write((self.guard,), (), (self.key,))
         log("owner:released", pool=self.pool, outcome=type(outcome).__name__)
--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -1,11 +1,12 @@
-"""Jobs of which nothing runs, written down for a successor.
-
-A successor asks the workers what runs. While one of them can't be reached,
-anything might run there, and jobs of the owner before had to wait until its
-lease had ended: 8 s after all entries had lost power, with every other worker
-idle. A job that stands in this record can't run anywhere: the owner starts
-nothing of it before a record without it is durable. So it costs a write only
-for jobs that have waited for a while, and a calm day has none.
+"""Persists which jobs are parked, that is, certainly have no running task.
+
+A successor asks the workers what they run. While one worker can't be reached,
+anything might run there, and the jobs of the previous owner had to wait until
+that worker's lease had ended: 8 s after all entries had lost power, with every
+other worker idle. A parked job can't run anywhere, because the owner starts
+none of its tasks before a record without the job is durable. To save writes,
+only jobs that have waited for a while are recorded; on a calm day there are
+none.
 """
 
 from collections.abc import Callable
@@ -21,178 +22,186 @@
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 
-# Jobs to record that come within this time share a write. A job that leaves
-# the record is never kept waiting for that.
-_TICK_S = 1.0
-# A job is recorded once it has waited for this long: most start at once where
+# Changes within this interval share a write. Removing a job that is about to
+# start does not wait for it.
+_WRITE_INTERVAL_S = 1.0
+# A job is recorded after it has waited this long. Most jobs start at once where
 # there is room, and would cost two writes each.
-_WAITED_S = 1.0
-# The first try of a write that a start waits for; each further one is given
-# twice that. A lost answer then costs a start 0.3 s and not the usual 1 s.
+_PARK_AFTER_S = 1.0
+# Timeout of the first try of a write; each further try doubles it. A lost
+# answer delays a start by 0.3 s instead of the usual 1 s.
 _FIRST_TIMEOUT_S = 0.3
-_LONGEST_TIMEOUT_S = 1.2
-_RETRY_S = 0.1
+_MAX_TIMEOUT_S = 1.2
+_RETRY_DELAY_S = 0.1
 
 
 class ParkedJobs:
-    """Keeps the record of one pool."""
+    """Maintains the record of parked jobs of one pool."""
 
     def __init__(
         self,
         store: port.KeyValueStore,
-        held: owner_leases.OwnerLease,
+        owner_lease: owner_leases.OwnerLease,
         book: work.Book,
         is_durable: Callable[[str], bool],
         read_clock: Callable[[], float],
     ) -> None:
-        """Prepare; `load` reads what the owner before has written.
+        """Prepare; `load` reads the record of the previous owner.
 
         Args:
             store: The key-value service.
-            held: This owner's tenure; guards each write.
-            book: Whose jobs are recorded.
-            is_durable: Whether a successor knows all ends of a job's tasks.
+            owner_lease: This owner's lease; guards each write.
+            book: The jobs of the pool.
+            is_durable: Returns whether the journal holds all ended tasks of a
+                job.
             read_clock: Returns steady seconds.
         """
         self._store = store
-        self._owner_lease = held
+        self._owner_lease = owner_lease
         self._book = book
         self._is_durable = is_durable
         self._read_clock = read_clock
-        self._key = keys.PARKED + held.pool
+        self._key = keys.PARKED + owner_lease.pool
         self._revision = 0
-        # What the record may say: more than one state of it, while a write is
-        # unanswered.
-        self._recorded: frozenset[str] = frozenset()
-        self._wake = trio.Event()
-        self._changed = trio.Condition()
+        # Jobs that the stored record may name. While a write is unanswered,
+        # this is the union of the old and the new record.
+        self._maybe_recorded: frozenset[str] = frozenset()
+        self._wake_event = trio.Event()
+        self._record_changed = trio.Condition()
 
     async def load(self) -> frozenset[str]:
-        """Return the jobs of which nothing ran.
+        """Return the jobs that were parked under the previous owner.
 
         Raises:
             StoreUnavailableError: The record could not be read.
         """
-        found = await self._store.read(self._key)
-        if found is None:
+        record = await self._store.read(self._key)
+        if record is None:
             return frozenset()
-        self._revision = found.revision
-        self._recorded = _parse_jobs(found)
-        return self._recorded
+        self._revision = record.revision
+        self._maybe_recorded = _parse_jobs(record)
+        return self._maybe_recorded
 
     def is_parked(self, job_id: str) -> bool:
-        """Tell whether the record may say that nothing of a job runs."""
-        return job_id in self._recorded
+        """Return whether the stored record may name a job as parked."""
+        return job_id in self._maybe_recorded
 
-    async def leave(self, job_id: str) -> None:
-        """Wait until the record says no more that nothing of a job runs.
+    async def wait_until_removed(self, job_id: str) -> None:
+        """Wait until the stored record certainly no longer names a job.
 
-        The book holds the run that is to start by then, so the job leaves.
+        The book must already hold the run to be started; that removes the job.
         """
-        self._wake.set()
-        async with self._changed:
+        self._wake_event.set()
+        async with self._record_changed:
             while self.is_parked(job_id):
-                await self._changed.wait()
+                await self._record_changed.wait()
 
     async def run(self) -> None:
         """Write changes until cancelled; raises DeposedError."""
         timeout_s = _FIRST_TIMEOUT_S
         while True:
-            with trio.move_on_after(_TICK_S):
-                await self._wake.wait()
-            self._wake = trio.Event()
-            wanted = self._choose(self._read_clock())
-            if wanted <= self._recorded and not self._is_wrong():
+            with trio.move_on_after(_WRITE_INTERVAL_S):
+                await self._wake_event.wait()
+            self._wake_event = trio.Event()
+            job_ids = self._list_parkable(self._read_clock())
+            if (
+                job_ids <= self._maybe_recorded
+                and not self._names_running_job()
+            ):
                 continue
-            outcome = await self._write(wanted, timeout_s)
+            outcome = await self._write(job_ids, timeout_s)
             if isinstance(outcome, port.Written):
                 timeout_s = _FIRST_TIMEOUT_S
-                async with self._changed:
-                    self._changed.notify_all()
+                async with self._record_changed:
+                    self._record_changed.notify_all()
                 continue
             if timeout_s == _FIRST_TIMEOUT_S:
                 log("parking:retried", outcome=type(outcome).__name__)
-            timeout_s = min(_LONGEST_TIMEOUT_S, 2 * timeout_s)
-            # What the record says is not known until a write is answered, and
-            # all jobs that it may name can't start before that.
-            self._wake.set()
-            await trio.sleep(_RETRY_S)
+            timeout_s = min(_MAX_TIMEOUT_S, 2 * timeout_s)
+            # Until a write is answered, the stored record is unknown, and no
+            # job that it may name can start.
+            self._wake_event.set()
+            await trio.sleep(_RETRY_DELAY_S)
 
-    def _is_wrong(self) -> bool:
-        """Tell whether the record names a job that runs.
+    def _names_running_job(self) -> bool:
+        """Return whether the record names a job that runs.
 
-        Jobs that are over do no harm there.
+        Finished jobs in the record do no harm.
         """
         return any(
-            _has_run(self._book.live.get(job_id)) for job_id in self._recorded
+            _has_run(self._book.live.get(job_id))
+            for job_id in self._maybe_recorded
         )
 
-    def _choose(self, now: float) -> frozenset[str]:
-        """Return the jobs to record, of which nothing runs.
+    def _list_parkable(self, now: float) -> frozenset[str]:
+        """Return the jobs to record: live jobs without a running task.
 
-        A task of theirs that has ended must be known to a successor, which
-        would start it again at once.
+        Their ended tasks must be durable, because a successor starts at once
+        every task of a parked job that it does not know to have ended.
         """
-        blocked = self._book.list_blocked()
+        blocked_ids = self._book.list_blocked()
         return frozenset(
             job_id
-            for job_id, held in self._book.live.items()
-            if not held.is_final
-            and not self._book.may_run_unseen(held, blocked)
-            and not _has_run(held)
+            for job_id, job_work in self._book.live.items()
+            if not job_work.is_final
+            and not self._book.may_run_unseen(job_work, blocked_ids)
+            and not _has_run(job_work)
             and (
-                job_id in self._recorded
-                or (_has_waited(held, now) and self._is_durable(job_id))
+                job_id in self._maybe_recorded
+                or (_has_waited(job_work, now) and self._is_durable(job_id))
             )
         )
 
     async def _write(
-        self, wanted: frozenset[str], timeout_s: float
+        self, job_ids: frozenset[str], timeout_s: float
     ) -> port.WriteOutcome:
         """Replace the record; raises DeposedError."""
-        before = self._recorded
-        # An unanswered write may be carried out: until that is known, a job
-        # counts as parked that stands in either state of the record.
-        self._recorded = before | wanted
+        previous_ids = self._maybe_recorded
+        # An unanswered write may still be carried out. Until its outcome is
+        # known, jobs of either version of the record count as parked.
+        self._maybe_recorded = previous_ids | job_ids
         outcome = await self._store.write(
             (self._owner_lease.guard, port.Guard(self._key, self._revision)),
-            (port.Write(self._key, cbor2.dumps(sorted(wanted))),),
+            (port.Write(self._key, cbor2.dumps(sorted(job_ids))),),
             timeout_s=timeout_s,
         )
         match outcome:
             case port.Written(revision):
                 self._revision = revision
-                self._recorded = wanted
-            case port.Mismatched(current):
-                owner = current.get(self._owner_lease.key)
-                if owner is None or owner.revision != self._owner_lease.epoch:
+                self._maybe_recorded = job_ids
+            case port.Mismatched(current_records):
+                owner_record = current_records.get(self._owner_lease.key)
+                if (
+                    owner_record is None
+                    or owner_record.revision != self._owner_lease.epoch
+                ):
                     raise journal.DeposedError(
                         f"{self._owner_lease.key} changed"
                     )
-                record = current.get(self._key)
+                record = current_records.get(self._key)
                 self._revision = record.revision if record else 0
             case port.NotWritten():
-                self._recorded = before
+                self._maybe_recorded = previous_ids
         return outcome
 
 
-def _has_run(held: work.JobWork | None) -> bool:
-    if held is None:
+def _has_run(job_work: work.JobWork | None) -> bool:
+    if job_work is None:
         return False
-    return any(step.running for step in held.steps.values())
+    return any(step.running for step in job_work.steps.values())
 
 
-def _has_waited(held: work.JobWork, now: float) -> bool:
-    """Tell whether tasks of a job have been in turn for a while."""
+def _has_waited(job_work: work.JobWork, now: float) -> bool:
+    """Return whether tasks of a job have been ready to start for a while."""
     return any(
-        step.waiting and now > step.waiting_since + _WAITED_S
-        for step in held.steps.values()
+        step.waiting and now > step.waiting_since + _PARK_AFTER_S
+        for step in job_work.steps.values()
         if step.waiting_since is not None
     )
 
 
 def _parse_jobs(record: records.Record) -> frozenset[str]:
-    """Decode the record; one that can't be read names no job."""
+    """Decode the record; an unreadable record names no job."""
     try:
         return frozenset(str(job_id) for job_id in cbor2.loads(record.value))
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
--- a/crocusrouter/pools/peers.py
+++ b/crocusrouter/pools/peers.py
@@ -1,11 +1,11 @@
-"""Other entries: who they are, and heartbeats with them.
-
-An entry that the store turns away learns of a new configuration, and of a
-later owner, from its peers. Heartbeats go to the owners, to two neighbours and
-to one peer drawn anew each time, so their number grows with the entries and
-not with its square. The drawn one matters: entries that the store turns away
-together may have only each other as neighbours, and believed in an owner that
-had been replaced for as long as the store kept them out.
+"""Exchanges heartbeats with the other entries and sends them calls.
+
+An entry that the store refuses learns of a new configuration, and of a later
+owner, from its peers. Heartbeats go to the owners, to two neighbours and to one
+peer drawn at random each time, so their number grows linearly with the number
+of entries. The random peer matters: entries that the store refuses together may
+have only each other as neighbours, and then kept a replaced owner for as long
+as the store refused them.
 """
 
 from collections.abc import Callable
@@ -21,23 +21,23 @@
 from crocusrouter.pools import clocks
 from crocusrouter.telemetry import log
 
-_BEAT_S = 1.0
+_HEARTBEAT_INTERVAL_S = 1.0
 _CALL_TIMEOUT_S = 0.7
-_NEIGHBOURS = 2
-# An owner that the store turns away goes on renewing leases only while some
-# peer would tell it of a successor.
-_HEARD_S = 2.5
-# A peer that was served this long ago is asked for help first.
-_SERVED_S = 3.0
-# Peers notice an outage within this of each other.
-_NOTICE_S = 0.3
+_NEIGHBOUR_COUNT = 2
+# An owner that the store refuses keeps renewing worker leases only while it has
+# heard from a peer within this time, which would report a successor.
+_CONTACT_TIMEOUT_S = 2.5
+# A peer that the store served within this time is asked for help first.
+_SERVED_TIMEOUT_S = 3.0
+# Peers notice an outage within this time of each other.
+_OUTAGE_DETECTION_S = 0.3
 
 
 class PeerPort(Protocol):
-    """Calls to one peer."""
+    """Connection to one peer."""
 
     async def call(self, message: object, timeout_s: float) -> Any:
-        """Ask the peer; raises PeerUnreachableError."""
+        """Send a message and return the answer; raises PeerUnreachableError."""
         ...
 
     async def run(self) -> None:
@@ -45,48 +45,49 @@
         ...
 
 
-# Opens the calls to a peer by its name and address.
+# Opens the connection to a peer, given its name and address.
 MakeLink = Callable[[str, str], PeerPort]
 
 
 class Peers:
-    """Links to the other entries."""
+    """Connections to the other entries."""
 
     def __init__(
         self,
         name: str,
         make_link: MakeLink,
         clock: clocks.Clock,
-        describe: Callable[[], messages.Beat],
-        take: Callable[[messages.Beat, float], None],
+        build_heartbeat: Callable[[], messages.Beat],
+        on_answer: Callable[[messages.Beat, float], None],
         find_owners: Callable[[], set[str]],
     ) -> None:
-        """Prepare the links.
+        """Prepare the connections; `run` starts the heartbeats.
 
         Args:
-            name: This entry.
-            make_link: Opens the calls to a peer.
+            name: Name of this entry.
+            make_link: Opens the connection to a peer.
             clock: Source of the current time.
-            describe: Returns this entry's heartbeat.
-            take: Called with a peer's heartbeat and when it was asked for.
+            build_heartbeat: Returns this entry's heartbeat.
+            on_answer: Called with a peer's heartbeat and the time at which it
+                was requested.
             find_owners: Returns the names of the pools' owners.
         """
         self._name = name
         self._make_link = make_link
         self._clock = clock
-        self._describe = describe
-        self._take = take
+        self._build_heartbeat = build_heartbeat
+        self._on_answer = on_answer
         self._find_owners = find_owners
         self._addresses: dict[str, str] = {}
         self._links: dict[str, tuple[str, PeerPort, trio.CancelScope]] = {}
         self._nursery: trio.Nursery | None = None
-        self._heard_at: float | None = None
-        self._heard_from: dict[str, float] = {}
+        self._last_answer_at: float | None = None
+        self._answered_at: dict[str, float] = {}
         self._served_at: dict[str, float] = {}
         self._random = random.Random(name)
 
     def set_members(self, addresses: dict[str, str]) -> None:
-        """Take the members' mesh addresses by name."""
+        """Replace the members' mesh addresses, keyed by name."""
         self._addresses = {
             name: address
             for name, address in addresses.items()
@@ -98,47 +99,54 @@
                 scope.cancel()
 
     def list_members(self) -> list[str]:
-        """Return all members by name, this entry included."""
+        """Return the names of all members, including this entry."""
         return sorted({*self._addresses, self._name})
 
-    def may_hear(self, now: float) -> bool:
-        """Tell whether some peer would have told us of a successor."""
+    def would_know_successor(self, now: float) -> bool:
+        """Return whether some peer would have reported a successor by now."""
         if not self._addresses:
             return True
-        return self._heard_at is not None and now - self._heard_at < _HEARD_S
+        return (
+            self._last_answer_at is not None
+            and now - self._last_answer_at < _CONTACT_TIMEOUT_S
+        )
 
     def shares_outage(self, since: float) -> bool:
-        """Tell whether peers were heard since a time, and none is served.
+        """Return whether peers answered since a time and the store serves none.
 
-        An entry that is cut off alone, or that the store turns away alone,
-        must not send its callers away for long: others would serve them.
+        An entry that alone is cut off, or that alone is refused by the store,
+        must not send its callers away for long: other entries would serve them.
         """
-        settled = since + _NOTICE_S
-        heard = any(at >= settled for at in self._heard_from.values())
-        served = any(at >= settled for at in self._served_at.values())
+        settled_at = since + _OUTAGE_DETECTION_S
+        heard = any(
+            time_s >= settled_at for time_s in self._answered_at.values()
+        )
+        served = any(
+            time_s >= settled_at for time_s in self._served_at.values()
+        )
         return heard and not served
 
-    def note_heard(self, beat: messages.Beat, asked_at: float) -> None:
-        """Note a peer's answer, which is no older than its question."""
-        self._heard_at = max(asked_at, self._heard_at or asked_at)
-        self._heard_from[beat.name] = asked_at
+    def note_answer(self, beat: messages.Beat, asked_at: float) -> None:
+        """Record a peer's answer, which is no older than its request."""
+        self._last_answer_at = max(asked_at, self._last_answer_at or asked_at)
+        self._answered_at[beat.name] = asked_at
         if beat.is_served:
             self._served_at[beat.name] = asked_at
         else:
             self._served_at.pop(beat.name, None)
 
-    def note_unasked(self, beat: messages.Beat, now: float) -> None:
-        """Note a heartbeat of a peer that was not asked for it.
+    def note_unrequested(self, beat: messages.Beat, now: float) -> None:
+        """Record a heartbeat that a peer sent without a request.
 
-        It may have been on its way for seconds, so it does not show an owner
-        that the peer is in reach. That the peer is served may be out of date
-        as well, which only sends callers back sooner than need be.
+        It may have been in flight for seconds, so it does not prove that the
+        peer is reachable now. Its claim that the store serves the peer may be
+        outdated too; that only makes callers retry sooner than necessary.
         """
         if beat.is_served:
             self._served_at[beat.name] = now
 
     async def call(self, name: str, message: object) -> object | None:
-        """Ask a peer; None if it gave no answer in time."""
+        """Send a message to a peer; return None without an answer in time."""
         link = self._find_link(name)
         if link is None:
             return None
@@ -171,24 +179,24 @@
         owners = self._find_owners() - {self._name}
         served = [
             name
-            for name, at in self._served_at.items()
-            if now - at < _SERVED_S and name in self._addresses
+            for name, served_at in self._served_at.items()
+            if now - served_at < _SERVED_TIMEOUT_S and name in self._addresses
         ]
         served.sort(key=lambda name: (name not in owners, name))
         others = sorted((owners | self._choose_neighbours()) - set(served))
         return served + others
 
     def _choose_neighbours(self) -> set[str]:
-        """Return the next two in an order that is not that of places."""
-        names = sorted(self.list_members(), key=_scatter)
-        at = names.index(self._name)
-        chosen = (
-            names[(at + step) % len(names)]
-            for step in range(1, _NEIGHBOURS + 1)
+        """Return the next peers in an order that is independent of location."""
+        names = sorted(self.list_members(), key=_hash_name)
+        position = names.index(self._name)
+        neighbours = (
+            names[(position + step) % len(names)]
+            for step in range(1, _NEIGHBOUR_COUNT + 1)
         )
-        return set(chosen) - {self._name}
+        return set(neighbours) - {self._name}
 
-    def _draw_peer(self) -> set[str]:
+    def _draw_random_peer(self) -> set[str]:
         others = sorted(self._addresses)
         return {self._random.choice(others)} if others else set()
 
@@ -197,29 +205,29 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
-                await self._beat_forever(nursery)
+                await self._send_heartbeats(nursery)
             finally:
-                # Callers are served until the very end of a stop; a link
-                # opened after this would end the process with an error.
+                # Callers are served until the end of a stop. A connection
+                # opened after this point would end the process with an error.
                 self._nursery = None
 
-    async def _beat_forever(self, nursery: trio.Nursery) -> None:
+    async def _send_heartbeats(self, nursery: trio.Nursery) -> None:
         while True:
             owners = self._find_owners() - {self._name}
-            chosen = owners | self._choose_neighbours()
-            for name in chosen | self._draw_peer():
-                nursery.start_soon(self._beat, name)
-            await trio.sleep(_BEAT_S)
+            receivers = owners | self._choose_neighbours()
+            for name in receivers | self._draw_random_peer():
+                nursery.start_soon(self._send_heartbeat, name)
+            await trio.sleep(_HEARTBEAT_INTERVAL_S)
 
-    async def _beat(self, name: str) -> None:
+    async def _send_heartbeat(self, name: str) -> None:
         asked_at = self._clock.steady()
-        reply = await self.call(name, self._describe())
+        reply = await self.call(name, self._build_heartbeat())
         if isinstance(reply, messages.Beat):
-            self.note_heard(reply, asked_at)
-            self._take(reply, asked_at)
+            self.note_answer(reply, asked_at)
+            self._on_answer(reply, asked_at)
 
 
-def _scatter(name: str) -> bytes:
+def _hash_name(name: str) -> bytes:
     return hashlib.blake2b(name.encode(), digest_size=8).digest()
 
 
--- a/crocusrouter/pools/ranking.py
+++ b/crocusrouter/pools/ranking.py
@@ -1,4 +1,4 @@
-"""Which entry should own a pool."""
+"""Ranks the entries that may own a pool."""
 
 import hashlib
 
@@ -8,18 +8,18 @@
 def rank_candidates(
     pool: str, candidates: dict[str, members.Member]
 ) -> list[str]:
-    """Return who should own a pool, the first choice first.
+    """Return the candidates for owning a pool, best first.
 
-    The VM with the most processor goes first, since the owner does most of
-    the work: on VMs of 0.5 cores among some of 2 it answered 1.2 s late.
-    Pools are spread over VMs of one size by a hash.
+    VMs with more cores go first, since the owner does most of the work: on VMs
+    of 0.5 cores among VMs of 2 cores it answered 1.2 s late. A hash spreads
+    pools over VMs of equal size.
     """
     return sorted(
         candidates,
-        key=lambda name: (-candidates[name].cores, _weigh(pool, name)),
+        key=lambda name: (-candidates[name].cores, _hash_candidate(pool, name)),
     )
 
 
-def _weigh(pool: str, name: str) -> bytes:
+def _hash_candidate(pool: str, name: str) -> bytes:
     text = f"{pool}\0{name}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
--- a/crocusrouter/pools/relay.py
+++ b/crocusrouter/pools/relay.py
@@ -1,8 +1,8 @@
-"""The store by way of a peer, for an entry that it turns away.
+"""Accesses the store through a peer when it does not serve this entry.
 
-The store may refuse some entries and serve the others. Callers of such an
-entry would hear nothing but "come back" for seconds, although a peer beside
-it can store their job in a few milliseconds.
+The store may refuse some entries and serve others. Without a relay, callers of
+a refused entry would only be told to come back for seconds, although a peer can
+store their job within milliseconds.
 """
 
 from crocusrouter.mesh import messages
@@ -13,13 +13,13 @@
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 
-# Callers wait 3 s: one try of our own, two of peers.
+# Callers wait 3 s, which allows one direct try and two through peers.
 _STORE_TIMEOUT_S = 0.6
-_MAX_HELPERS = 2
+_MAX_PEER_TRIES = 2
 
 
 class RelayedStore:
-    """Reads and writes single keys by the first path that serves."""
+    """Reads and writes single keys over the first path that works."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         """Return a key's record, or None if there is none.
 
         Raises:
-            StoreUnavailableError: No path serves.
+            StoreUnavailableError: Neither the store nor a peer answers.
         """
         if not self._store.is_down():
             try:
@@ -46,15 +46,17 @@
         """Return a key's record as a peer reads it now.
 
         Raises:
-            StoreUnavailableError: No peer is served.
+            StoreUnavailableError: The store serves none of the asked peers.
         """
-        for helper in self._peers.choose_helpers()[:_MAX_HELPERS]:
-            reply = await self._peers.call(helper, messages.RelayRead(key))
+        for peer in self._peers.choose_helpers()[:_MAX_PEER_TRIES]:
+            reply = await self._peers.call(peer, messages.RelayRead(key))
             if isinstance(reply, messages.RelayRecord) and reply.known:
                 if reply.revision == 0:
                     return None
                 return records.Record(key, reply.value, reply.revision)
-        raise client.StoreUnavailableError("no path to the store")
+        raise client.StoreUnavailableError(
+            "neither the store nor a peer answers"
+        )
 
     async def write(
         self, guard: port.Guard, write: port.Write
@@ -62,99 +64,104 @@
         """Write one guarded key.
 
         Returns:
-            NotWritten only if every try was certainly without effect.
+            NotWritten only if every try certainly had no effect.
         """
-        outcome = await self._write_here(guard, write)
+        outcome = await self._write_directly(guard, write)
         if not _has_failed(outcome):
             return outcome
-        for helper in self._peers.choose_helpers()[:_MAX_HELPERS]:
-            helped = await self._ask(helper, guard, write)
-            if not _has_failed(helped):
-                return helped
-            outcome = _join(outcome, helped)
+        for peer in self._peers.choose_helpers()[:_MAX_PEER_TRIES]:
+            peer_outcome = await self._write_by_peer(peer, guard, write)
+            if not _has_failed(peer_outcome):
+                return peer_outcome
+            outcome = _choose_less_certain(outcome, peer_outcome)
         return outcome
 
-    async def _write_here(
+    async def _write_directly(
         self, guard: port.Guard, write: port.Write
     ) -> port.WriteOutcome:
-        """Write by our own path, unless it is known to be down.
+        """Write directly, unless the store is known to be unavailable.
 
-        A write that breaks off may be carried out later, so its caller can
-        only be told that nobody knows. One that is not tried certainly has
-        no effect: the caller hears at once when to come back.
+        A write that is interrupted may be carried out later, so its caller can
+        only be told that the outcome is unknown. A write that is not tried
+        certainly has no effect, and its caller is told at once when to come
+        back.
         """
         if self._store.is_down():
-            return port.NotWritten("known to be down; not tried")
+            return port.NotWritten(
+                "the store is known to be unavailable; not tried"
+            )
         return await self._store.write(
             (guard,), (write,), timeout_s=_STORE_TIMEOUT_S
         )
 
-    async def _ask(
-        self, helper: str, guard: port.Guard, write: port.Write
+    async def _write_by_peer(
+        self, peer: str, guard: port.Guard, write: port.Write
     ) -> port.WriteOutcome:
         request = messages.RelayWrite(guard.key, guard.revision, write.value)
-        reply = await self._peers.call(helper, request)
+        reply = await self._peers.call(peer, request)
         if not isinstance(reply, messages.RelayOutcome):
-            return port.MaybeWritten("a peer gave no answer")
-        return _read_outcome(guard.key, reply)
+            return port.MaybeWritten("the peer gave no answer")
+        return _parse_outcome(guard.key, reply)
 
-    # For peers.
+    # Requests of peers.
 
     async def answer_read(
         self, request: messages.RelayRead
     ) -> messages.RelayRecord:
-        """Read for a peer, by our own path only."""
+        """Read for a peer, directly only."""
         if self._store.is_down():
             return messages.RelayRecord(known=False)
         try:
-            found = await self._store.read(request.key)
+            record = await self._store.read(request.key)
         except client.StoreUnavailableError:
             return messages.RelayRecord(known=False)
-        if found is None:
+        if record is None:
             return messages.RelayRecord(known=True)
-        return messages.RelayRecord(True, found.value, found.revision)
+        return messages.RelayRecord(True, record.value, record.revision)
 
     async def answer_write(
         self, request: messages.RelayWrite
     ) -> messages.RelayOutcome:
-        """Write for a peer, by our own path only."""
-        outcome = await self._write_here(
+        """Write for a peer, directly only."""
+        outcome = await self._write_directly(
             port.Guard(request.key, request.revision),
             port.Write(request.key, request.value),
         )
         match outcome:
             case port.Written(revision):
                 return messages.RelayOutcome("written", revision)
-            case port.Mismatched(current):
-                found = current.get(request.key)
-                if found is None:
+            case port.Mismatched(current_records):
+                current_record = current_records.get(request.key)
+                if current_record is None:
                     return messages.RelayOutcome("mismatched")
                 return messages.RelayOutcome(
-                    "mismatched", found.revision, found.value
+                    "mismatched", current_record.revision, current_record.value
                 )
             case port.NotWritten():
                 return messages.RelayOutcome("not-written")
         return messages.RelayOutcome("unknown")
 
 
-def _read_outcome(key: str, reply: messages.RelayOutcome) -> port.WriteOutcome:
+def _parse_outcome(key: str, reply: messages.RelayOutcome) -> port.WriteOutcome:
     match reply.outcome:
         case "written":
             return port.Written(reply.revision)
         case "mismatched":
-            found = records.Record(key, reply.value, reply.revision)
-            return port.Mismatched({key: found} if reply.revision else {})
+            current_record = records.Record(key, reply.value, reply.revision)
+            return port.Mismatched(
+                {key: current_record} if reply.revision else {}
+            )
         case "not-written":
-            return port.NotWritten("a peer was refused too")
-    return port.MaybeWritten("a peer's write was not answered")
+            return port.NotWritten("the store refused the peer too")
+    return port.MaybeWritten("the peer's write was not answered")
 
 
 def _has_failed(outcome: port.WriteOutcome) -> bool:
     return isinstance(outcome, port.NotWritten | port.MaybeWritten)
 
 
-def _join(
+def _choose_less_certain(
     first: port.WriteOutcome, second: port.WriteOutcome
 ) -> port.WriteOutcome:
-    """Return the less certain of two failures."""
+    """Return the less certain of two failed outcomes."""
     return first if isinstance(first, port.MaybeWritten) else second
--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -1,13 +1,14 @@
-"""Room kept for guaranteed work while what was in its way still ends."""
+"""Reserves room for guaranteed work while runs in its way are stopped."""
 
 from collections.abc import Iterator
 import dataclasses
 
 from crocusrouter import work
 
-# A reservation that is still not free after this many times what stops are
-# seen to take, and a repeated order, is dropped and its step planned anew. With
-# a fixed second where stops take up to 0.9 s, 6 were dropped in a day of 34 s.
+# A reservation whose room is not free after the expected stop time times this
+# factor, plus the time of a repeated order, is dropped and its step planned
+# again. With a constant second, where stops take up to 0.9 s, 6 reservations
+# were dropped in a day of 34 s.
 _STOP_FACTOR = 1.5
 _REPEATED_ORDER_S = 0.7
 
@@ -22,59 +23,61 @@
     """All reservations of one owner."""
 
     def __init__(self) -> None:
-        self._held: dict[work.StepKey, _Reservation] = {}
+        self._reservations: dict[work.StepKey, _Reservation] = {}
 
     def add(self, placement: work.Placement, now: float) -> None:
-        """Keep room for a placement."""
-        self._held[placement.step] = _Reservation(placement, now)
+        """Reserve room for a placement."""
+        self._reservations[placement.step] = _Reservation(placement, now)
 
     def list_spots(self) -> Iterator[tuple[work.StepKey, dict[int, str]]]:
         """Yield each reserved step with its workers by index."""
-        for key, held in self._held.items():
-            yield key, held.placement.spots
+        for step_key, reservation in self._reservations.items():
+            yield step_key, reservation.placement.spots
 
     def take_ready(self, book: work.Book, now: float) -> list[work.Placement]:
-        """Return the placements whose room is free now, and drop them.
+        """Remove and return the placements whose room is free now.
 
-        Reservations that can't be kept any more are dropped too.
+        Reservations that can't be kept any longer are dropped too.
         """
         ready = []
-        stop_s = book.stop_times.expected_s
-        longest_s = _STOP_FACTOR * stop_s + _REPEATED_ORDER_S
-        for key, held in list(self._held.items()):
-            placement = held.placement
-            if not _is_wanted(book, placement):
-                del self._held[key]
+        expected_stop_s = book.stop_times.expected_s
+        max_age_s = _STOP_FACTOR * expected_stop_s + _REPEATED_ORDER_S
+        for step_key, reservation in list(self._reservations.items()):
+            placement = reservation.placement
+            if not _is_still_waiting(book, placement):
+                del self._reservations[step_key]
             elif _has_room(book, placement, now):
                 ready.append(placement)
-                del self._held[key]
-            elif now > held.since + longest_s:
-                book.note("reservation:dropped", step=key)
-                del self._held[key]
+                del self._reservations[step_key]
+            elif now > reservation.since + max_age_s:
+                book.note("reservation:dropped", step=step_key)
+                del self._reservations[step_key]
         return ready
 
 
-def _is_wanted(book: work.Book, placement: work.Placement) -> bool:
-    held = book.live.get(placement.step.job)
-    found = book.find_work(placement.step)
-    if held is None or found is None:
+def _is_still_waiting(book: work.Book, placement: work.Placement) -> bool:
+    job_work = book.live.get(placement.step.job)
+    step_work = book.find_work(placement.step)
+    if job_work is None or step_work is None:
         return False
-    return set(placement.spots) <= found.waiting
+    return set(placement.spots) <= step_work.waiting
 
 
 def _has_room(book: work.Book, placement: work.Placement, now: float) -> bool:
-    found = book.find_work(placement.step)
-    assert found is not None
-    workers = list(placement.spots.values())
-    advised = book.jobs[placement.step.job].job.advised
-    for name in set(workers):
-        worker = book.workers.get(name)
-        if worker is None or not worker.may_take(now):
+    step_work = book.find_work(placement.step)
+    assert step_work is not None
+    incarnations = list(placement.spots.values())
+    is_advised = book.jobs[placement.step.job].job.advised
+    for incarnation in set(incarnations):
+        worker_state = book.workers.get(incarnation)
+        if worker_state is None or not worker_state.may_take(now):
             return False
-        if advised and not found.permits.find_ticket(name, now):
-            # The ticket has run out while victims were ending; the step is
-            # planned anew once there is another.
+        if is_advised and not step_work.permits.find_ticket(incarnation, now):
+            # The ticket has expired while victims were ending; the step is
+            # planned again once there is a new one.
             return False
-        if worker.free.count(found.step.charge) < workers.count(name):
+        if worker_state.free.count(step_work.step.charge) < incarnations.count(
+            incarnation
+        ):
             return False
     return True
--- a/crocusrouter/pools/tests/test_advisor.py
+++ b/crocusrouter/pools/tests/test_advisor.py
@@ -1,4 +1,4 @@
-"""What is asked of the policy service, and whom its tickets are for."""
+"""Tests for the workers asked about and the incarnations tickets apply to."""
 
 import trio
 
@@ -24,17 +24,17 @@
         pass
 
 
-async def test_ticket_is_for_the_incarnation_that_was_asked_for(
+async def test_ticket_is_valid_only_for_the_requested_incarnation(
     autojump_clock,
 ):
-    """A ticket ends with its process; the next one refused it."""
+    """A ticket is valid for one process; the worker's next one refused it."""
     job = build.make_job("j", build.make_step(1), advised=True)
     book = build.make_book(job, workers=("w0@5",))
     clock = clocks.Clock(trio.current_time, lambda: build.WALL)
     policy = _Policy()
-    asking = advisor.Advisor(policy, book, clock, lambda: None)
+    policy_advisor = advisor.Advisor(policy, book, clock, lambda: None)
     with trio.move_on_after(1.0):
-        await asking.run()
+        await policy_advisor.run()
     assert policy.asked[0] == ("w0",)
     permits = book.find_work(work.StepKey("j", 0, 0)).permits
     now = trio.current_time()
