--- a/crocusrouter/pools/tests/test_config_refresh.py
+++ b/crocusrouter/pools/tests/test_config_refresh.py
@@ -1,4 +1,4 @@
-"""How old the configuration may be by which a call is decided."""
+"""Tests for the age of the configuration by which a call is decided."""
 
 import time
 
@@ -31,19 +31,19 @@
 
     async def read(self, key):
         self.calls += 1
-        made = records.Record(key, b"%d" % (self.calls + 1), self.calls + 1)
+        record = records.Record(key, b"%d" % (self.calls + 1), self.calls + 1)
         if not self.is_serving:
             raise client.StoreUnavailableError("refused")
         await trio.sleep(self.delays.pop(0) if self.delays else 0.004)
-        return made
+        return record
 
     async def read_by_peers(self, key):
         raise client.StoreUnavailableError("no peer")
 
 
-def _open(service, *, by_peers=None, apply_s=_APPLY_S):
+def _open_refresher(service, *, by_peers=None, apply_s=_APPLY_S):
     clock = clocks.Clock(trio.current_time, trio.current_time)
-    held = configuration.Configuration(
+    config = configuration.Configuration(
         _KEY,
         lambda value: queues.Config(int(value)),
         apply_s,
@@ -51,7 +51,7 @@
         Metrics(),
     )
     refresher = config_refresh.ConfigRefresher(
-        held,
+        config,
         service.read,
         by_peers or service.read_by_peers,
         lambda: False,
@@ -60,58 +60,62 @@
         clock,
         Metrics(),
     )
-    return held, refresher
+    return config, refresher
 
 
-async def _ask(refresher, answers):
-    began = trio.current_time()
+async def _measure_call(refresher, answers):
+    began_at = trio.current_time()
     may_decide = await refresher.ensure_current()
-    answers.append((may_decide, round(trio.current_time() - began, 3)))
+    answers.append((may_decide, round(trio.current_time() - began_at, 3)))
 
 
-async def test_calls_wait_for_one_read_between_them(autojump_clock):
-    """A call is decided by what was known two seconds before it came."""
+async def test_concurrent_calls_share_one_read(autojump_clock):
+    """Concurrent calls share one read, and none is decided by an old version.
+
+    A call was decided by what was known two seconds before it arrived.
+    """
     service = _Service()
-    held, refresher = _open(service)
+    config, refresher = _open_refresher(service)
     answers = []
     async with trio.open_nursery() as nursery:
         nursery.start_soon(refresher.run)
         await trio.sleep(1.0)
-        await _ask(refresher, answers)
+        await _measure_call(refresher, answers)
         await trio.sleep(1.0)
-        async with trio.open_nursery() as asking:
+        async with trio.open_nursery() as call_nursery:
             for _ in range(5):
-                asking.start_soon(_ask, refresher, answers)
+                call_nursery.start_soon(_measure_call, refresher, answers)
         nursery.cancel_scope.cancel()
     assert answers == [(True, 0.0)] + 5 * [(True, 0.004)]
     assert service.calls == 2
-    assert held.version == 3
+    assert config.version == 3
 
 
 @pytest.mark.parametrize("apply_s", [0.5, 2.0, 6.0])
 async def test_entry_without_calls_stays_ready(apply_s, autojump_clock):
-    """The balancer sends nobody to an entry that looks too seldom for what
-    operators are promised.
+    """An entry must check often enough to stay ready at any promised delay.
+
+    Otherwise the load balancer sends it no calls.
     """
-    held, refresher = _open(_Service(), apply_s=apply_s)
+    config, refresher = _open_refresher(_Service(), apply_s=apply_s)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(refresher.run)
         await trio.sleep(0.1)
         for _ in range(100):
-            assert held.is_fresh(trio.current_time())
+            assert config.is_fresh(trio.current_time())
             await trio.sleep(0.2)
         nursery.cancel_scope.cancel()
 
 
-async def test_answer_that_was_held_up_counts_from_its_question(autojump_clock):
-    """A read's answer arrives 1.1 s late, and is taken to be from then."""
+async def test_late_answer_counts_from_its_question(autojump_clock):
+    """A read's answer arrives 1.1 s late and must not count as new."""
     service = _Service()
     service.delays = [1.1, 2.0, 2.0]
-    held, refresher = _open(service)
+    config, refresher = _open_refresher(service)
     with trio.move_on_after(1.15):
         await refresher.run()
-    assert held.version == 2
-    assert held.measure_age(trio.current_time()) == pytest.approx(1.15)
+    assert config.version == 2
+    assert config.measure_age(trio.current_time()) == pytest.approx(1.15)
 
 
 @pytest.mark.parametrize(
@@ -121,28 +125,28 @@
         ([9.0], True, False, (True, 0.304)),
         # The service is slow.
         ([0.4, 0.4], True, False, (True, 0.4)),
-        # The service takes calls and answers none.
+        # The service accepts calls and answers none.
         ([9.0, 9.0], True, False, (True, 0.5)),
-        # The service turns this entry away: a peer reads.
+        # The service refuses this entry: a peer reads.
         ([], False, True, (True, 0.004)),
-        # Nobody answers: what was known lately decides, without delay.
+        # Nobody answers: the latest known version decides without delay.
         ([], False, False, (True, 0.0)),
     ],
 )
-async def test_call_after_a_silence(
+async def test_call_after_lost_answers(
     delays, is_serving, peers_serve, expected, autojump_clock
 ):
     service, peers = _Service(), _Service()
     peers.is_serving = peers_serve
     peers.calls = 7
-    _, refresher = _open(service, by_peers=peers.read)
+    _, refresher = _open_refresher(service, by_peers=peers.read)
     answers = []
     async with trio.open_nursery() as nursery:
         nursery.start_soon(refresher.run)
         await trio.sleep(2.0)
         service.delays = list(delays)
         service.is_serving = is_serving
-        await _ask(refresher, answers)
+        await _measure_call(refresher, answers)
         nursery.cancel_scope.cancel()
     assert answers == [expected]
 
@@ -150,10 +154,14 @@
 @pytest.mark.parametrize(
     ("after_s", "may_decide"), [(2.0, True), (4.9, True), (5.1, False)]
 )
-async def test_nobody_answers_for_long(after_s, may_decide, autojump_clock):
-    """A key that was taken away long ago is served by an entry in the dark."""
+async def test_calls_are_refused_after_a_long_outage(
+    after_s, may_decide, autojump_clock
+):
+    """An isolated entry must not go on accepting a key that was revoked long
+    ago.
+    """
     service = _Service()
-    _, refresher = _open(service)
+    _, refresher = _open_refresher(service)
     answers = []
     async with trio.open_nursery() as nursery:
         nursery.start_soon(refresher.run)
@@ -161,95 +169,103 @@
         service.is_serving = False
         service.is_down = True
         await trio.sleep(after_s - 0.1)
-        await _ask(refresher, answers)
+        await _measure_call(refresher, answers)
         nursery.cancel_scope.cancel()
     assert answers == [(may_decide, 0.0)]
 
 
-async def test_watch_that_has_missed_a_change_brings_the_next_one(
+async def test_watch_that_missed_a_change_reports_the_next_one(
     autojump_clock,
 ):
-    """A watch has lost its answer. A read brings one change, and the next one
-    was as late, since the watch was left waiting.
+    """A watch that has missed a change must be restarted.
+
+    A watch has lost its answer. A read returned that change, but the next
+    change was late too, since the watch was left waiting.
     """
-    held = clusters.Cluster(5)
+    cluster = clusters.Cluster(5)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(6.2)
-        name = next(name for name in held.names if name != held.find_owner())
-        held.store.turned_away[name] = emulator.StoreFault.SILENT
+        name = next(
+            name for name in cluster.names if name != cluster.find_owner()
+        )
+        cluster.store.turned_away[name] = emulator.StoreFault.SILENT
         await trio.sleep(0.1)
-        del held.store.turned_away[name]
-        held.cut_off.add(name)
-        held.put_config({"a": 8})
-        configuration = held.entries[name].configuration
-        before = configuration.version
-        while configuration.version == before:
+        del cluster.store.turned_away[name]
+        cluster.cut_off.add(name)
+        cluster.put_config({"a": 8})
+        configuration = cluster.entries[name].configuration
+        version_before = configuration.version
+        while configuration.version == version_before:
             await trio.sleep(0.01)
         await trio.sleep(0.3)
-        held.put_config({"a": 9})
+        cluster.put_config({"a": 9})
         await trio.sleep(0.05)
-        assert configuration.version == before + 2
+        assert configuration.version == version_before + 2
         nursery.cancel_scope.cancel()
 
 
-async def test_heartbeat_that_comes_unasked_vouches_for_nothing(
+async def test_unrequested_heartbeat_confirms_nothing(
     autojump_clock,
 ):
-    """A heartbeat was held up for seconds; by what it says, the configuration
-    seems new, and a lost peer in reach.
+    """A delayed unrequested heartbeat must prove nothing.
+
+    By its content, the configuration would seem new and an unreachable peer
+    reachable.
     """
-    held = clusters.Cluster(5)
+    cluster = clusters.Cluster(5)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(6.0)
-        name, other = held.names[:2]
-        entry = held.entries[name]
-        held.store.turned_away[name] = emulator.StoreFault.SILENT
-        held.cut_off.add(name)
+        name, other = cluster.names[:2]
+        entry = cluster.entries[name]
+        cluster.store.turned_away[name] = emulator.StoreFault.SILENT
+        cluster.cut_off.add(name)
         await trio.sleep(4.0)
         version = entry.configuration.version
         beat = messages.Beat(other, version, 0.0, (), True, 0)
         await entry.answer_peer(beat)
         now = trio.current_time()
         assert entry.configuration.measure_age(now) > 3.9
-        assert not entry.peers.may_hear(now)
+        assert not entry.peers.would_know_successor(now)
         nursery.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("stall_s", [0.8, 1.6])
-async def test_process_that_stands_still_does_not_decide_by_what_it_knew(
+async def test_blocked_process_does_not_decide_by_old_data(
     stall_s,
 ):
-    """The process gets no processor while a call waits. Its time to wait is
-    over when it goes on, and the answer lies in its socket.
+    """A call must not be decided by old data because the process was blocked.
+
+    The process gets no CPU time while a call waits. When it resumes, the call's
+    wait has timed out although the answer lies in the socket.
     """
     service = _Service()
-    held, refresher = _open(service)
+    config, refresher = _open_refresher(service)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(refresher.run)
         await trio.sleep(2.0)
 
-        async def stand_still():
+        async def block_process():
             await trio.sleep(0.01)
             time.sleep(stall_s)
 
         service.delays = [0.05]
-        nursery.start_soon(stand_still)
+        nursery.start_soon(block_process)
         assert await refresher.ensure_current()
-        assert held.is_current(trio.current_time())
+        assert config.is_current(trio.current_time())
         nursery.cancel_scope.cancel()
 
 
-async def test_late_answer_brings_no_older_version_back(autojump_clock):
-    """A read is answered with what the watch has long replaced."""
+async def test_late_answer_restores_no_older_version(autojump_clock):
+    """A read is answered with a version that the watch has long replaced."""
     service = _Service()
     service.delays = [0.25]
-    held, refresher = _open(service)
+    config, refresher = _open_refresher(service)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(refresher.run)
         await trio.sleep(0.1)
-        held.take(b"9", "store")
+        config.apply(b"9", "store")
         await trio.sleep(0.3)
         nursery.cancel_scope.cancel()
-    assert held.version == 9
+    assert config.version == 9
--- a/crocusrouter/pools/tests/test_connections.py
+++ b/crocusrouter/pools/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Calls reach the incarnation that they are meant for, or none."""
+"""Tests that calls reach only the incarnation that they are meant for."""
 
 import pytest
 import trio
@@ -14,7 +14,9 @@
 
 
 class _Worker:
-    """One process at a time under the id w0; its connections end with it."""
+    """One process at a time under the id w0; connections end with their
+    process.
+    """
 
     def __init__(self, born_ms=5):
         self.born_ms = born_ms
@@ -38,14 +40,14 @@
         self._process = None
         self.is_open = True
 
-    async def _call(self, what, answer):
+    async def _call(self, request, answer):
         await trio.sleep(0.001)
         if self._process is None:
             self._process = self._worker.process
         if self._process != self._worker.process or self._worker.silent:
             self.is_open = False
             return orders.Silent("broken")
-        self._worker.sent.append(what)
+        self._worker.sent.append(request)
         return answer
 
     async def hold(self, epoch, seen, until_ms, wait_s):
@@ -65,10 +67,10 @@
         self.is_open = False
 
 
-_FIRST_LOOK = ("hold", 0, None, 0.0)
+_FIRST_POLL = ("hold", 0, None, 0.0)
 
 
-def _open(worker, incarnation="w0@5"):
+def _open_connections(worker, incarnation="w0@5"):
     return connections.Connections(incarnation, worker.open)
 
 
@@ -81,12 +83,14 @@
     return await port.pace(1, order, 0.3)
 
 
-async def test_first_look_on_a_connection_confirms_and_renews_nothing(
+async def test_first_poll_on_a_connection_confirms_and_renews_nothing(
     autojump_clock,
 ):
-    """Ends were confirmed that the next process under the id had listed."""
+    """The owner confirmed ended tasks that the next process under the id had
+    listed.
+    """
     worker = _Worker()
-    port = _open(worker)
+    port = _open_connections(worker)
     for _ in range(3):
         await port.hold(1, 57, 9000, 1.0)
     first = ("hold", 0, None, 1.0)
@@ -95,12 +99,14 @@
 
 
 @pytest.mark.parametrize("order", [_START, _STOP, _PACE])
-@pytest.mark.parametrize("known", [False, True])
-async def test_no_order_reaches_the_next_process(order, known, autojump_clock):
-    """A task began on a process whose runs nobody counted there."""
+@pytest.mark.parametrize("is_known", [False, True])
+async def test_no_order_reaches_the_next_process(
+    order, is_known, autojump_clock
+):
+    """A task began on a process where the owner did not count its run."""
     worker = _Worker()
-    port = _open(worker)
-    if known:
+    port = _open_connections(worker)
+    if is_known:
         await port.hold(1, 0, None, 0.0)
     worker.restart(born_ms=7)
     answers = [await _send(port, order) for _ in range(2)]
@@ -111,16 +117,16 @@
 
 
 @pytest.mark.parametrize("order", [_START, _STOP, _PACE])
-async def test_order_follows_a_look_on_a_new_connection(order, autojump_clock):
+async def test_order_follows_a_poll_on_a_new_connection(order, autojump_clock):
     worker = _Worker()
-    assert await _send(_open(worker), order) == orders.Taken(1)
-    assert worker.sent == [_FIRST_LOOK, order]
+    assert await _send(_open_connections(worker), order) == orders.Taken(1)
+    assert worker.sent == [_FIRST_POLL, order]
 
 
-async def test_orders_and_looks_share_connections(autojump_clock):
-    """Each new connection is priced and costs a look."""
+async def test_orders_and_polls_share_connections(autojump_clock):
+    """Each new connection is priced and costs a poll."""
     worker = _Worker()
-    port = _open(worker)
+    port = _open_connections(worker)
     for _ in range(3):
         await port.hold(1, 0, None, 0.0)
         await _send(port, _START)
@@ -128,10 +134,10 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 8])
-async def test_orders_given_together_share_a_connection(count, autojump_clock):
-    """Each of them opened one, and had to look first."""
+async def test_concurrent_orders_share_a_connection(count, autojump_clock):
+    """Each concurrent order opened a connection and had to poll first."""
     worker = _Worker()
-    port = _open(worker)
+    port = _open_connections(worker)
     await port.hold(1, 0, None, 0.0)
     async with trio.open_nursery() as nursery:
         for _ in range(count):
@@ -140,25 +146,25 @@
     assert worker.opened == 1
 
 
-async def test_order_does_not_wait_for_one_that_is_unanswered(autojump_clock):
+async def test_order_does_not_wait_for_an_unanswered_order(autojump_clock):
     worker = _Worker()
-    port = _open(worker)
+    port = _open_connections(worker)
     await port.hold(1, 0, None, 0.0)
     worker.opened = 0
-    slow = port._idle[0]
+    slow_connection = port._idle[0]
 
     async def hang(*_):
         await trio.sleep(0.35)
-        slow.is_open = False
+        slow_connection.is_open = False
         return orders.Silent("lost")
 
-    slow.start = hang
+    slow_connection.start = hang
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_send, port, _START)
         await trio.sleep(0.001)
-        began = trio.current_time()
+        began_at = trio.current_time()
         await _send(port, _STOP)
-        assert trio.current_time() - began < 0.02
+        assert trio.current_time() - began_at < 0.02
     assert worker.opened == 1
 
 
@@ -168,14 +174,20 @@
         ("w0@5", 5, "w0@5"),
         ("w0", None, "w0"),
         ("w0@5", 7, "w0@7"),
-        ("w0@5", 3, "w0@3"),  # clocks jump
+        ("w0@5", 3, "w0@3"),  # the clock was set back
         ("w0", 7, "w0@7"),
         ("w0@5", None, None),
     ],
 )
-async def test_who_answers(incarnation, born_ms, expected, autojump_clock):
-    """A process that tells no start is nobody's where others tell theirs."""
-    answer = await _open(_Worker(born_ms), incarnation).hold(1, 0, None, 0.0)
+async def test_answering_incarnation_is_identified(
+    incarnation, born_ms, expected, autojump_clock
+):
+    """A process without a start time is unknown where other processes report
+    theirs.
+    """
+    answer = await _open_connections(_Worker(born_ms), incarnation).hold(
+        1, 0, None, 0.0
+    )
     match answer:
         case orders.Report():
             assert expected == incarnation
@@ -186,22 +198,24 @@
             assert expected is None
 
 
-async def test_order_that_was_never_sent_can_not_have_begun(autojump_clock):
+async def test_order_that_was_never_sent_cannot_have_begun(autojump_clock):
     """Its task counted as running there until the lease had ended."""
     worker = _Worker()
     worker.silent = True
-    answer = await _send(_open(worker), _START)
+    answer = await _send(_open_connections(worker), _START)
     assert answer == orders.Silent("broken", maybe_done=False)
 
 
-async def test_unanswered_orders_leave_room_for_looks(autojump_clock):
-    """A worker that left orders unanswered lapsed for want of looks."""
+async def test_unanswered_orders_leave_room_for_polls(autojump_clock):
+    """A worker that left orders unanswered lapsed because it could not be
+    polled.
+    """
     worker = _Worker()
-    port = _open(worker)
-    started = []
+    port = _open_connections(worker)
+    answers = []
 
     async def start():
-        started.append(await _send(port, _START))
+        answers.append(await _send(port, _START))
 
     async def hang(*_):
         await trio.sleep(5.0)
@@ -210,25 +224,27 @@
     connection = worker.open()
     connection.start = hang
     worker.open = lambda: connection
-    port = _open(worker)
+    port = _open_connections(worker)
     async with trio.open_nursery() as nursery:
         for _ in range(4):
             nursery.start_soon(start)
         await trio.sleep(0.1)
         with trio.fail_after(0.1):
             assert isinstance(await port.hold(1, 0, None, 0.0), orders.Report)
-    assert orders.Silent("all connections are busy", False) in started
+    assert orders.Silent("all connections are busy", False) in answers
 
 
 async def test_connection_in_use_is_closed_after_its_answer(autojump_clock):
-    """Connections of links that had ended stayed open."""
+    """Connections of closed links stayed open."""
     worker = _Worker()
-    port = _open(worker)
-    opened = []
-    worker.open = lambda: opened.append(_Connection(worker)) or opened[-1]
-    port = _open(worker)
+    port = _open_connections(worker)
+    opened_connections = []
+    worker.open = lambda: (
+        opened_connections.append(_Connection(worker)) or opened_connections[-1]
+    )
+    port = _open_connections(worker)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_send, port, _START)
         await trio.sleep(0.0005)
         await port.aclose()
-    assert not opened[0].is_open
+    assert not opened_connections[0].is_open
--- a/crocusrouter/pools/tests/test_foreign_records.py
+++ b/crocusrouter/pools/tests/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records under our own keys that somebody else has written over."""
+"""Tests for our records that another writer has overwritten."""
 
 import cbor2
 import pytest
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\xfe", b"10.0.0.1", b":7000", b"a:b", b"a:1 much"]
 )
-def test_member_that_is_none(value):
+def test_invalid_member_is_rejected(value):
     with pytest.raises(ValueError, match="."):
         members.parse_member(value)
 
@@ -25,33 +25,37 @@
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\xfe", cbor2.dumps(5), cbor2.dumps([[1], "x"])]
 )
-async def test_list_of_workers_that_cannot_be_read(value, autojump_clock):
-    """An owner failed at it, and so did each that took over: nobody was
-    owner until the record was mended by hand.
+async def test_unreadable_list_of_workers_restores_none(value, autojump_clock):
+    """An unreadable record must not end an owner.
+
+    Each owner that took over failed too, so the pool had no owner until the
+    record was repaired by hand.
     """
     store = stores.Store(1)
     store.put(keys.KNOWN_WORKERS + "match", value)
     view = stores.StoreView(store, "e0")
-    held = owner_leases.OwnerLease(
+    owner_lease = owner_leases.OwnerLease(
         view, "match", owner_leases.Holder("e0"), clocks.Clock()
     )
-    opened = known_workers.KnownWorkers(view, held, work.Book(1))
-    await opened.load()
-    assert opened.list_unlisted(0.0) == []
+    known = known_workers.KnownWorkers(view, owner_lease, work.Book(1))
+    await known.load()
+    assert known.restore_unlisted(0.0) == []
 
 
-async def test_member_that_cannot_be_read_ends_no_entry(autojump_clock):
-    """The entry that met one ended, and callers with it."""
-    held = emulator.Cluster(2)
+async def test_unreadable_member_ends_no_entry(autojump_clock):
+    """The entry that read such a record ended, and its callers were cut off."""
+    cluster = emulator.Cluster(2)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(4.0)
-        held.store.put(keys.build_member_key("e1"), b"\xff")
-        held.store.put(keys.build_member_key("odd"), b"nowhere")
-        held.store.put(keys.build_member_key("new"), b"10.0.0.9:7000")
+        cluster.store.put(keys.build_member_key("e1"), b"\xff")
+        cluster.store.put(keys.build_member_key("odd"), b"nowhere")
+        cluster.store.put(keys.build_member_key("new"), b"10.0.0.9:7000")
         await trio.sleep(3.0)
-        members_of = [e.peers.list_members() for e in held.entries.values()]
+        member_lists = [
+            entry.peers.list_members() for entry in cluster.entries.values()
+        ]
         nursery.cancel_scope.cancel()
-    assert len(members_of) == 4
-    assert all("new" in found for found in members_of)
-    assert not any("odd" in found for found in members_of)
+    assert len(member_lists) == 4
+    assert all("new" in names for names in member_lists)
+    assert not any("odd" in names for names in member_lists)
--- a/crocusrouter/pools/tests/test_freshness.py
+++ b/crocusrouter/pools/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""The age of what an owner decides by."""
+"""Tests for the age of the data that an owner schedules by."""
 
 import eliot.testing
 import pytest
@@ -8,8 +8,8 @@
 from crocusrouter.telemetry import Metrics
 
 
-class _Times:
-    """A clock that the test moves."""
+class _ManualClock:
+    """A clock that the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -19,46 +19,49 @@
 
 
 def _open_freshness():
-    clock = _Times()
-    woken = []
+    manual_clock = _ManualClock()
+    woken_at = []
     view = freshness.Freshness(
         "a/",
-        clocks.Clock(clock.read, clock.read),
+        clocks.Clock(manual_clock.read, manual_clock.read),
         Metrics(),
-        lambda: woken.append(clock.now),
+        lambda: woken_at.append(manual_clock.now),
     )
-    return view, clock, woken
+    return view, manual_clock, woken_at
 
 
 @pytest.mark.parametrize(
-    ("age_s", "fresh"), [(0.0, True), (1.4, True), (1.9, False), (60.0, False)]
+    ("age_s", "is_fresh"),
+    [(0.0, True), (1.4, True), (1.9, False), (60.0, False)],
 )
-def test_age_by_which_tasks_may_start(age_s, fresh):
-    view, clock, _ = _open_freshness()
-    assert view.is_fresh(clock.now + age_s) is fresh
+def test_tasks_may_start_only_by_recent_data(age_s, is_fresh):
+    view, manual_clock, _ = _open_freshness()
+    assert view.is_fresh(manual_clock.now + age_s) is is_fresh
 
 
-def test_change_of_age_is_told_once_and_wakes_the_owner():
-    """Decisions come many times a second. The owner that holds starts back
-    has nothing to wake it but the answer for which it waits.
+def test_staleness_is_logged_once_and_its_end_wakes_the_owner():
+    """A stale view is logged once, and the next answer wakes the owner.
+
+    Decisions are made many times a second. An owner that holds back starts is
+    woken only by the answer that it waits for.
     """
-    view, clock, woken = _open_freshness()
+    view, manual_clock, woken_at = _open_freshness()
     logger = eliot.testing.MemoryLogger()
-    before = eliot.testing.swap_logger(logger)
+    previous_logger = eliot.testing.swap_logger(logger)
     try:
         view.note_answer()
-        assert woken == []
-        clock.now += 2.0
+        assert woken_at == []
+        manual_clock.now += 2.0
         for _ in range(5):
-            assert not view.is_fresh(clock.now)
+            assert not view.is_fresh(manual_clock.now)
         view.note_answer()
-        assert woken == [102.0]
-        assert view.is_fresh(clock.now)
+        assert woken_at == [102.0]
+        assert view.is_fresh(manual_clock.now)
     finally:
-        eliot.testing.swap_logger(before)
+        eliot.testing.swap_logger(previous_logger)
     assert [line["message_type"] for line in logger.messages] == [
         "view:stale",
         "view:fresh",
     ]
     assert logger.messages[0]["age_s"] == 2.0
-    assert (view.unheard_s, view.heard_before) == (2.0, 100.0)
+    assert (view.last_gap_s, view.previous_answer_at) == (2.0, 100.0)
--- a/crocusrouter/pools/tests/test_journal.py
+++ b/crocusrouter/pools/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Journal writes that are late, lost, or another owner's."""
+"""Tests for journal writes that are late, lost, or of a replaced owner."""
 
 import pytest
 import trio
@@ -15,115 +15,121 @@
 _CLOCK = clocks.Clock(trio.current_time, trio.current_time)
 
 
-async def _open(store, entry="e0"):
-    held = owner_leases.OwnerLease(
+async def _open_journal(store, entry="e0"):
+    owner_lease = owner_leases.OwnerLease(
         stores.StoreView(store, entry), "p", owner_leases.Holder(entry), _CLOCK
     )
-    assert await held.take()
+    assert await owner_lease.acquire()
     book = build.make_book(build.make_job("j", build.make_step(3)))
     view = stores.StoreView(store, entry)
-    return held, book, journal.Journal(view, held, book, {})
+    return owner_lease, book, journal.Journal(view, owner_lease, book, {})
 
 
-def _read(store):
+def _read_progress(store):
     value = store.items[keys.build_progress_key("j")].value
     return work.parse_progress(value)
 
 
-async def _end_task(book, opened, index):
+async def _end_task(book, opened_journal, index):
     book.jobs["j"].progress.get(0, 0).done.add(index)
     book.dirty.add("j")
-    opened.wake()
-    await opened.settle()
+    opened_journal.wake()
+    await opened_journal.settle()
 
 
 @pytest.mark.parametrize(
     "fault", [emulator.StoreFault.LOST, emulator.StoreFault.LATE]
 )
 @pytest.mark.parametrize("seed", range(6))
-async def test_late_write_never_covers_a_newer_one(fault, seed, autojump_clock):
-    """A task that has ended starts again after a takeover.
-
-    A journal write gets no answer and is carried out seconds later; by then
-    a newer one holds more ends. Each write names the revision that it
-    replaces, so the late one fails.
+async def test_late_write_never_replaces_a_newer_one(
+    fault, seed, autojump_clock
+):
+    """An ended task must not start again after a takeover.
+
+    A journal write gets no answer and is carried out seconds later, when a
+    newer write already holds more ended tasks. Each write names the revision
+    that it replaces, so the late write fails.
     """
     store = stores.Store(seed)
     async with trio.open_nursery() as nursery:
-        _, book, opened = await _open(store)
+        _, book, opened_journal = await _open_journal(store)
         store.fault = fault
-        nursery.start_soon(opened.run)
+        nursery.start_soon(opened_journal.run)
         for index in range(3):
-            await _end_task(book, opened, index)
+            await _end_task(book, opened_journal, index)
         await trio.sleep(20.0)
         nursery.cancel_scope.cancel()
-    assert _read(store).steps[0, 0].done == {0, 1, 2}
+    assert _read_progress(store).steps[0, 0].done == {0, 1, 2}
 
 
-async def test_owner_that_was_replaced_writes_nothing(autojump_clock):
-    """An owner is suspended, its lease ends and another takes over; when it
-    wakes, its write would undo what the other has written.
+async def test_replaced_owner_writes_nothing(autojump_clock):
+    """A replaced owner must not undo its successor's writes.
 
-    Each write names the owner's key at its own epoch.
+    An owner is suspended, its lease ends and another owner takes over. When it
+    resumes, its write fails because it names the owner key at its own epoch.
     """
     store = stores.Store(1)
-    held, book, opened = await _open(store)
-    store.remove(held.key)
-    _, later_book, later = await _open(store, "e1")
+    owner_lease, book, opened_journal = await _open_journal(store)
+    store.remove(owner_lease.key)
+    _, later_book, later_journal = await _open_journal(store, "e1")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(later.run)
-        await _end_task(later_book, later, 2)
+        nursery.start_soon(later_journal.run)
+        await _end_task(later_book, later_journal, 2)
         nursery.cancel_scope.cancel()
     book.jobs["j"].progress.get(0, 0).done.add(0)
     book.dirty.add("j")
-    opened.wake()
+    opened_journal.wake()
     with pytest.raises(journal.DeposedError):
-        await opened.run()
-    assert _read(store).steps[0, 0].done == {2}
+        await opened_journal.run()
+    assert _read_progress(store).steps[0, 0].done == {2}
+
 
+async def test_owner_lease_counts_from_when_the_renewal_was_sent(
+    autojump_clock,
+):
+    """An owner must not consider its lease valid after it has ended.
 
-async def test_tenure_counts_from_when_the_renewal_was_sent(autojump_clock):
-    """An owner is suspended while the answer to its renewal is on its way,
-    wakes after its lease has ended, and gives orders beside its successor.
+    The owner is suspended while the answer to its renewal is in flight. If the
+    lease counted from the answer, it would send orders alongside its successor.
     """
     store = stores.Store(1)
-    held, _, _ = await _open(store)
-    assert held.is_valid()
+    owner_lease, _, _ = await _open_journal(store)
+    assert owner_lease.is_valid()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(held.keep)
+        nursery.start_soon(owner_lease.renew_until_lost)
         await trio.sleep(5.0)
-        assert held.is_valid()
+        assert owner_lease.is_valid()
         store.fault = emulator.StoreFault.SILENT
         await trio.sleep(owner_leases.TTL_S + 0.1)
-        assert not held.is_valid()
+        assert not owner_lease.is_valid()
         nursery.cancel_scope.cancel()
 
 
 async def test_epoch_rises_with_each_owner(autojump_clock):
     store = stores.Store(1)
-    first, _, _ = await _open(store)
-    rival = owner_leases.OwnerLease(
+    first_lease, _, _ = await _open_journal(store)
+    rival_lease = owner_leases.OwnerLease(
         stores.StoreView(store, "e1"), "p", owner_leases.Holder("e1"), _CLOCK
     )
-    assert not await rival.take()
-    await first.release()
-    assert await rival.take()
-    assert rival.epoch > first.epoch
+    assert not await rival_lease.acquire()
+    await first_lease.release()
+    assert await rival_lease.acquire()
+    assert rival_lease.epoch > first_lease.epoch
 
 
 async def test_job_is_durable_only_once_its_write_was_answered(autojump_clock):
-    """A successor is told that it may start what it does not know has ended."""
+    """A successor restarts every task that it does not know to have ended."""
     store = stores.Store(1)
     async with trio.open_nursery() as nursery:
-        _, book, opened = await _open(store)
-        nursery.start_soon(opened.run)
-        assert opened.is_durable("j")
+        _, book, opened_journal = await _open_journal(store)
+        nursery.start_soon(opened_journal.run)
+        assert opened_journal.is_durable("j")
         store.fault = emulator.StoreFault.BUSY
-        nursery.start_soon(_end_task, book, opened, 0)
+        nursery.start_soon(_end_task, book, opened_journal, 0)
         for _ in range(5):
             await trio.sleep(0.11)
-            assert not opened.is_durable("j")
+            assert not opened_journal.is_durable("j")
         store.fault = emulator.StoreFault.NONE
         await trio.sleep(1.0)
-        assert opened.is_durable("j")
+        assert opened_journal.is_durable("j")
         nursery.cancel_scope.cancel()
--- a/crocusrouter/pools/tests/test_known_workers.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -1,4 +1,4 @@
-"""What a successor makes of the workers that are not listed at its start."""
+"""Tests for how a successor treats workers that are unlisted at its start."""
 
 import cbor2
 import pytest
@@ -18,57 +18,62 @@
 @pytest.mark.parametrize(
     ("jobs", "may_take"),
     [
-        (None, True),  # it was listed as ready when the record was written
-        ([], False),  # it drained then
+        (None, True),  # was listed as ready when the record was written
+        ([], False),  # was draining then
         (["aa"], False),
     ],
 )
-async def test_worker_that_is_listed_again(jobs, may_take, autojump_clock):
+async def test_worker_listed_again_takes_work_unless_it_drained(
+    jobs, may_take, autojump_clock
+):
     store = stores.Store(1)
     store.put(keys.KNOWN_WORKERS + "p", cbor2.dumps([["w0", "w0:1", jobs]]))
     view = stores.StoreView(store, "e0")
     book = work.Book(1)
-    held = owner_leases.OwnerLease(
+    owner_lease = owner_leases.OwnerLease(
         view, "p", owner_leases.Holder("e0"), clocks.Clock()
     )
-    opened = known_workers.KnownWorkers(view, held, book)
-    await opened.load()
-    [known] = opened.list_unlisted(0.0)
-    known.reached = True
-    assert not known.may_take(0.0)
+    known = known_workers.KnownWorkers(view, owner_lease, book)
+    await known.load()
+    [worker_state] = known.restore_unlisted(0.0)
+    worker_state.reached = True
+    assert not worker_state.may_take(0.0)
     book.set_worker(build.make_entry("w0"), 1.0)
-    assert known.may_take(1.0) is may_take
+    assert worker_state.may_take(1.0) is may_take
 
 
-async def test_all_workers_are_used_after_an_outage_in_which_entries_lapsed(
+async def test_all_workers_are_used_after_an_outage_that_unlisted_them(
     autojump_clock,
 ):
-    """The store is away for 4.5 s; the owner's lease and all entries of workers
-    run out meanwhile. The next owner reads an empty list, and the workers are
-    listed again within two seconds.
+    """All workers must be usable again after an outage of the store.
 
-    Those that ran something were taken for draining. Later their room was free,
-    and a job that needs whole workers waited until the end of the day.
+    The store is down for 4.5 s; the owner's lease and all entries of workers
+    expire meanwhile. The next owner reads an empty list, and the workers are
+    listed again within two seconds. Workers with runs were taken for draining.
+    Later their room was free, but a job that needs whole workers waited until
+    the end of the day.
     """
-    held = emulator.Cluster(3)
+    cluster = emulator.Cluster(3)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
         step = build.make_step(6, gpu=8, expected_s=20.0)
         job = build.make_job("00000000000000aa", step, pool=clusters.POOL)
-        await held.submit(job)
+        await cluster.submit(job)
         await trio.sleep(3.0)
-        held.store.fault = stores.StoreFault.BUSY
+        cluster.store.fault = stores.StoreFault.BUSY
         await trio.sleep(4.5)
-        for name in held.workers:
-            held.store.remove(clusters.WORKERS + name)
-        held.store.fault = stores.StoreFault.NONE
+        for name in cluster.workers:
+            cluster.store.remove(clusters.WORKERS + name)
+        cluster.store.fault = stores.StoreFault.NONE
         await trio.sleep(1.9)
-        for name in held.workers:
-            held.list_worker(name)
+        for name in cluster.workers:
+            cluster.list_worker(name)
         await trio.sleep(3.0)
-        owner = held.entries[held.find_owner()].owned[clusters.POOL]
+        pool_owner = cluster.entries[cluster.find_owner()].owned[clusters.POOL]
         now = trio.current_time()
-        usable = [w.may_take(now) for w in owner.book.workers.values()]
+        usable = [
+            state.may_take(now) for state in pool_owner.book.workers.values()
+        ]
         nursery.cancel_scope.cancel()
-    assert usable == [True] * len(held.workers)
+    assert usable == [True] * len(cluster.workers)
--- a/crocusrouter/pools/tests/test_members.py
+++ b/crocusrouter/pools/tests/test_members.py
@@ -1,4 +1,4 @@
-"""How an entry stays registered, and what that asks of the store."""
+"""Tests for how an entry stays registered and how many calls that costs."""
 
 import pytest
 import trio
@@ -8,10 +8,10 @@
 from standins.emulator import store as stores
 
 _KEY = keys.build_member_key("e0")
-_SEEN = members.Member("10.1.0.1:7000", 0.5)
+_MEMBER = members.Member("10.1.0.1:7000", 0.5)
 
 
-class _Counting(stores.StoreView):
+class _CountingStoreView(stores.StoreView):
     """Counts the leases that are opened."""
 
     granted = 0
@@ -22,30 +22,31 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "for_s"),
+    ("fault", "outage_s"),
     [
         (stores.StoreFault.BUSY, 4.0),
         (stores.StoreFault.SILENT, 4.0),
         (stores.StoreFault.NONE, 4.0),
     ],
 )
-async def test_lease_that_goes_on_after_an_outage_is_kept(
-    fault, for_s, autojump_clock
+async def test_lease_that_survives_an_outage_is_kept(
+    fault, outage_s, autojump_clock
 ):
-    """The store is away for less than the lease lasts, and leases pause.
+    """A lease that survives an outage must be kept.
 
-    Each entry opened a new lease and wrote its key anew, and every other one
-    heard of that within a second of the store's return.
+    The store is down for less than the lease lasts, and leases pause. Each
+    entry opened a new lease and wrote its key again, and every other entry
+    received that change within a second of the store's return.
     """
     store = stores.Store(1)
     store.lapses = False
-    view = _Counting(store, "e0")
+    view = _CountingStoreView(store, "e0")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(members.Membership(view, "e0", _SEEN).run)
+        nursery.start_soon(members.Membership(view, "e0", _MEMBER).run)
         await trio.sleep(5.0)
         written_at = store.items[_KEY].revision
         store.fault = fault
-        await trio.sleep(for_s)
+        await trio.sleep(outage_s)
         store.fault = stores.StoreFault.NONE
         await trio.sleep(10.0)
         nursery.cancel_scope.cancel()
@@ -57,7 +58,7 @@
     store = stores.Store(1)
     async with trio.open_nursery() as nursery:
         view = stores.StoreView(store, "e0")
-        nursery.start_soon(members.Membership(view, "e0", _SEEN).run)
+        nursery.start_soon(members.Membership(view, "e0", _MEMBER).run)
         await trio.sleep(5.0)
         store.fault = stores.StoreFault.BUSY
         for _ in range(100):
@@ -66,5 +67,5 @@
         assert _KEY not in store.items
         store.fault = stores.StoreFault.NONE
         await trio.sleep(1.0)
-        assert members.parse_member(store.items[_KEY].value) == _SEEN
+        assert members.parse_member(store.items[_KEY].value) == _MEMBER
         nursery.cancel_scope.cancel()
--- a/crocusrouter/pools/tests/test_peers.py
+++ b/crocusrouter/pools/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers while an entry stops."""
+"""Tests for calls and heartbeats of peers, and the end of a stop."""
 
 import pytest
 import trio
@@ -23,7 +23,7 @@
 
 
 def _make_peers(answer_s=0.0):
-    made = peers.Peers(
+    entry_peers = peers.Peers(
         "a",
         lambda name, address: _Link(answer_s),
         clocks.Clock(trio.current_time, trio.current_time),
@@ -31,8 +31,8 @@
         lambda beat, at: None,
         set,
     )
-    made.set_members({"b": "b:1"})
-    return made
+    entry_peers.set_members({"b": "b:1"})
+    return entry_peers
 
 
 async def _run_and_stop(run):
@@ -42,62 +42,68 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_caller_served_at_the_very_end_of_a_stop(autojump_clock):
-    """An entry ends with an error instead of stopping: the task that keeps
-    its links is gone, and a caller's request opens one more link.
+async def test_call_at_the_end_of_a_stop_opens_no_connection(autojump_clock):
+    """A call at the end of a stop must not open a connection.
+
+    The task that runs the connections has ended, and the entry ended with an
+    error instead of stopping.
     """
-    made = _make_peers()
-    made.set_members({})
-    await _run_and_stop(made.run)
-    made.set_members({"b": "b:1"})
-    assert await made.call("b", messages.AskConfig()) is None
+    entry_peers = _make_peers()
+    entry_peers.set_members({})
+    await _run_and_stop(entry_peers.run)
+    entry_peers.set_members({"b": "b:1"})
+    assert await entry_peers.call("b", messages.AskConfig()) is None
 
 
-async def test_peer_that_is_listed_at_the_very_end_of_a_stop(autojump_clock):
+async def test_peer_listed_at_the_end_of_a_stop_opens_no_connection(
+    autojump_clock,
+):
     """The same with the VM list, which is read until the end."""
-    held = controller_peers.PeerController(
+    controller = controller_peers.PeerController(
         "a", "secret12", 1.0, None, lambda: None, lambda beat: None
     )
-    await _run_and_stop(held.run)
+    await _run_and_stop(controller.run)
     vm = fleet.Vm("b", fleet.Role.ENTRY, "127.0.0.1:1", "liege")
-    held.set_fleet(fleet.Fleet({"b": vm}, 0.0))
-    assert held.find_link("b") is None
+    controller.set_fleet(fleet.Fleet({"b": vm}, 0.0))
+    assert controller.find_link("b") is None
 
 
-async def test_late_answer_shows_a_peer_in_reach_when_it_was_asked(
+async def test_late_answer_counts_from_its_request(
     autojump_clock,
 ):
-    """An owner renews leases by a peer's answer that was held up."""
-    made = _make_peers(0.6)
+    """An owner must not renew leases because of a peer's late answer."""
+    entry_peers = _make_peers(0.6)
     with trio.move_on_after(0.65):
-        await made.run()
-    assert made.may_hear(2.4)
-    assert not made.may_hear(2.6)
+        await entry_peers.run()
+    assert entry_peers.would_know_successor(2.4)
+    assert not entry_peers.would_know_successor(2.6)
 
 
-async def test_help_is_asked_of_served_peers_first(autojump_clock):
-    made = _make_peers()
-    made.set_members({name: f"{name}:1" for name in "bcdef"})
-    made.note_heard(messages.Beat("f", 1, None, (), True), 0.0)
-    made.note_heard(messages.Beat("b", 1, None, (), False), 0.0)
-    assert made.choose_helpers()[0] == "f"
+async def test_served_peers_are_asked_for_help_first(autojump_clock):
+    entry_peers = _make_peers()
+    entry_peers.set_members({name: f"{name}:1" for name in "bcdef"})
+    entry_peers.note_answer(messages.Beat("f", 1, None, (), True), 0.0)
+    entry_peers.note_answer(messages.Beat("b", 1, None, (), False), 0.0)
+    assert entry_peers.choose_helpers()[0] == "f"
 
 
-async def test_peer_that_tells_of_itself_shows_that_others_are_served(
+async def test_unrequested_heartbeat_shows_that_a_peer_is_served(
     autojump_clock,
 ):
-    """Callers of an entry that the store turns away are sent away for long,
-    although a peer that it does not ask would serve them.
+    """A peer's own heartbeat shows that the outage is not shared.
+
+    Callers of an entry that the store refused were sent away for long, although
+    a peer that the entry did not ask would have served them.
     """
-    made = _make_peers()
-    made.note_heard(messages.Beat("b", 1, 0.0, (), False), 10.5)
-    assert made.shares_outage(10.0)
-    made.note_unasked(messages.Beat("c", 1, 0.0, (), True), 10.6)
-    assert not made.shares_outage(10.0)
+    entry_peers = _make_peers()
+    entry_peers.note_answer(messages.Beat("b", 1, 0.0, (), False), 10.5)
+    assert entry_peers.shares_outage(10.0)
+    entry_peers.note_unrequested(messages.Beat("c", 1, 0.0, (), True), 10.6)
+    assert not entry_peers.shares_outage(10.0)
 
 
 @pytest.mark.parametrize(
-    ("heard", "shared"),
+    ("answers", "is_shared"),
     [
         ([], False),
         ([("b", 9.0, False)], False),
@@ -106,11 +112,12 @@
         ([("b", 10.1, True), ("c", 10.6, False)], True),
     ],
 )
-def test_outage_is_shared_if_no_peer_is_served(heard, shared):
-    """The store is away for all, or turns this entry away alone. Beats from
-    before, or from the first moment, say nothing.
+def test_outage_is_shared_if_no_peer_is_served(answers, is_shared):
+    """The store is down for all, or refuses this entry alone.
+
+    Heartbeats from before the outage, or from its first moment, prove nothing.
     """
-    made = _make_peers()
-    for name, at, served in heard:
-        made.note_heard(messages.Beat(name, 1, 0.0, (), served), at)
-    assert made.shares_outage(10.0) is shared
+    entry_peers = _make_peers()
+    for name, at, served in answers:
+        entry_peers.note_answer(messages.Beat(name, 1, 0.0, (), served), at)
+    assert entry_peers.shares_outage(10.0) is is_shared
--- a/crocusrouter/pools/tests/test_prefix_follower.py
+++ b/crocusrouter/pools/tests/test_prefix_follower.py
@@ -1,4 +1,4 @@
-"""A follower whose peers know more than it does."""
+"""Tests for a follower whose peers know of changes that it has missed."""
 
 import pytest
 import trio
@@ -12,7 +12,7 @@
 
 
 class _Store:
-    """Answers late; the first watch never does."""
+    """Answers with a delay; never answers the first watch."""
 
     def __init__(self, answer_s):
         self.answer_s = answer_s
@@ -26,30 +26,31 @@
         if self.watches == 1:
             await trio.sleep_forever()
         await trio.sleep(self.answer_s)
-        found = (_CHANGE,) if revision < 9 else ()
-        if not found:
+        changes = (_CHANGE,) if revision < 9 else ()
+        if not changes:
             await trio.sleep(wait_s)
-        return port.Changes(found, 9)
+        return port.Changes(changes, 9)
 
 
 @pytest.mark.parametrize("answer_s", [0.01, 0.3, 0.9])
-async def test_change_that_peers_tell_of_is_heard(answer_s, autojump_clock):
-    """Heartbeats of several peers tell of a change every tenth of a second.
+async def test_change_reported_by_peers_is_received(answer_s, autojump_clock):
+    """A change reported by peers must arrive although the service is slow.
 
-    Each ended the watch that was under way, so that one that took 0.3 s was
-    never answered while the service was slow.
+    Heartbeats of several peers report a change every tenth of a second. Each
+    used to end the watch in progress, so a watch that took 0.3 s was never
+    answered.
     """
-    heard = []
+    received_events = []
     store = _Store(answer_s)
     follower = intake.Follower(
-        store, "a/", heard.extend, Metrics(), patient=True
+        store, "a/", received_events.extend, Metrics(), patient=True
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
         await trio.sleep(0.05)
         for _ in range(20):
-            follower.compare(9)
+            follower.check_for_missed(9)
             await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert heard == [_CHANGE]
+    assert received_events == [_CHANGE]
     assert store.watches <= 4
--- a/crocusrouter/pools/tests/test_ranking.py
+++ b/crocusrouter/pools/tests/test_ranking.py
@@ -7,8 +7,8 @@
 _LARGE = members.Member("b:1", 2.0)
 
 
-# Callers wait seconds for a first start: the owner sits on the smallest VM
-# and its decisions queue up, while larger ones are idle.
+# Callers waited seconds for a first start: the owner was on the smallest VM and
+# its decisions queued up while larger VMs were idle.
 @pytest.mark.parametrize("pool", ["match", "tag", "sync"])
 def test_largest_vm_owns_a_pool(pool):
     candidates = {f"s{n}": _SMALL for n in range(9)} | {"l0": _LARGE}
@@ -17,15 +17,15 @@
 
 def test_pools_are_spread_over_vms_of_one_size():
     candidates = {f"l{n}": _LARGE for n in range(4)}
-    first = {
+    first_choices = {
         ranking.rank_candidates(f"pool {n}", candidates)[0] for n in range(40)
     }
-    assert first == set(candidates)
+    assert first_choices == set(candidates)
 
 
 @pytest.mark.parametrize(
     ("data", "expected"),
     [(b"b:1 2", _LARGE), (b"b:1", members.Member("b:1"))],
 )
-def test_members_in_the_store(data, expected):
+def test_stored_member_is_parsed(data, expected):
     assert members.parse_member(data) == expected
--- a/crocusrouter/pools/tests/test_relay.py
+++ b/crocusrouter/pools/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What a caller hears of a job when the store does not serve everyone."""
+"""Tests for callers' answers while the store does not serve all entries."""
 
 import pytest
 import trio
@@ -10,23 +10,23 @@
 
 
 async def _accept(fault, entries, wait_s=1.0):
-    """Let the store fail for some entries; hand a job in at e0.
+    """Make the store fail for some entries and submit a job at e0.
 
     Returns:
         The outcome, and whether the job is stored seconds later.
     """
-    held = clusters.Cluster(1)
+    cluster = clusters.Cluster(1)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
         for name in entries:
-            held.store.turned_away[name] = fault
+            cluster.store.turned_away[name] = fault
         await trio.sleep(wait_s)
         job = build.make_job("0123456789abcdef", build.make_step(1))
-        held.oracle.jobs[job.id] = job
-        outcome = await held.entries["e0"].desk.accept(job)
+        cluster.oracle.jobs[job.id] = job
+        outcome = await cluster.entries["e0"].desk.accept(job)
         await trio.sleep(8.0)
-        stored = any(job.id in key for key in held.store.items)
+        stored = any(job.id in key for key in cluster.store.items)
         nursery.cancel_scope.cancel()
     return outcome, stored
 
@@ -34,11 +34,11 @@
 @pytest.mark.parametrize(
     "fault", [emulator.StoreFault.BUSY, emulator.StoreFault.SILENT]
 )
-async def test_peer_stores_for_an_entry_that_is_turned_away(
+async def test_peer_stores_for_an_entry_that_the_store_refuses(
     fault, autojump_clock
 ):
-    """Callers of one entry hear "come back" for seconds, although the store
-    serves all other entries.
+    """Callers of one entry were told to come back for seconds, although the
+    store served all other entries.
     """
     outcome, stored = await _accept(fault, ["e0"])
     assert outcome is pools.Stored.STORED
@@ -48,14 +48,14 @@
 @pytest.mark.parametrize(
     "fault", [emulator.StoreFault.BUSY, emulator.StoreFault.SILENT]
 )
-async def test_known_outage_is_answered_at_once_and_truly(
+async def test_known_outage_is_answered_at_once_and_correctly(
     fault, autojump_clock
 ):
-    """The store is away for seconds. Callers that are told 504 ask again
-    within milliseconds and have soon given up.
+    """During an outage of seconds, callers that get 504 retry within
+    milliseconds and soon give up.
 
-    A write that is not tried certainly has no effect, so they are told 503
-    and when to come back, and the job must not appear afterwards.
+    A write that is not tried certainly has no effect, so callers get 503 with a
+    retry delay, and the job must not appear afterwards.
     """
     started = trio.current_time()
     outcome, stored = await _accept(fault, ["e0", "e1", "e2", "e3"], 4.5)
@@ -64,27 +64,30 @@
     assert trio.current_time() - started < 3.0 + 4.5 + 8.0 + 0.1
 
 
-async def test_entries_kept_out_together_learn_of_a_new_owner(autojump_clock):
-    """The store turns three of six entries away, the owner among them.
+async def test_entries_refused_together_learn_of_a_new_owner(autojump_clock):
+    """Entries that the store refuses together must learn of a new owner.
 
-    Another becomes owner; the three know it from no watch, and may have only
-    each other as neighbours. Callers there must still read states and hand
-    jobs in.
+    The store refuses three of six entries, the owner among them. Another entry
+    becomes owner. The three get no watch events and may have only each other as
+    neighbours, but their callers must still read states and submit jobs.
     """
-    held = clusters.Cluster(1, entries=6)
+    cluster = clusters.Cluster(1, entries=6)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
-        owner = held.find_owner()
-        out = [owner, *[name for name in held.names if name != owner][:2]]
-        for name in out:
-            held.store.turned_away[name] = emulator.StoreFault.BUSY
+        owner = cluster.find_owner()
+        refused_entries = [
+            owner,
+            *[name for name in cluster.names if name != owner][:2],
+        ]
+        for name in refused_entries:
+            cluster.store.turned_away[name] = emulator.StoreFault.BUSY
         await trio.sleep(6.0)
         job = build.make_job("0123456789abcdef", build.make_step(1))
-        held.oracle.jobs[job.id] = job
-        for name in out:
-            desk = held.entries[name].desk
+        cluster.oracle.jobs[job.id] = job
+        for name in refused_entries:
+            desk = cluster.entries[name].desk
             assert await desk.accept(job) is pools.Stored.STORED
             assert await desk.count_pending(clusters.POOL, "q") is not None
         nursery.cancel_scope.cancel()
-    assert held.find_owner() not in out
+    assert cluster.find_owner() not in refused_entries
--- a/crocusrouter/pools/tests/test_reservations.py
+++ b/crocusrouter/pools/tests/test_reservations.py
@@ -5,36 +5,37 @@
 from crocusrouter.work.tests import build
 
 
-# An advised step gets room by stops, and starts when they have ended. Its
-# ticket has run out by then: each worker refused the start, which is priced.
+# An advised step gets room by stops and starts when the stopped runs have
+# ended. Its ticket had expired by then: each worker refused the start, which is
+# priced.
 @pytest.mark.parametrize(
-    ("advised", "now", "ready"),
+    ("advised", "now", "ready_count"),
     [(True, 0.1, 1), (True, 0.8, 0), (False, 0.8, 1)],
 )
-def test_start_after_stops_needs_a_ticket_that_still_holds(advised, now, ready):
+def test_start_after_stops_needs_a_valid_ticket(advised, now, ready_count):
     job = build.make_job("j", build.make_step(1, gpu=8), advised=advised)
     book = build.make_book(job, workers=("w0",))
     step = work.StepKey("j", 0, 0)
     book.find_work(step).permits.note_answer(("w0",), {"w0": "t"}, 1.2)
-    held = reservations.Reservations()
-    held.add(work.Placement(step, {0: "w0"}), 0.0)
-    assert len(held.take_ready(book, now)) == ready
+    reserved = reservations.Reservations()
+    reserved.add(work.Placement(step, {0: "w0"}), 0.0)
+    assert len(reserved.take_ready(book, now)) == ready_count
 
 
 # Victims end 0.9 s after the decision, and the last of them a little later. A
-# reservation of one second was dropped in between: its step was planned anew
-# elsewhere, and stopped others once more.
+# reservation of one second was dropped in between: its step was planned again
+# elsewhere and stopped other runs once more.
 @pytest.mark.parametrize(
-    ("seen_s", "now", "kept"),
+    ("stop_s", "now", "is_kept"),
     [(0.2, 0.9, True), (0.2, 1.4, False), (0.9, 1.9, True), (0.9, 2.2, False)],
 )
-def test_reservation_outlasts_the_stops_that_are_seen(seen_s, now, kept):
+def test_reservation_outlasts_the_measured_stop_times(stop_s, now, is_kept):
     job = build.make_job("j", build.make_step(1, gpu=8))
     book = build.make_book(job, workers=("w0",))
     for _ in range(60):
-        book.stop_times.note(seen_s)
+        book.stop_times.note(stop_s)
     book.workers["w0"].used = work.Room(0, 0, 8)
-    held = reservations.Reservations()
-    held.add(work.Placement(work.StepKey("j", 0, 0), {0: "w0"}), 0.0)
-    held.take_ready(book, now)
-    assert bool(list(held.list_spots())) is kept
+    reserved = reservations.Reservations()
+    reserved.add(work.Placement(work.StepKey("j", 0, 0), {0: "w0"}), 0.0)
+    reserved.take_ready(book, now)
+    assert bool(list(reserved.list_spots())) is is_kept
--- a/crocusrouter/pools/tests/test_unanswered_starts.py
+++ b/crocusrouter/pools/tests/test_unanswered_starts.py
@@ -11,12 +11,12 @@
     ("incarnation", "at", "expected"),
     [
         ("w0@7", 2.0, [7]),
-        ("w0@7", 13.0, [7]),  # twelve seconds late
+        ("w0@7", 13.0, [7]),  # the start may still be carried out late
         ("w0@7", 30.0, []),
-        ("w0@5", 2.0, []),  # the one that was meant
+        ("w0@5", 2.0, []),  # the incarnation that it was sent to
     ],
 )
-def test_who_may_carry_out_a_start_late(incarnation, at, expected):
+def test_late_start_is_stopped_on_other_incarnations(incarnation, at, expected):
     starts = unanswered_starts.UnansweredStarts()
     starts.note(orders.Start(_KEY, 7, ""), "w0@5", 1.0)
     stops = starts.list_stops(incarnation, at)
--- a/crocusrouter/pools/tests/test_upkeep_controller.py
+++ b/crocusrouter/pools/tests/test_upkeep_controller.py
@@ -1,4 +1,4 @@
-"""The duty of a pool whose wave concerns other pools as well."""
+"""Tests for a pool's upkeep in waves that concern other pools as well."""
 
 import types
 
@@ -19,13 +19,13 @@
 
 
 class _Vms:
-    """One VM of another pool; counts how often it is listed."""
+    """One VM of another pool; counts how often VMs are listed."""
 
     def __init__(self):
-        self.listed = 0
+        self.list_calls = 0
 
     async def list_vms(self):
-        self.listed += 1
+        self.list_calls += 1
         return (vms.Vm("m1", "other", vms.VmState.UP, "w1"),)
 
     async def begin_upkeep(self, holder, epoch, vm, wave):
@@ -35,9 +35,9 @@
         pass
 
 
-def _make_duty(store, platform):
+def _make_controller(store, vms_platform):
     owner = store.put("owner", b"e0")
-    held = types.SimpleNamespace(
+    owner_lease = types.SimpleNamespace(
         pool="ours",
         epoch=owner,
         guard=port.Guard("owner", owner),
@@ -47,13 +47,13 @@
         upkeep_controller.Upkeeping(
             "op/wave/",
             lambda key, value: _WAVE,
-            lambda: platform,
+            lambda: vms_platform,
             lambda wave, over: (f"status/{wave}", str(over).encode()),
         )
     )
     waves.open["op/wave/1"] = _WAVE
     return upkeep_controller.UpkeepController(
-        held,
+        owner_lease,
         "e0",
         stores.StoreView(store, "e0"),
         work.Book(1),
@@ -63,55 +63,55 @@
     )
 
 
-# Operators pay for a list of VMs twice a second for ever: the owner of one
-# pool keeps the record that it read first, and never sees that the owner of
-# the other pool has finished the wave.
-async def test_owner_sees_what_other_owners_have_done(autojump_clock):
+# An owner must see changes to a shared wave's record. It kept the record that
+# it had read first and never saw that the owner of the other pool had finished
+# the wave. Operators paid for a list of VMs twice a second for ever.
+async def test_owner_sees_progress_of_other_owners(autojump_clock):
     store = stores.Store(1)
-    platform = _Vms()
-    begun = upkeep.WaveRecord(begun={"m1": "w1"})
-    store.put(_KEY, upkeep.dump_record(begun))
+    vms_platform = _Vms()
+    begun_record = upkeep.WaveRecord(begun={"m1": "w1"})
+    store.put(_KEY, upkeep.dump_record(begun_record))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_make_duty(store, platform).run)
+        nursery.start_soon(_make_controller(store, vms_platform).run)
         await trio.sleep(6.0)
-        assert platform.listed > 2
+        assert vms_platform.list_calls > 2
         store.put(_KEY, upkeep.dump_record(upkeep.WaveRecord(done={"m1"})))
         await trio.sleep(2.0)
-        listed = platform.listed
+        list_calls_before = vms_platform.list_calls
         await trio.sleep(10.0)
         nursery.cancel_scope.cancel()
-    assert platform.listed == listed
+    assert vms_platform.list_calls == list_calls_before
     assert store.items["status/1"].value == b"True"
 
 
-class _Restarting(_Vms):
-    """One VM of ours; the worker on it keeps its id over its upkeep."""
+class _RestartingVms(_Vms):
+    """One VM of our pool; its worker keeps its id over the upkeep."""
 
     def __init__(self):
         super().__init__()
-        self.ordered = 0
+        self.order_calls = 0
 
     async def list_vms(self):
         return (vms.Vm("m1", "ours", vms.VmState.UP, "w1"),)
 
     async def begin_upkeep(self, holder, epoch, vm, wave):
-        self.ordered += 1
+        self.order_calls += 1
         return vms.Upkeep.DONE
 
 
-async def test_wave_ends_where_the_worker_starts_again_under_its_id(
+async def test_wave_ends_when_the_worker_restarts_under_its_id(
     autojump_clock,
 ):
     """The VM counted as down for ever, and the wave never ended."""
     store = stores.Store(1)
-    platform = _Restarting()
-    duty = _make_duty(store, platform)
-    book = duty._book
+    vms_platform = _RestartingVms()
+    controller = _make_controller(store, vms_platform)
+    book = controller._book
     book.set_worker(build.make_entry("w1@5"), 0.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(duty.run)
+        nursery.start_soon(controller.run)
         await trio.sleep(6.0)
-        assert platform.ordered == 1
+        assert vms_platform.order_calls == 1
         assert store.items["status/1"].value == b"False"
         book.unlist_worker("w1@5")
         book.set_worker(build.make_entry("w1@9"), 6.0)
--- a/crocusrouter/pools/tests/test_worker_links.py
+++ b/crocusrouter/pools/tests/test_worker_links.py
@@ -1,4 +1,4 @@
-"""Orders that a worker leaves unanswered."""
+"""Tests for orders that a worker leaves unanswered."""
 
 import dataclasses
 
@@ -19,7 +19,7 @@
 
 
 class _Port:
-    """Answers orders from a script, then always takes them."""
+    """Answers orders with the given answers, then accepts all."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -75,12 +75,14 @@
 
 
 @pytest.mark.parametrize("lost", [1, 3, 6])
-async def test_stop_of_an_unknown_run_is_repeated_until_taken(
+async def test_stop_of_an_unknown_run_is_repeated_until_answered(
     lost, autojump_clock
 ):
-    """A job was cancelled while its start was unanswered; the worker carried
-    it out seconds later. The owner's next look showed the run and a stop was
-    sent, whose answer got lost. Nothing else looked at that worker, and the
+    """A run that the book does not know must be stopped despite lost answers.
+
+    A job was cancelled while its start was unanswered, and the worker carried
+    the start out seconds later. The owner's next poll showed the run and a stop
+    was sent, whose answer was lost. Nothing else polled that worker, and the
     task ran until its lease ended.
     """
     port = _Port(*[_SILENT] * lost)
@@ -91,7 +93,7 @@
 
 
 async def test_stop_of_an_unknown_run_ends_with_its_lease(autojump_clock):
-    """Nothing can run there any more, so there is nothing left to stop."""
+    """No run can go on after its lease, so there is nothing left to stop."""
     port = _Port(*[_SILENT] * 1000)
     _, link = _make_link(port)
     key = work.TaskKey("00000000000000aa", 0, 0, 0)
@@ -100,13 +102,15 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "settled"), [(_NOT_SENT, True), (_SILENT, False)]
+    ("answer", "waits_again"), [(_NOT_SENT, True), (_SILENT, False)]
 )
-async def test_start_is_not_repeated_on_a_worker_that_drains(
-    answer, settled, autojump_clock
+async def test_start_is_not_repeated_on_a_draining_worker(
+    answer, waits_again, autojump_clock
 ):
-    """A start is repeated for two seconds. The worker had said meanwhile that
-    it leaves, and the task began 2 s later than anything new may begin there.
+    """A start must not be repeated after its worker began to drain.
+
+    A start is repeated for two seconds. The task began 2 s later than anything
+    new may begin on a draining worker.
     """
     port = _Port(*[answer] * 50)
     book, link = _make_link(port)
@@ -120,21 +124,22 @@
         await trio.sleep(0.025)
         entry = book.workers[_WORKER].entry
         book.set_worker(dataclasses.replace(entry, draining=True), 0.0)
-        sent = len(port.sent)
-    assert len(port.sent) <= sent
-    if settled:
+        sent_before = len(port.sent)
+    assert len(port.sent) <= sent_before
+    if waits_again:
         assert book.find_work(key).waiting == {0}
     else:
         assert run.why == "its start was not answered"
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-async def test_start_that_crosses_the_word_of_its_worker_is_told(
-    leaves, autojump_clock
+@pytest.mark.parametrize("drains", [False, True])
+async def test_start_accepted_by_a_draining_worker_is_logged(
+    drains, autojump_clock
 ):
-    """A worker says that it leaves while a start is on its way, and takes it.
-    Callers see the same as with an owner that heard nothing; the line tells
-    the two apart.
+    """A start that its worker accepted after it began to drain is logged.
+
+    Callers can't distinguish it from a start by an owner that missed the
+    announcement; the log line can.
     """
     port = _Port()
     book, link = _make_link(port)
@@ -147,16 +152,20 @@
         nursery.start_soon(link.start, orders.Start(key, 7, "", ""))
         await trio.sleep(0.005)
         entry = book.workers[_WORKER].entry
-        book.set_worker(dataclasses.replace(entry, draining=leaves), 0.0)
+        book.set_worker(dataclasses.replace(entry, draining=drains), 0.0)
     assert len(port.sent) == 1
-    told = [facts for what, facts in book.events if what == "run:on-leaving"]
-    assert told == (
-        [{"task": key, "run": 7, "worker": _WORKER}] if leaves else []
+    noted = [
+        fields for event, fields in book.events if event == "run:on-leaving"
+    ]
+    assert noted == (
+        [{"task": key, "run": 7, "worker": _WORKER}] if drains else []
     )
 
 
-async def test_start_is_not_sent_by_a_list_that_is_stale(autojump_clock):
-    """The list was heard when the start was decided, not when it is sent."""
+async def test_start_is_not_sent_with_a_stale_worker_list(autojump_clock):
+    """The list was recent when the start was decided, but is not when it is
+    sent.
+    """
     port = _Port()
     book, link = _make_link(port, may_start=lambda _: False)
     job = build.make_job("00000000000000aa", build.make_step(1))
@@ -169,8 +178,10 @@
     assert book.find_work(key).waiting == {0}
 
 
-async def test_refused_connection_is_not_tried_again_at_once(autojump_clock):
-    """A worker's process was away; one start was sent 222 times in 0.15 s."""
+async def test_refused_connection_is_not_retried_at_once(autojump_clock):
+    """While a worker's process was down, one start was sent 222 times in 0.15
+    s.
+    """
     port = _Port(*[_NOT_SENT] * 1000)
     book, link = _make_link(port)
     job = build.make_job("00000000000000aa", build.make_step(1))
@@ -184,8 +195,10 @@
     assert book.find_work(key).waiting == {0}
 
 
-async def test_gang_is_stopped_whole_once_a_member_is_given_up(autojump_clock):
-    """The others waited for it until their time was over, and ended alone."""
+async def test_whole_gang_is_stopped_when_a_member_is_given_up(autojump_clock):
+    """The other members waited for it until their time was over, and ended
+    alone.
+    """
     port = _Port(*[_SILENT, *[_NOT_SENT] * 20])
     book, link = _make_link(port)
     book.set_worker(build.make_entry("w1"), 0.0)
--- a/crocusrouter/pools/tests/test_worker_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -1,4 +1,4 @@
-"""The list of workers: its age, and what is told of a worker that leaves."""
+"""Tests for the age of the list of workers and the log of draining workers."""
 
 import dataclasses
 
@@ -15,21 +15,21 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work.tests import build
 
-_LOST = client.StoreUnavailableError("lost")
+_LOST_ANSWER = client.StoreUnavailableError("lost")
 
 
 class _Store:
-    """Lists one worker; watches end as a script says, then with its time."""
+    """Lists one worker; watches end as the script says, then by timeout."""
 
     def __init__(self, *script):
         self.script = list(script)
-        self.asked = []
+        self.waits = []
 
     async def read_prefix(self, prefix):
         return records.Snapshot((_list_worker("w0", revision=5),), 5)
 
     async def watch(self, prefix, revision, wait_s):
-        self.asked.append(wait_s)
+        self.waits.append(wait_s)
         step = self.script.pop(0) if self.script else None
         if isinstance(step, client.StoreUnavailableError):
             await trio.sleep(wait_s + 0.4)
@@ -53,7 +53,7 @@
 
 def _open_list(store, book=None):
     metrics = Metrics()
-    listed = worker_listing.WorkerList(
+    worker_list = worker_listing.WorkerList(
         worker_listing.Source("listed/", _parse),
         store,
         "p",
@@ -64,70 +64,77 @@
             lambda worker, address: None, lambda worker: None, lambda: None
         ),
     )
-    return listed, metrics
+    return worker_list, metrics
 
 
 @pytest.mark.parametrize(
-    ("lost", "held"),
+    ("lost_answers", "are_held_back"),
     [
         pytest.param(0, False, id="calm"),
         pytest.param(1, False, id="one-lost-answer"),
         pytest.param(5, True, id="an-outage"),
     ],
 )
-async def test_starts_held_back_while_the_list_is_not_heard(
-    lost, held, autojump_clock
+async def test_starts_are_held_back_while_the_list_is_stale(
+    lost_answers, are_held_back, autojump_clock
 ):
-    """Answers get lost one after another, right after one that told of a
-    change. One alone must hold nothing back, since each would cost every
-    waiting job half a second; several are an outage.
+    """Starts are held back while the list is stale, but not by one lost answer.
+
+    Answers get lost one after another, right after one that reported a change.
+    One lost answer must hold nothing back, since that would cost every waiting
+    job half a second; several are an outage.
     """
-    told = records.Changed(_list_worker("w0", revision=6))
-    listed, metrics = _open_list(_Store(told, *[_LOST] * lost))
-    await listed.load()
+    change = records.Changed(_list_worker("w0", revision=6))
+    worker_list, metrics = _open_list(
+        _Store(change, *[_LOST_ANSWER] * lost_answers)
+    )
+    await worker_list.load()
     allowed = []
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(listed.run)
+        nursery.start_soon(worker_list.run)
         for _ in range(80):
-            allowed.append(listed.freshness.is_fresh(trio.current_time()))
+            allowed.append(worker_list.freshness.is_fresh(trio.current_time()))
             await trio.sleep(0.05)
         nursery.cancel_scope.cancel()
-    assert (False in allowed) is held
+    assert (False in allowed) is are_held_back
     assert allowed[-1]
-    assert metrics.counts["event:view-stale"] == int(held)
+    assert metrics.counts["event:view-stale"] == int(are_held_back)
 
 
 @pytest.mark.parametrize(
-    ("lost", "second_at", "unheard_s", "started"),
+    ("lost_answers", "second_at", "unheard_s", "started_unheard"),
     [
         pytest.param(0, -0.5, 0.0, 1, id="heard-at-once"),
         pytest.param(4, 0.5, 2.4, 2, id="deaf-follower"),
     ],
 )
-async def test_line_of_a_worker_that_leaves(
-    lost, second_at, unheard_s, started, autojump_clock
+async def test_log_line_of_a_draining_worker(
+    lost_answers, second_at, unheard_s, started_unheard, autojump_clock
 ):
-    """Two tasks went to a worker, one of them is still under way. The word
-    that it leaves comes at once, or after lost answers. The line must tell a
-    deaf owner from an order that took long.
+    """The log line must distinguish a stale list from an order that took long.
+
+    Two tasks were sent to a worker, and one of them is still in flight. The
+    announcement that the worker drains arrives at once, or after lost answers.
     """
     job = build.make_job("0a", build.make_step(2))
     book = build.make_book(job, workers=("w0",))
     book.open_due(2e6, 0.0)
-    leaves = records.Changed(_list_worker("w0", revision=9, draining=True))
-    listed, _ = _open_list(_Store(*[_LOST] * lost, leaves), book)
-    await listed.load()
-    began = trio.current_time()
-    book.add_run(work.TaskKey("0a", 0, 0, 0), 1, "w0", began)
-    book.add_run(work.TaskKey("0a", 0, 0, 1), 2, "w0", began + second_at)
-    book.note_taken(work.TaskKey("0a", 0, 0, 0), 1, began)
+    drains = records.Changed(_list_worker("w0", revision=9, draining=True))
+    worker_list, _ = _open_list(
+        _Store(*[_LOST_ANSWER] * lost_answers, drains), book
+    )
+    await worker_list.load()
+    began_at = trio.current_time()
+    book.add_run(work.TaskKey("0a", 0, 0, 0), 1, "w0", began_at)
+    book.add_run(work.TaskKey("0a", 0, 0, 1), 2, "w0", began_at + second_at)
+    book.note_taken(work.TaskKey("0a", 0, 0, 0), 1, began_at)
     logger = eliot.testing.MemoryLogger()
-    before = eliot.testing.swap_logger(logger)
+    previous_logger = eliot.testing.swap_logger(logger)
     try:
         with trio.move_on_after(5.0):
-            await listed.run()
+            await worker_list.run()
     finally:
-        eliot.testing.swap_logger(before)
+        eliot.testing.swap_logger(previous_logger)
     [line] = [
         line
         for line in logger.messages
@@ -135,39 +142,39 @@
     ]
     assert line["revision"] == 9
     assert line["unheard_s"] == pytest.approx(unheard_s, abs=0.3)
-    assert line["started_unheard"] == started
+    assert line["started_unheard"] == started_unheard
     assert line["under_way"] == 1
 
 
 @pytest.mark.parametrize(
-    ("told", "listed"),
+    ("announced", "expected"),
     [
         (["w0@5", "w0@7"], ["w0@7"]),
-        (["w0@7", "w0@5"], ["w0@5"]),  # clocks jump
+        (["w0@7", "w0@5"], ["w0@5"]),  # the clock was set back
         (["w0@5", "w0@7", None], []),
         (["w0@5", "w0@5"], ["w0@5"]),
         (["w0", "w0@5"], ["w0@5"]),
     ],
 )
 async def test_one_incarnation_of_a_worker_is_listed_at_a_time(
-    told, listed, autojump_clock
+    announced, expected, autojump_clock
 ):
-    """Work went to a process that had ended, and none to the next one."""
+    """Work was sent to a process that had ended, and none to the next one."""
     events = [
         records.Removed("listed/w0", revision)
         if name is None
         else records.Changed(
             records.Record("listed/w0", name.encode(), revision)
         )
-        for revision, name in enumerate(told, 6)
+        for revision, name in enumerate(announced, 6)
     ]
     book = work.Book(1)
     unlisted = []
-    follower = worker_listing.WorkerList(
+    worker_list = worker_listing.WorkerList(
         worker_listing.Source(
             "listed/", lambda _, value: build.make_entry(value.decode())
         ),
-        _Empty(*events),
+        _EmptyStore(*events),
         "p",
         book,
         clocks.Clock(trio.current_time, trio.current_time),
@@ -176,17 +183,19 @@
             lambda worker, address: None, unlisted.append, lambda: None
         ),
     )
-    await follower.load()
+    await worker_list.load()
     with trio.move_on_after(10.0):
-        await follower.run()
+        await worker_list.run()
     assert [
-        name for name, held in book.workers.items() if held.listed
-    ] == listed
-    assert set(unlisted) == {name for name in told if name} - set(listed)
+        name
+        for name, worker_state in book.workers.items()
+        if worker_state.listed
+    ] == expected
+    assert set(unlisted) == {name for name in announced if name} - set(expected)
 
 
-class _Empty(_Store):
-    """Lists nobody at first."""
+class _EmptyStore(_Store):
+    """Lists no worker at first."""
 
     async def read_prefix(self, prefix):
         return records.Snapshot((), 5)
--- a/crocusrouter/pools/unanswered_starts.py
+++ b/crocusrouter/pools/unanswered_starts.py
@@ -1,56 +1,57 @@
-"""Starts that one worker has left unanswered.
+"""Tracks starts that one worker has not answered.
 
-Such a start may still be carried out seconds later, and if the worker's
-process starts again meanwhile, by the next one: the order names their common
-id. A stop that the next incarnation has answered keeps it from that.
+Such a start may still be carried out seconds later. If the worker's process
+restarts meanwhile, its next incarnation may carry the start out, because orders
+name the worker id that both share. An answered stop to the next incarnation
+prevents this.
 """
 
 from crocusrouter import work
 from crocusrouter.work import orders
 
-# Longest time after which an order without an answer is carried out.
-_LATEST_S = 15.0
+# Longest time after which an unanswered order is still carried out.
+_MAX_DELAY_S = 15.0
 
 
 class UnansweredStarts:
-    """Starts ordered to any incarnation of one worker."""
+    """Unanswered starts sent to any incarnation of one worker."""
 
     def __init__(self) -> None:
-        self._sent: dict[tuple[work.TaskKey, int], tuple[str, float]] = {}
+        self._starts: dict[tuple[work.TaskKey, int], tuple[str, float]] = {}
 
     def note(self, order: orders.Start, incarnation: str, now: float) -> None:
-        """Note that an incarnation has not answered a start.
+        """Record a start that an incarnation has not answered.
 
         Args:
             order: The start.
-            incarnation: To whom it was sent.
+            incarnation: The incarnation that it was sent to.
             now: Steady time in seconds.
         """
-        self._drop_old(now)
-        self._sent[order.key, order.run] = incarnation, now
+        self._drop_expired(now)
+        self._starts[order.key, order.run] = incarnation, now
 
     def list_stops(self, incarnation: str, now: float) -> list[orders.Stop]:
-        """Return the stops that an incarnation has to answer.
+        """Return the stops to deliver to an incarnation.
 
         Args:
-            incarnation: Who may carry out what was sent to those before it.
+            incarnation: May carry out starts sent to earlier incarnations.
             now: Steady time in seconds.
         """
-        self._drop_old(now)
+        self._drop_expired(now)
         return [
             orders.Stop(key, run)
-            for (key, run), (sent_to, _) in self._sent.items()
+            for (key, run), (sent_to, _) in self._starts.items()
             if sent_to != incarnation
         ]
 
     def is_settled(self, now: float) -> bool:
-        """Tell whether no start can be carried out any more."""
-        self._drop_old(now)
-        return not self._sent
-
-    def _drop_old(self, now: float) -> None:
-        self._sent = {
-            start: (sent_to, at)
-            for start, (sent_to, at) in self._sent.items()
-            if now < at + _LATEST_S
+        """Return whether none of the starts can be carried out any more."""
+        self._drop_expired(now)
+        return not self._starts
+
+    def _drop_expired(self, now: float) -> None:
+        self._starts = {
+            start_key: (sent_to, sent_at)
+            for start_key, (sent_to, sent_at) in self._starts.items()
+            if now < sent_at + _MAX_DELAY_S
         }
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -1,9 +1,9 @@
-"""Carries waves of upkeep out for the VMs of one pool.
+"""Carries out waves of upkeep for the VMs of one pool.
 
-Owners of several pools share a wave: its record in the store is changed by
+Owners of several pools share a wave. They change its record in the store by
 compare-and-swap, so that together they never take down more VMs at once than
-the wave allows. A VM counts as away from before its order is sent until it
-is back, whoever sends the order.
+the wave allows. A VM counts as away from before its order is sent until it is
+back, whichever owner sends the order.
 """
 
 from collections.abc import Callable
@@ -23,23 +23,24 @@
 from crocusrouter.work import upkeep
 from crocusrouter.work import vms as vm_port
 
-_TICK_S = 0.5
-# An earlier owner's order may be on its way for this long after it was
-# deposed; two holders must not order in turns within it.
-_PREDECESSOR_S = 3.5
+_STEP_INTERVAL_S = 0.5
+# An order of an earlier owner may be in flight for this long after it was
+# deposed; two owners must not send alternating orders within this time.
+_PREDECESSOR_ORDER_S = 3.5
 
 BuildStatus = Callable[[int, bool], tuple[str, bytes]]
 
 
 @dataclasses.dataclass(frozen=True)
 class Upkeeping:
-    """How waves are met on the platform.
+    """How waves are read and carried out on the platform.
 
     Attributes:
-        waves_prefix: Where operators write them.
-        parse_wave: Decodes one.
+        waves_prefix: Key prefix under which operators write waves.
+        parse_wave: Decodes a wave.
         make_vms: Opens the platform's control of VMs.
-        build_status: Returns where and how operators are told of a wave.
+        build_status: Returns key and body that tell operators of a wave's
+            state.
     """
 
     waves_prefix: str
@@ -49,29 +50,30 @@
 
 
 class OpenWaves:
-    """The waves that operators ask for, as one entry knows them."""
+    """The waves that operators requested, as known to one entry."""
 
-    def __init__(self, meeting: Upkeeping | None) -> None:
-        """Know of none.
+    def __init__(self, platform: Upkeeping | None) -> None:
+        """Start without waves.
 
         Args:
-            meeting: How waves are met; None if the platform has none.
+            platform: How waves are read and carried out; None if the platform
+                has no upkeep.
         """
         self.open: dict[str, vm_port.Wave] = {}
-        self.meeting = meeting
+        self.platform = platform
 
-    def take_events(self, events: tuple[records.Event, ...]) -> None:
-        """Take what a watch of the operators' keys saw."""
-        if self.meeting is None:
+    def apply_events(self, events: tuple[records.Event, ...]) -> None:
+        """Apply the events of a watch of the operators' keys."""
+        if self.platform is None:
             return
         for event in events:
             if isinstance(event, records.Removed):
                 self.open.pop(event.key, None)
                 continue
             key = event.record.key
-            if not key.startswith(self.meeting.waves_prefix):
+            if not key.startswith(self.platform.waves_prefix):
                 continue
-            wave = self.meeting.parse_wave(key, event.record.value)
+            wave = self.platform.parse_wave(key, event.record.value)
             if wave is not None:
                 log("wave:asked", wave=wave.number, vms=len(wave.vms))
                 self.open[key] = wave
@@ -82,77 +84,77 @@
 
     def __init__(
         self,
-        held: owner_leases.OwnerLease,
+        owner_lease: owner_leases.OwnerLease,
         holder: str,
         store: port.KeyValueStore,
         book: work.Book,
         clock: clocks.Clock,
         waves: OpenWaves,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
-        """Prepare the duty; `run` does the rest.
+        """Prepare a controller; `run` starts it.
 
         Args:
-            held: The owner's tenure.
-            holder: Name under which orders are given.
+            owner_lease: The owner's lease and epoch.
+            holder: Name under which orders are sent.
             store: The key-value service.
-            book: The pool's book.
+            book: The pool's workers and runs.
             clock: Source of the current time.
-            waves: What operators ask for.
-            changed: Called when the book has changed.
+            waves: The waves that operators requested.
+            on_change: Called when the book has changed.
         """
-        self._owner_lease = held
+        self._owner_lease = owner_lease
         self._holder = holder
         self._store = store
         self._book = book
         self._clock = clock
         self._waves = waves
-        self._changed = changed
+        self._on_change = on_change
         self._records: dict[int, upkeep.WaveRecord] = {}
         self._revisions: dict[int, int] = {}
-        self._over: set[int] = set()
-        self._since: dict[str, float] = {}
-        self._fenced = False
+        self._completed: set[int] = set()
+        self._emptying_since: dict[str, float] = {}
+        self._is_fenced = False
 
     async def run(self) -> None:
         """Work on open waves until cancelled."""
-        meeting = self._waves.meeting
-        if meeting is None:
+        upkeep_platform = self._waves.platform
+        if upkeep_platform is None:
             return
-        await trio.sleep(_PREDECESSOR_S)
+        await trio.sleep(_PREDECESSOR_ORDER_S)
         try:
-            await self._work_forever(meeting)
+            await self._run_wave_loop(upkeep_platform)
         finally:
-            # Workers that were being emptied take work again.
+            # Allow new work on the workers that were being emptied.
             self._book.set_resting(set())
 
-    async def _work_forever(self, meeting: Upkeeping) -> None:
-        while not self._fenced:
-            await trio.sleep(_TICK_S)
+    async def _run_wave_loop(self, upkeep_platform: Upkeeping) -> None:
+        while not self._is_fenced:
+            await trio.sleep(_STEP_INTERVAL_S)
             waves = [
                 wave
                 for wave in self._waves.open.values()
-                if wave.number not in self._over
+                if wave.number not in self._completed
             ]
             if not waves:
                 self._book.set_resting(set())
                 continue
-            await self._work(waves, meeting)
+            await self._advance_waves(waves, upkeep_platform)
 
-    async def _work(
-        self, waves: list[vm_port.Wave], meeting: Upkeeping
+    async def _advance_waves(
+        self, waves: list[vm_port.Wave], upkeep_platform: Upkeeping
     ) -> None:
-        """Take one step in each wave; the platform's list is read once."""
-        vms = meeting.make_vms()
+        """Advance each wave by one step; lists the platform's VMs once."""
+        vms = upkeep_platform.make_vms()
         try:
-            listed = await vms.list_vms()
-            if isinstance(listed, orders.Silent):
-                log("vms:no-answer", cause=listed.cause)
+            listed_vms = await vms.list_vms()
+            if isinstance(listed_vms, orders.Silent):
+                log("vms:no-answer", cause=listed_vms.cause)
                 return
-            listed = self._name_incarnations(listed)
+            listed_vms = self._name_incarnations(listed_vms)
             for wave in waves:
-                await self._advance(wave, listed, vms)
-            self._rest(listed)
+                await self._advance_wave(wave, listed_vms, vms)
+            self._update_resting_workers(listed_vms)
         except client.StoreUnavailableError as error:
             log("wave:no-store", cause=str(error))
         finally:
@@ -160,71 +162,81 @@
                 await vms.aclose()
 
     def _name_incarnations(
-        self, listed: tuple[vm_port.Vm, ...]
+        self, listed_vms: tuple[vm_port.Vm, ...]
     ) -> tuple[vm_port.Vm, ...]:
-        """Name the incarnation on each VM; the platform names its worker."""
+        """Replace the worker id of each VM by the incarnation on it."""
         known = work.map_incarnations(self._book)
         return tuple(
             dataclasses.replace(vm, worker=known.get(vm.worker, ""))
-            for vm in listed
+            for vm in listed_vms
         )
 
-    async def _advance(
+    async def _advance_wave(
         self,
         wave: vm_port.Wave,
-        listed: tuple[vm_port.Vm, ...],
+        listed_vms: tuple[vm_port.Vm, ...],
         vms: vm_port.VmPort,
     ) -> None:
         record = self._records.get(wave.number)
         pool = self._owner_lease.pool
-        if record is None or upkeep.is_shared(wave, record, listed, pool):
-            # Owners of other pools change it too.
-            record = await self._load(wave.number)
-        before = upkeep.dump_record(record)
-        upkeep.note_back(record, listed)
+        if record is None or upkeep.is_shared(wave, record, listed_vms, pool):
+            # Owners of other pools change the record too.
+            record = await self._load_record(wave.number)
+        record_before = upkeep.dump_record(record)
+        upkeep.note_back(record, listed_vms)
         now = self._clock.steady()
-        chosen = upkeep.choose_vm(self._book, pool, wave, record, listed, now)
+        chosen = upkeep.choose_vm(
+            self._book, pool, wave, record, listed_vms, now
+        )
         if chosen is not None:
             record.begun[chosen.name] = chosen.worker
-        is_over = upkeep.is_over(wave, record, listed)
-        changed = is_over or upkeep.dump_record(record) != before
-        if changed and not await self._write(wave.number, record, is_over):
+        is_over = upkeep.is_over(wave, record, listed_vms)
+        has_changed = is_over or upkeep.dump_record(record) != record_before
+        if has_changed and not await self._write_record(
+            wave.number, record, is_over
+        ):
             return
         if is_over:
-            self._over.add(wave.number)
+            self._completed.add(wave.number)
             log("wave:completed", wave=wave.number)
             return
-        await self._empty_and_order(wave, record, listed, vms)
+        await self._empty_and_order_vms(wave, record, listed_vms, vms)
 
-    async def _empty_and_order(
+    async def _empty_and_order_vms(
         self,
         wave: vm_port.Wave,
         record: upkeep.WaveRecord,
-        listed: tuple[vm_port.Vm, ...],
+        listed_vms: tuple[vm_port.Vm, ...],
         vms: vm_port.VmPort,
     ) -> None:
-        """Empty the VMs that are begun; order down those that are empty."""
+        """Empty the VMs whose upkeep has begun; order upkeep of empty ones."""
         now = self._clock.steady()
-        ours = {
-            vm.name: vm for vm in listed if vm.pool == self._owner_lease.pool
+        pool_vms = {
+            vm.name: vm
+            for vm in listed_vms
+            if vm.pool == self._owner_lease.pool
         }
-        for name in list(record.begun):
-            vm = ours.get(name)
+        for vm_name in list(record.begun):
+            vm = pool_vms.get(vm_name)
             if vm is None or vm.state is not vm_port.VmState.UP:
                 continue
-            since = self._since.setdefault(name, now)
-            held = self._book.workers.get(vm.worker)
-            leave_by = since + upkeep.measure_patience(wave)
+            emptying_since = self._emptying_since.setdefault(vm_name, now)
+            worker_state = self._book.workers.get(vm.worker)
+            evacuate_by = emptying_since + upkeep.measure_patience(wave)
             for run, why in upkeep.list_evacuations(
-                self._book, vm.worker, now, leave_by
+                self._book, vm.worker, now, evacuate_by
             ):
                 self._book.stop_run(run, why, now)
-                self._changed()
-            if held is None or not held.resting or held.runs:
+                self._on_change()
+            if (
+                worker_state is None
+                or not worker_state.resting
+                or worker_state.runs
+            ):
                 continue
-            await self._order(wave.number, record, vm, vms)
+            await self._order_upkeep(wave.number, record, vm, vms)
 
-    async def _order(
+    async def _order_upkeep(
         self,
         wave: int,
         record: upkeep.WaveRecord,
@@ -238,54 +250,63 @@
         )
         log("upkeep:ordered", wave=wave, vm=vm.name, answer=str(answer))
         if answer is vm_port.Upkeep.FENCED:
-            self._fenced = True
+            self._is_fenced = True
         if answer is vm_port.Upkeep.FOREIGN:
             record.begun.pop(vm.name)
             record.done.add(vm.name)
-            await self._write(wave, record, False)
+            await self._write_record(wave, record, False)
         if answer is vm_port.Upkeep.DONE:
-            # Kept with the worker from before the first order: that one may
-            # have been carried out and its answer lost, and the VM be back.
+            # Stored with the incarnation from before the first order: that
+            # order may have been carried out although its answer was lost, and
+            # the VM may already be back.
             record.down[vm.name] = record.begun.pop(vm.name)
-            await self._write(wave, record, False)
+            await self._write_record(wave, record, False)
 
-    def _rest(self, listed: tuple[vm_port.Vm, ...]) -> None:
+    def _update_resting_workers(
+        self, listed_vms: tuple[vm_port.Vm, ...]
+    ) -> None:
         """Keep new work off the workers that are being emptied."""
-        begun = {name for held in self._records.values() for name in held.begun}
-        self._book.set_resting({vm.worker for vm in listed if vm.name in begun})
-        self._changed()
+        begun_vms = {
+            vm_name
+            for record in self._records.values()
+            for vm_name in record.begun
+        }
+        self._book.set_resting(
+            {vm.worker for vm in listed_vms if vm.name in begun_vms}
+        )
+        self._on_change()
 
-    # The record.
+    # The record in the store.
 
-    async def _load(self, wave: int) -> upkeep.WaveRecord:
-        found = await self._store.read(keys.build_wave_key(wave))
-        self._revisions[wave] = found.revision if found is not None else 0
+    async def _load_record(self, wave: int) -> upkeep.WaveRecord:
+        stored = await self._store.read(keys.build_wave_key(wave))
+        self._revisions[wave] = stored.revision if stored is not None else 0
         record = (
-            upkeep.parse_record(found.value)
-            if found is not None
+            upkeep.parse_record(stored.value)
+            if stored is not None
             else upkeep.WaveRecord()
         )
         self._records[wave] = record
         return record
 
-    async def _write(
+    async def _write_record(
         self, wave: int, record: upkeep.WaveRecord, is_over: bool
     ) -> bool:
-        """Write a record and what operators are told.
+        """Write a wave's record and the status that operators read.
 
         Returns:
-            Whether both are stored. If not, the record is read anew before
-            anything follows from it: another owner may have changed it, or
-            this write may still be carried out.
+            Whether both are stored. If not, the record must be read again
+            before it is used: another owner may have changed it, or this write
+            may still be carried out.
         """
         key = keys.build_wave_key(wave)
-        assert self._waves.meeting is not None
-        status, body = self._waves.meeting.build_status(wave, is_over)
+        assert self._waves.platform is not None
+        status_key, body = self._waves.platform.build_status(wave, is_over)
         outcome = await self._store.write(
             (self._owner_lease.guard, port.Guard(key, self._revisions[wave])),
             (
                 port.Write(key, upkeep.dump_record(record)),
-                port.Write(status, body),
+                port.Write(status_key, body),
             ),
         )
         if isinstance(outcome, port.Written):
--- a/crocusrouter/pools/worker_leases.py
+++ b/crocusrouter/pools/worker_leases.py
@@ -1,30 +1,30 @@
-"""A worker's clock and the lease of all that runs there.
+"""Tracks a worker's clock and the end of the lease of its runs.
 
-A worker measures leases on its own clock, which may run 2% slow. Times are
-in seconds of our steady clock unless a name says milliseconds.
+A worker measures leases on its own clock, which may run 2% slow. Times are in
+seconds of our steady clock unless a name says milliseconds.
 """
 
 import dataclasses
 
-# How long tasks live without renewal. It outlasts a takeover (about 2.5 s)
-# and all entries losing power (about 4.5 s); a worker that can't be reached
-# delays the tasks it had by no more than this.
+# How long tasks run without a renewal. The lease outlasts a takeover (about 2.5
+# s) and a power loss of all entries (about 4.5 s). An unreachable worker delays
+# the tasks that it had by no more than this.
 LEASE_S = 6.0
-_SLOWEST_CLOCK = 0.98
-_MARGIN_MS = 50.0
-# An earlier owner may have renewed for this long after its successor began:
-# until a heartbeat or a fence told it.
-_PREDECESSOR_S = 1.5
+_MIN_CLOCK_RATE = 0.98
+_SAFETY_MARGIN_MS = 50.0
+# An earlier owner may have renewed the lease for this long after its successor
+# began, until a heartbeat or a fence informed it.
+_PREDECESSOR_RENEWAL_S = 1.5
 
 
 @dataclasses.dataclass
 class WorkerLease:
-    """What is known of one worker's clock and lease.
+    """What the owner knows of one worker's clock and lease.
 
     Attributes:
         opened_at: When this owner began.
-        clock_ms: What the worker's clock said last; None if it never did.
-        heard_at: When that arrived.
+        clock_ms: Latest reading of the worker's clock; None if there is none.
+        heard_at: When that reading arrived.
         until_ms: Latest end of a lease that we have sent, on its clock.
     """
 
@@ -34,15 +34,15 @@
     until_ms: float = 0.0
 
     def note(self, clock_ms: float | None, now: float) -> None:
-        """Note what the worker's clock said in an answer."""
+        """Record the clock reading of an answer."""
         if not clock_ms:
             return
-        if self.clock_ms is None or clock_ms >= self._read_at_least(now):
+        if self.clock_ms is None or clock_ms >= self._estimate_earliest_ms(now):
             self.clock_ms = float(clock_ms)
             self.heard_at = now
 
     def extend(self, now: float) -> int | None:
-        """Return the end of a fresh lease in the worker's milliseconds."""
+        """Return the end of a new lease in the worker's milliseconds."""
         if self.clock_ms is None:
             return None
         until = self.clock_ms + (now - self.heard_at + LEASE_S) * 1000
@@ -50,19 +50,21 @@
         return int(until)
 
     def has_lapsed(self, now: float) -> bool:
-        """Tell whether nothing that we or an earlier owner leased can run.
+        """Return whether no run leased by us or an earlier owner can go on.
 
-        >>> clock = WorkerLease(opened_at=0.0)
-        >>> clock.has_lapsed(7.0), clock.has_lapsed(8.0)
+        >>> lease = WorkerLease(opened_at=0.0)
+        >>> lease.has_lapsed(7.0), lease.has_lapsed(8.0)
         (False, True)
         """
         if self.clock_ms is None or not self.until_ms:
-            limit_s = (LEASE_S + _PREDECESSOR_S) / _SLOWEST_CLOCK
+            limit_s = (LEASE_S + _PREDECESSOR_RENEWAL_S) / _MIN_CLOCK_RATE
             return now > self.opened_at + limit_s
-        return self._read_at_least(now) > self.until_ms + _MARGIN_MS
+        return (
+            self._estimate_earliest_ms(now) > self.until_ms + _SAFETY_MARGIN_MS
+        )
 
-    def _read_at_least(self, now: float) -> float:
-        """Return what a slow clock has reached by now."""
+    def _estimate_earliest_ms(self, now: float) -> float:
+        """Return the worker's time by now if its clock runs slow."""
         assert self.clock_ms is not None
         passed_ms = (now - self.heard_at) * 1000
-        return self.clock_ms + passed_ms * _SLOWEST_CLOCK
+        return self.clock_ms + passed_ms * _MIN_CLOCK_RATE
--- a/crocusrouter/pools/worker_links.py
+++ b/crocusrouter/pools/worker_links.py
@@ -1,4 +1,4 @@
-"""The owner's link to one worker: leases, reports and orders."""
+"""Connects a pool's owner with one worker: lease renewals, reports, orders."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,31 +14,32 @@
 from crocusrouter.work import orders
 from crocusrouter.work import runs
 
-# A look waits this long for an end. Longer looks are fewer, shorter ones
-# show sooner that a worker is silent or a task stands still.
-_LOOK_S = 1.0
-_RETRY_S = 0.25
-# Without a confirmation the same ends are listed at once; this paces looks
-# while the journal can't be written.
-_UNCONFIRMED_PAUSE_S = 0.5
-# Orders are answered in milliseconds. One unanswered for this long is sent
-# again under the same number, which cannot run it twice.
+# How long a poll of the worker waits for a task to end. Longer polls are fewer
+# calls; shorter ones show sooner that a worker is silent or a task makes no
+# progress.
+_POLL_WAIT_S = 1.0
+_RETRY_DELAY_S = 0.25
+# A worker lists ended tasks until they are confirmed, so polls return at once.
+# This limits their rate while the journal can't be written.
+_UNCONFIRMED_POLL_DELAY_S = 0.5
+# Orders are answered in milliseconds. An order without an answer is sent again
+# after this time under the same run number, so it can't run twice.
 _ORDER_TIMEOUT_S = 0.35
-# Members of a gang wait 3 s for each other; past this an order is given up.
-_START_PATIENCE_S = 2.0
+# Members of a gang wait 3 s for each other, so a start is given up earlier.
+_START_TIMEOUT_S = 2.0
 
 
-# Told when another incarnation answers: who was meant, who answers (None if
-# that isn't known), and the stops that the latter has to answer.
-Replaced = Callable[[str, str | None, list[orders.Stop]], None]
+# Called when another incarnation answers, with the expected incarnation, the
+# answering one (None if unknown), and the stops to deliver to the latter.
+OnReplaced = Callable[[str, str | None, list[orders.Stop]], None]
 
 
 class WorkerLink:
-    """Keeps one incarnation's lease and carries orders to it."""
+    """Renews the lease of one incarnation and delivers orders to it."""
 
     def __init__(
         self,
-        worker: str,
+        incarnation: str,
         port: orders.WorkerPort,
         epoch: int,
         book: work.Book,
@@ -46,28 +47,28 @@
         settle: Callable[[], Awaitable[None]],
         may_renew: Callable[[], bool],
         may_start: Callable[[float], bool],
-        changed: Callable[[], None],
-        replaced: Replaced,
-        unanswered: unanswered_starts.UnansweredStarts,
+        on_change: Callable[[], None],
+        on_replaced: OnReplaced,
+        pending_starts: unanswered_starts.UnansweredStarts,
     ) -> None:
         """Open a link.
 
         Args:
-            worker: The incarnation.
+            incarnation: The incarnation of the worker.
             port: How to reach it.
             epoch: The owner's epoch.
-            book: Told of everything that the worker says.
+            book: Updated with everything that the worker reports.
             clock: Source of the current time.
-            settle: Waits until what the book has noted is durable.
-            may_renew: Whether leases may be renewed now.
-            may_start: Whether it is known well enough, at a steady time, which
-                jobs were cancelled and which workers leave.
-            changed: Called when the book has changed.
-            replaced: Called when another incarnation answers.
-            unanswered: Shared with the links to the worker's other
-                incarnations.
+            settle: Waits until the book's changes are durable.
+            may_renew: Returns whether leases may be renewed now.
+            may_start: Returns whether, at a steady time, the owner's view of
+                cancelled jobs and draining workers is recent enough for starts.
+            on_change: Called when the book has changed.
+            on_replaced: Called when another incarnation answers.
+            pending_starts: Unanswered starts; shared with the links to the
+                worker's other incarnations.
         """
-        self.worker = worker
+        self.incarnation = incarnation
         self.lease = worker_leases.WorkerLease(clock.steady())
         self._port = port
         self._epoch = epoch
@@ -76,275 +77,292 @@
         self._settle = settle
         self._may_renew = may_renew
         self._may_start = may_start
-        self._changed = changed
-        self._replaced = replaced
-        self._unanswered = unanswered
-        self._seen = 0
-        self._wake = trio.Event()
-        self._gone = False
+        self._on_change = on_change
+        self._on_replaced = on_replaced
+        self._pending_starts = pending_starts
+        self._confirmed_number = 0
+        self._wake_event = trio.Event()
+        self._is_abandoned = False
 
     def wake(self) -> None:
-        """Say that the worker has something to hold."""
-        self._wake.set()
+        """Resume polling because the worker has something to run or stop."""
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Look after the worker until another incarnation answers there.
+        """Poll the worker until another incarnation answers in its place.
 
         Raises:
             DeposedError: The worker knows a later owner.
         """
         try:
-            await self._look(0.0)
+            await self._poll(0.0)
             await self._stop_late_starts()
-            while not self._gone:
-                held = self._book.workers.get(self.worker)
-                if held is None:
+            while not self._is_abandoned:
+                worker_state = self._book.workers.get(self.incarnation)
+                if worker_state is None:
                     return
-                idle = not held.runs and not held.strays
-                if idle and held.silent_since is None:
-                    if not held.listed:
+                is_idle = not worker_state.runs and not worker_state.strays
+                if is_idle and worker_state.silent_since is None:
+                    if not worker_state.listed:
                         return
-                    await self._wake.wait()
-                self._wake = trio.Event()
-                if not self._gone:
-                    await self._look(_LOOK_S)
+                    await self._wake_event.wait()
+                self._wake_event = trio.Event()
+                if not self._is_abandoned:
+                    await self._poll(_POLL_WAIT_S)
         finally:
             with trio.CancelScope(shield=True):
                 await self._port.aclose()
 
-    async def _look(self, wait_s: float) -> None:
+    async def _poll(self, wait_s: float) -> None:
         now = self._clock.steady()
-        held = self._book.workers[self.worker]
+        worker_state = self._book.workers[self.incarnation]
         until_ms = None
-        # A worker that has not answered gets looks that renew nothing:
-        # each unanswered renewal may have been carried out, so the end of
-        # its lease would move on for ever.
-        if held.reached and held.silent_since is None and self._may_renew():
+        # A silent worker is polled without renewals. Each unanswered renewal
+        # may have been carried out, so the end of its lease would be postponed
+        # for ever.
+        if (
+            worker_state.reached
+            and worker_state.silent_since is None
+            and self._may_renew()
+        ):
             until_ms = self.lease.extend(now)
-        result = await self._port.hold(
-            self._epoch, self._seen, until_ms, wait_s
+        answer = await self._port.hold(
+            self._epoch, self._confirmed_number, until_ms, wait_s
         )
-        match result:
+        match answer:
             case orders.Report():
-                await self._take_report(result, now)
+                await self._handle_report(answer, now)
             case orders.Rejected(orders.Why.FENCED):
-                raise journals.DeposedError(f"fenced by {self.worker}")
-            case orders.Rejected(orders.Why.OTHER_INCARNATION, _, other):
-                self._leave(other)
+                raise journals.DeposedError(f"fenced by {self.incarnation}")
+            case orders.Rejected(orders.Why.OTHER_INCARNATION, _, successor):
+                self._abandon(successor)
             case _:
-                await self._take_silence()
+                await self._handle_silence()
 
-    async def _take_report(self, report: orders.Report, sent_at: float) -> None:
+    async def _handle_report(
+        self, report: orders.Report, sent_at: float
+    ) -> None:
         now = self._clock.steady()
         self.lease.note(report.clock_ms, now)
-        work.take_report(self._book, self.worker, report, sent_at, now)
-        self._changed()
+        work.take_report(self._book, self.incarnation, report, sent_at, now)
+        self._on_change()
         if not report.ended:
             return
-        last = max(ended.number for ended in report.ended)
-        with trio.move_on_after(_UNCONFIRMED_PAUSE_S):
+        last_number = max(ended.number for ended in report.ended)
+        with trio.move_on_after(_UNCONFIRMED_POLL_DELAY_S):
             await self._settle()
-            self._seen = max(self._seen, last)
+            self._confirmed_number = max(self._confirmed_number, last_number)
 
-    async def _take_silence(self) -> None:
+    async def _handle_silence(self) -> None:
         now = self._clock.steady()
-        work.note_silent(self._book, self.worker, now)
-        held = self._book.workers[self.worker]
-        if not held.lapsed and self.lease.has_lapsed(now):
-            why = "its lease has ended"
-            work.note_lapsed(self._book, self.worker, why, now)
-            self._changed()
-            if not held.listed:
-                self._gone = True
-        await trio.sleep(_RETRY_S)
-
-    def _leave(self, other: str | None) -> None:
-        """Give the incarnation up: another one answers in its place."""
-        self._gone = True
+        work.note_silent(self._book, self.incarnation, now)
+        worker_state = self._book.workers[self.incarnation]
+        if not worker_state.lapsed and self.lease.has_lapsed(now):
+            why = "the worker's lease expired"
+            work.note_lapsed(self._book, self.incarnation, why, now)
+            self._on_change()
+            if not worker_state.listed:
+                self._is_abandoned = True
+        await trio.sleep(_RETRY_DELAY_S)
+
+    def _abandon(self, successor: str | None) -> None:
+        """Abandon the incarnation because another one answers in its place."""
+        self._is_abandoned = True
         stops = (
-            self._unanswered.list_stops(other, self._clock.steady())
-            if other is not None
+            self._pending_starts.list_stops(successor, self._clock.steady())
+            if successor is not None
             else []
         )
-        self._replaced(self.worker, other, stops)
+        self._on_replaced(self.incarnation, successor, stops)
         self.wake()
-        self._changed()
+        self._on_change()
 
     # Orders.
 
     async def start(self, order: orders.Start) -> None:
-        """Deliver a start; afterwards the book knows how it went.
+        """Deliver a start and record its outcome in the book.
 
         Raises:
             DeposedError: The worker knows a later owner.
         """
-        give_up_at = self._clock.steady() + _START_PATIENCE_S
+        give_up_at = self._clock.steady() + _START_TIMEOUT_S
         maybe_begun = False
-        while self._is_wanted(order):
+        while self._may_send(order):
             now = self._clock.steady()
             until_ms = self.lease.extend(now)
             if until_ms is None or now > give_up_at:
                 break
-            result = await self._port.start(
+            answer = await self._port.start(
                 self._epoch, order, until_ms, _ORDER_TIMEOUT_S
             )
             now = self._clock.steady()
-            match result:
+            match answer:
                 case orders.Taken(clock_ms):
                     self.lease.note(clock_ms, now)
                     self._book.note_taken(order.key, order.run, now)
-                    self._note_if_leaving(order)
+                    self._note_if_draining(order)
                     self.wake()
-                    self._changed()
+                    self._on_change()
                     return
                 case orders.Rejected(orders.Why.FENCED):
-                    raise journals.DeposedError(f"fenced by {self.worker}")
-                case orders.Rejected(orders.Why.OTHER_INCARNATION, _, other):
-                    self._leave(other)
+                    raise journals.DeposedError(f"fenced by {self.incarnation}")
+                case orders.Rejected(
+                    orders.Why.OTHER_INCARNATION, _, successor
+                ):
+                    self._abandon(successor)
                     return
                 case orders.Rejected(why):
                     if not maybe_begun:
-                        self._reject(order, str(why))
+                        self._note_rejected(order, str(why))
                         return
                     break
                 case orders.Silent(cause, maybe_done):
                     maybe_begun = maybe_begun or maybe_done
                     if maybe_done:
                         self._book.note_maybe_begun(order.key, order.run)
-                        self._unanswered.note(order, self.worker, now)
+                        self._pending_starts.note(order, self.incarnation, now)
                     log(
                         "order:unanswered",
                         task=order.key,
                         run=order.run,
-                        worker=self.worker,
+                        worker=self.incarnation,
                         cause=cause,
                     )
                     if not maybe_done:
-                        await trio.sleep(_RETRY_S)
-        await self._give_up(order, maybe_begun)
+                        await trio.sleep(_RETRY_DELAY_S)
+        await self._resolve_unconfirmed_start(order, maybe_begun)
 
-    def _is_wanted(self, order: orders.Start) -> bool:
-        """Tell whether an order may be sent, or sent again.
+    def _may_send(self, order: orders.Start) -> bool:
+        """Return whether a start may be sent, or sent again.
 
-        Not to a worker that drains or shrinks meanwhile: a start that was
-        repeated until 2 s after the decision came later than it may get
-        anything new.
+        A worker that drains or shrinks in the meantime must not get it: a start
+        is repeated for up to 2 s after the decision, which is later than the
+        worker may get anything new.
         """
         run = self._book.runs.get(order.key)
-        held = self._book.workers.get(self.worker)
+        worker_state = self._book.workers.get(self.incarnation)
         return (
             run is not None
             and run.number == order.run
             and run.phase is runs.Phase.ORDERED
-            and held is not None
-            and not held.sealed
+            and worker_state is not None
+            and not worker_state.sealed
             and run.work is not None
-            and not held.is_over(run.work.step.charge)
+            and not worker_state.is_over(run.work.step.charge)
             and self._may_start(self._clock.steady())
         )
 
-    def _note_if_leaving(self, order: orders.Start) -> None:
-        """Tell of a start that crossed the word that its worker leaves."""
-        held = self._book.workers.get(self.worker)
-        if held is not None and held.sealed:
+    def _note_if_draining(self, order: orders.Start) -> None:
+        """Record a start that was accepted after its worker began to drain."""
+        worker_state = self._book.workers.get(self.incarnation)
+        if worker_state is not None and worker_state.sealed:
             self._book.note(
                 "run:on-leaving",
                 task=order.key,
                 run=order.run,
-                worker=self.worker,
+                worker=self.incarnation,
             )
 
-    def _reject(self, order: orders.Start, why: str) -> None:
+    def _note_rejected(self, order: orders.Start, why: str) -> None:
         now = self._clock.steady()
         self._book.note_not_begun(order.key, order.run, why, now)
-        self._changed()
+        self._on_change()
 
-    async def _give_up(self, order: orders.Start, maybe_begun: bool) -> None:
-        """Settle a start that nobody has confirmed.
+    async def _resolve_unconfirmed_start(
+        self, order: orders.Start, maybe_begun: bool
+    ) -> None:
+        """Resolve a start that was not confirmed in time.
 
-        It may still be carried out. A stop that is answered keeps it from
-        starting afterwards; until then the task counts as running there.
+        The worker may still carry it out. An answered stop prevents that; until
+        then the task counts as running there.
         """
         run = self._book.runs.get(order.key)
         if run is None or run.number != order.run:
             return
         if not maybe_begun and run.phase is runs.Phase.ORDERED:
-            self._reject(order, "unreachable")
+            self._note_rejected(order, "unreachable")
             return
         if run.phase is runs.Phase.ORDERED:
             now = self._clock.steady()
             self._book.stop_run(run, "its start was not answered", now)
             if run.work is not None and run.work.step.gang:
-                # The others would wait for it until they end alone.
+                # The other members would wait for it and then end alone.
                 why = "a member's start was not answered"
                 self._book.stop_step(run.work, why, now)
-            self._changed()
+            self._on_change()
 
     async def _stop_late_starts(self) -> None:
-        """Keep the worker from what was ordered to incarnations before it."""
-        held = self._book.workers.get(self.worker)
-        if self._gone or held is None or not held.reached:
+        """Stop starts that were sent to the worker's earlier incarnations."""
+        worker_state = self._book.workers.get(self.incarnation)
+        if (
+            self._is_abandoned
+            or worker_state is None
+            or not worker_state.reached
+        ):
             return
         now = self._clock.steady()
-        for order in self._unanswered.list_stops(self.worker, now):
+        for order in self._pending_starts.list_stops(self.incarnation, now):
             await self.stop(order)
 
-    def _is_current(self, order: orders.Stop) -> bool:
+    def _is_current_run(self, order: orders.Stop) -> bool:
         run = self._book.runs.get(order.key)
         return run is not None and run.number == order.run
 
     async def stop(self, order: orders.Stop) -> None:
-        """Deliver a stop; repeated until it is answered or has no object.
+        """Deliver a stop, repeated until it is answered or pointless.
 
-        A run that the book doesn't know, such as one of a cancelled job that
-        an order carried out late has begun, would go on until its lease ends
-        if its only stop were lost: nothing else looks at an idle worker.
+        The book may not know the run, for example if a late order started a
+        task of a cancelled job. If the only stop of such a run were lost, the
+        run would go on until its lease ends, because an idle worker is not
+        polled.
 
         Raises:
             DeposedError: The worker knows a later owner.
         """
-        known = self._is_current(order)
-        while not self._gone:
-            result = await self._port.stop(self._epoch, order, _ORDER_TIMEOUT_S)
-            match result:
+        is_known_run = self._is_current_run(order)
+        while not self._is_abandoned:
+            answer = await self._port.stop(self._epoch, order, _ORDER_TIMEOUT_S)
+            match answer:
                 case orders.Rejected(orders.Why.FENCED):
-                    raise journals.DeposedError(f"fenced by {self.worker}")
+                    raise journals.DeposedError(f"fenced by {self.incarnation}")
                 case orders.Taken(clock_ms):
                     now = self._clock.steady()
                     self.lease.note(clock_ms, now)
-                    await self._settle_stop(order, now)
+                    await self._handle_stopped(order, now)
                     return
-                case orders.Rejected(orders.Why.OTHER_INCARNATION, _, other):
-                    self._leave(other)
+                case orders.Rejected(
+                    orders.Why.OTHER_INCARNATION, _, successor
+                ):
+                    self._abandon(successor)
                     return
-            if known and not self._is_current(order):
+            if is_known_run and not self._is_current_run(order):
                 return
-            if not known and self.lease.has_lapsed(self._clock.steady()):
+            if not is_known_run and self.lease.has_lapsed(self._clock.steady()):
                 return
             self.wake()
-            await trio.sleep(_RETRY_S)
+            await trio.sleep(_RETRY_DELAY_S)
 
     async def pace(self, order: orders.Pace) -> None:
-        """Deliver a pace once; the next decision repeats what was lost.
+        """Deliver a pace order once; the next decision repeats a lost one.
 
         Raises:
             DeposedError: The worker knows a later owner.
         """
-        result = await self._port.pace(self._epoch, order, _ORDER_TIMEOUT_S)
+        answer = await self._port.pace(self._epoch, order, _ORDER_TIMEOUT_S)
         now = self._clock.steady()
-        match result:
+        match answer:
             case orders.Taken():
                 self._book.note_paced(order.key, order.run, order.percent, now)
                 log("run:paced", task=order.key, percent=order.percent)
             case orders.Rejected(orders.Why.FENCED):
-                raise journals.DeposedError(f"fenced by {self.worker}")
+                raise journals.DeposedError(f"fenced by {self.incarnation}")
             case _:
-                log("run:not-paced", task=order.key, answer=str(result))
+                log("run:not-paced", task=order.key, answer=str(answer))
 
-    async def _settle_stop(self, order: orders.Stop, now: float) -> None:
+    async def _handle_stopped(self, order: orders.Stop, now: float) -> None:
         run = self._book.runs.get(order.key)
-        ours = run is not None and run.number == order.run
-        if run is not None and ours and run.confirmed_at is None:
+        is_current = run is not None and run.number == order.run
+        if run is not None and is_current and run.confirmed_at is None:
             self._book.note_settled(order.key, order.run, now)
-            await self._look(0.0)
+            await self._poll(0.0)
         self.wake()
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers, as the owner of one pool follows it."""
+"""Follows the platform's list of workers for the owner of one pool."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,18 +15,18 @@
 from crocusrouter.work import runs
 
 # Workers write every 1.5 s; with this pause their changes share calls.
-_PACE_S = 0.4
+_ANSWER_PAUSE_S = 0.4
 
 ParseWorker = Callable[[str, bytes], orders.WorkerEntry | None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Source:
-    """Where workers are listed.
+    """Location and format of the list of workers.
 
     Attributes:
-        prefix: Of their keys in the key-value service.
-        parse: Decodes an entry; None if it names no worker.
+        prefix: Key prefix in the key-value service.
+        parse: Decodes an entry; returns None if it is not a valid worker.
     """
 
     prefix: str
@@ -35,24 +35,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Listeners:
-    """Who is told of what the list says.
+    """Callbacks for changes of the list.
 
     Attributes:
-        listed: Called with the id and the address of a worker of the pool.
-        unlisted: Called with the id of one that is listed no more.
-        changed: Called when there may be something to decide.
+        listed: Called with the incarnation and the address of a worker of the
+            pool.
+        unlisted: Called with an incarnation that is no longer listed.
+        changed: Called when there may be something to schedule.
     """
 
-    listed: Callable[[str, str], None]
-    unlisted: Callable[[str], None]
-    changed: Callable[[], None]
+    on_listed: Callable[[str, str], None]
+    on_unlisted: Callable[[str], None]
+    on_change: Callable[[], None]
 
 
 class WorkerList:
-    """Keeps a book's workers as the platform lists them.
+    """Keeps the workers of a book in line with the platform's list.
 
     Attributes:
-        freshness: How recently the list was heard.
+        freshness: How recently the list was received.
     """
 
     def __init__(
@@ -65,16 +66,16 @@
         metrics: Metrics,
         listeners: Listeners,
     ) -> None:
-        """Prepare the follower.
+        """Prepare to follow the list.
 
         Args:
-            source: Where workers are listed.
+            source: Location and format of the list.
             store: The key-value service.
-            pool: Workers of other pools are passed over.
-            book: Told of the workers.
+            pool: Name of the pool; workers of other pools are ignored.
+            book: Updated with the workers.
             clock: Source of the current time.
             metrics: Counts unreadable entries.
-            listeners: Told what the book can't act on.
+            listeners: Called for changes that the book can't act on.
         """
         self._source = source
         self._pool = pool
@@ -82,18 +83,18 @@
         self._clock = clock
         self._metrics = metrics
         self._listeners = listeners
-        # The incarnation that each key tells of.
-        self._incarnations: dict[str, str] = {}
+        # Maps each key to the incarnation that it describes.
+        self._incarnations_by_key: dict[str, str] = {}
         self.freshness = freshness.Freshness(
-            source.prefix, clock, metrics, listeners.changed
+            source.prefix, clock, metrics, listeners.on_change
         )
         self._follower = intake.Follower(
             store,
             source.prefix,
-            self._take,
+            self._handle_events,
             metrics,
             self.freshness.note_answer,
-            pace_s=_PACE_S,
+            pace_s=_ANSWER_PAUSE_S,
         )
 
     async def load(self) -> None:
@@ -104,61 +105,64 @@
         """Follow changes until cancelled."""
         await self._follower.run()
 
-    def _take(self, events: tuple[records.Event, ...]) -> None:
+    def _handle_events(self, events: tuple[records.Event, ...]) -> None:
         now = self._clock.steady()
         for event in events:
             if isinstance(event, records.Removed):
                 self._unlist(event.key)
             else:
-                self._take_record(event.record, now)
-        self._listeners.changed()
+                self._handle_record(event.record, now)
+        self._listeners.on_change()
 
-    def _take_record(self, record: records.Record, now: float) -> None:
+    def _handle_record(self, record: records.Record, now: float) -> None:
         entry = self._source.parse(record.key, record.value)
         if entry is None:
             self._metrics.count_event("worker-unreadable")
         if entry is None or entry.pool != self._pool:
-            # Somebody else may have written over a worker's entry. It gets
-            # nothing new until its own heartbeat stands there again, and what
-            # it runs is looked after.
+            # Another writer may have overwritten the worker's entry. The worker
+            # gets nothing new until its own heartbeat is stored again, and its
+            # runs are still polled.
             self._unlist(record.key)
             return
-        if self._incarnations.get(record.key) != entry.id:
+        if self._incarnations_by_key.get(record.key) != entry.id:
             # Another process has started under the worker's id.
             self._unlist(record.key)
-        self._incarnations[record.key] = entry.id
-        known = self._book.workers.get(entry.id)
-        leaves = entry.draining and not (known is not None and known.sealed)
+        self._incarnations_by_key[record.key] = entry.id
+        worker_state = self._book.workers.get(entry.id)
+        starts_draining = entry.draining and not (
+            worker_state is not None and worker_state.sealed
+        )
         self._book.set_worker(entry, now)
-        if leaves:
-            self._tell_leaving(entry.id, record.revision)
-        self._listeners.listed(entry.id, entry.address)
+        if starts_draining:
+            self._log_draining(entry.id, record.revision)
+        self._listeners.on_listed(entry.id, entry.address)
 
     def _unlist(self, key: str) -> None:
-        incarnation = self._incarnations.pop(key, None)
+        incarnation = self._incarnations_by_key.pop(key, None)
         if incarnation is not None:
             self._book.unlist_worker(incarnation)
-            self._listeners.unlisted(incarnation)
+            self._listeners.on_unlisted(incarnation)
 
-    def _tell_leaving(self, worker: str, revision: int) -> None:
-        """Log how late the word may have come, and what it came too late for.
+    def _log_draining(self, incarnation: str, revision: int) -> None:
+        """Log that a worker drains, and how many starts may have been too late.
 
-        Starts on a worker that leaves have three causes that look alike to its
-        callers: a list that was not heard, an order under way or repeated, a
-        worker that was taken for a new one.
+        A start on a draining worker has three possible causes that look alike
+        to callers: a list that was not received, an order in flight or
+        repeated, and a draining worker that was taken for a new one.
         """
-        held = self._book.workers[worker]
+        worker_state = self._book.workers[incarnation]
         log(
             "worker:leaves",
             pool=self._pool,
-            worker=worker,
+            worker=incarnation,
             revision=revision,
-            unheard_s=round(self.freshness.unheard_s, 3),
+            unheard_s=round(self.freshness.last_gap_s, 3),
             started_unheard=sum(
-                run.since >= self.freshness.heard_before
-                for run in held.runs.values()
+                run.since >= self.freshness.previous_answer_at
+                for run in worker_state.runs.values()
             ),
             under_way=sum(
-                run.phase is runs.Phase.ORDERED for run in held.runs.values()
+                run.phase is runs.Phase.ORDERED
+                for run in worker_state.runs.values()
             ),
         )
