--- a/crocusrouter/pools/config_refresh.py
+++ b/crocusrouter/pools/config_refresh.py
@@ -138,7 +138,7 @@
                 return
 
     async def _check(self) -> None:
-        """Ask until somebody answers or nobody is left to ask."""
+        """Ask until an answer arrives or the time for the check is over."""
         answers_before = self._answer_count
         began_at = self._clock.steady()
         is_down = self._is_down()
@@ -164,18 +164,18 @@
     async def _ask_all(self) -> None:
         """Ask the service; without an answer, ask it again and the peers."""
         async with trio.open_nursery() as nursery:
-            first_read_failed = trio.Event()
+            first_read_finished = trio.Event()
 
             async def ask(read: Read) -> None:
                 if await self._ask(read):
                     nursery.cancel_scope.cancel()
-                first_read_failed.set()
+                first_read_finished.set()
 
             nursery.start_soon(ask, self._read)
             with trio.move_on_after(_ANSWER_TIMEOUT_S):
-                await first_read_failed.wait()
+                await first_read_finished.wait()
             nursery.start_soon(ask, self._read_by_peers)
-            if not first_read_failed.is_set():
+            if not first_read_finished.is_set():
                 nursery.start_soon(ask, self._read)
 
     async def _ask(self, read: Read) -> bool:
--- a/crocusrouter/pools/configuration.py
+++ b/crocusrouter/pools/configuration.py
@@ -83,7 +83,7 @@
         return self._is_younger(_MAX_AGE_SHARE * self._apply_s, now)
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether calls may be decided while nobody can be asked."""
+        """Return whether calls may be decided although no check is answered."""
         return self._is_younger(_MAX_UNCONFIRMED_AGE_SHARE * self._apply_s, now)
 
     def _is_younger(self, limit_s: float, now: float) -> bool:
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -1,7 +1,7 @@
 """Connections to one incarnation of a worker.
 
 Calls name the worker's id, so the next process under that id would accept them:
-a poll would confirm ended tasks that nobody has read, and a start would begin a
+a poll would confirm ended tasks that were never read, and a start would begin a
 task that the owner counts elsewhere. A connection does not outlive the process
 at its other end. So the first call on each connection is a poll that confirms
 and renews nothing, and all other calls are sent only on a connection on which
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -195,8 +195,8 @@
     @property
     def is_ready(self) -> bool:
         """Whether this entry may accept new callers."""
-        fresh = self.configuration.is_fresh(self.times.steady())
-        return fresh and not self.is_stopping
+        is_fresh = self.configuration.is_fresh(self.times.steady())
+        return is_fresh and not self.is_stopping
 
     async def run(self) -> None:
         """Run all controllers until cancelled."""
@@ -232,13 +232,13 @@
             self.name,
             self.configuration.version,
             self.configuration.measure_age(now),
-            self._ownership.list_rows(),
+            self._ownership.list_heartbeat_rows(),
             not self._observed_store.is_failing(),
             self._system_watch.last_event,
         )
 
     def _handle_heartbeat_answer(
-        self, beat: messages.Beat, asked_at: float
+        self, heartbeat: messages.Beat, asked_at: float
     ) -> None:
         """Process the heartbeat with which a peer answers one of ours.
 
@@ -246,23 +246,25 @@
         requested. An unrequested heartbeat may have been in flight for seconds.
         """
         if (
-            beat.vouched_age_s is not None
-            and beat.version == self.configuration.version
+            heartbeat.vouched_age_s is not None
+            and heartbeat.version == self.configuration.version
         ):
-            self.configuration.confirm_newest(asked_at - beat.vouched_age_s)
-        self._handle_heartbeat(beat)
+            self.configuration.confirm_newest(
+                asked_at - heartbeat.vouched_age_s
+            )
+        self._handle_heartbeat(heartbeat)
 
-    def _handle_heartbeat(self, beat: messages.Beat) -> None:
+    def _handle_heartbeat(self, heartbeat: messages.Beat) -> None:
         """Process the parts of a heartbeat that are valid at any age.
 
         They only move forward: the configuration version, the latest event and
         the owners' epochs.
         """
-        self._system_watch.check_for_missed(beat.last_event)
-        is_behind = beat.version > self.configuration.version
+        self._system_watch.check_for_missed(heartbeat.last_event)
+        is_behind = heartbeat.version > self.configuration.version
         if is_behind and self._nursery is not None:
-            self._nursery.start_soon(self._fetch_config_from, beat.name)
-        self._ownership.apply_rows(beat.owners)
+            self._nursery.start_soon(self._fetch_config_from, heartbeat.name)
+        self._ownership.apply_heartbeat_rows(heartbeat.owners)
 
     async def _fetch_config_from(self, peer: str) -> None:
         reply = await self.peers.call(peer, messages.AskConfig())
--- a/crocusrouter/pools/freshness.py
+++ b/crocusrouter/pools/freshness.py
@@ -30,8 +30,8 @@
         Args:
             prefix: The followed prefix.
             clock: Source of the current time.
-            metrics: Counts how often starts were held back.
-            on_change: Called when an answer ends a time of holding back.
+            metrics: Counts how often the data became stale.
+            on_change: Called when an answer arrives after the data was stale.
         """
         self.last_gap_s = 0.0
         self._prefix = prefix
@@ -51,7 +51,7 @@
         return now - self._last_answer_at
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether tasks may start by the data; logs a change.
+        """Return whether the data is recent enough for starts; logs a change.
 
         Args:
             now: Steady time in seconds.
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -120,24 +120,24 @@
         outcome = await self._store.write(
             port.Guard(key, 0), port.Write(key, codec.pack(job))
         )
-        stored = _classify_outcome(outcome)
-        self._metrics.count_job(f"accept-{stored}")
+        accept_outcome = _classify_outcome(outcome)
+        self._metrics.count_job(f"accept-{accept_outcome}")
         log(
             "job:accept",
             job=job.id,
             queue=job.queue,
             customer=job.customer,
-            outcome=str(stored),
+            outcome=str(accept_outcome),
             **(basis.build_log_fields() if basis is not None else {}),
         )
-        return stored
+        return accept_outcome
 
     # Cancelling.
 
     async def cancel(self, job_id: str) -> Cancelled:
         """Mark a job as cancelled; its owner stops it."""
         key = keys.build_job_key(job_id)
-        was_written = False
+        has_tried_write = False
         for _ in range(_MAX_CANCEL_TRIES):
             try:
                 record = await self._store.read(key)
@@ -150,7 +150,7 @@
             if job.cancelled:
                 return Cancelled.DONE
             cancelled_job = dataclasses.replace(job, cancelled=True)
-            was_written = True
+            has_tried_write = True
             outcome = await self._store.write(
                 port.Guard(key, record.revision),
                 port.Write(key, codec.pack(cancelled_job)),
@@ -158,7 +158,7 @@
             log("job:cancel", job=job_id, outcome=type(outcome).__name__)
             if isinstance(outcome, port.Written):
                 return Cancelled.DONE
-        return Cancelled.UNKNOWN if was_written else Cancelled.NOT_TRIED
+        return Cancelled.UNKNOWN if has_tried_write else Cancelled.NOT_TRIED
 
     # State.
 
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -146,7 +146,7 @@
             clock,
             self.wake,
         )
-        self._draining = False
+        self._is_draining = False
         self._worker_list = worker_listing.WorkerList(
             worker_listing.Source(
                 platform.workers_prefix, platform.parse_worker
@@ -216,7 +216,7 @@
         Args:
             timeout_s: Longest time to wait.
         """
-        self._draining = True
+        self._is_draining = True
         with trio.move_on_after(timeout_s):
             await self._journal.settle()
 
@@ -364,7 +364,7 @@
     def _decide(self, now: float, wall: float) -> None:
         self.book.open_due(wall, now)
         self._check_recovered(now)
-        if self._owner_lease.is_valid() and not self._draining:
+        if self._owner_lease.is_valid() and not self._is_draining:
             if self._may_start_tasks(now):
                 self._run_plan(now, wall)
             self._send_paces(now)
--- a/crocusrouter/pools/ownership.py
+++ b/crocusrouter/pools/ownership.py
@@ -53,7 +53,7 @@
         self._own_holder = own_holder
         self._on_replaced = on_replaced
         self._owners: dict[str, Owner] = {}
-        self._attempts_from: dict[str, float] = {}
+        self._earliest_attempts: dict[str, float] = {}
         self._replaceable_revisions: dict[str, int] = {}
 
     def find_owner(self, pool: str) -> str | None:
@@ -64,7 +64,7 @@
         """Return the names of all owners."""
         return {owner.name for owner in self._owners.values() if owner.name}
 
-    def list_rows(self) -> tuple[tuple[str, int, str], ...]:
+    def list_heartbeat_rows(self) -> tuple[tuple[str, int, str], ...]:
         """Return pool, epoch and owner name of each pool, as in heartbeats."""
         return tuple(
             (pool, owner.epoch, owner.name)
@@ -91,7 +91,9 @@
         self._owners[pool] = Owner(name, epoch)
         self._on_replaced(pool, epoch)
 
-    def apply_rows(self, rows: tuple[tuple[str, int, str], ...]) -> None:
+    def apply_heartbeat_rows(
+        self, rows: tuple[tuple[str, int, str], ...]
+    ) -> None:
         """Apply the newer owners of a peer's heartbeat."""
         for pool, epoch, name in rows:
             if name and epoch > self._owners.get(pool, _NO_OWNER).epoch:
@@ -102,7 +104,7 @@
         log("owner:vacant", pool=pool, before=self.find_owner(pool))
         self.forget_owner(pool)
         self._replaceable_revisions.pop(pool, None)
-        self._attempts_from[pool] = now
+        self._earliest_attempts[pool] = now
 
     def forget_owner(self, pool: str) -> None:
         """Record that a pool has no reachable owner; its epoch is kept."""
@@ -111,7 +113,7 @@
 
     def note_attempt(self, pool: str, now: float) -> None:
         """Record our attempt to take a pool; others may try for one lease."""
-        self._attempts_from[pool] = now + owner_leases.TTL_S
+        self._earliest_attempts[pool] = now + owner_leases.TTL_S
 
     def find_replaceable_revision(self, pool: str) -> int:
         """Return the revision of a replaceable owner key; 0 for none."""
@@ -131,11 +133,11 @@
             return True
         if self.find_owner(pool) is not None:
             return False
-        attempts_from = self._attempts_from.setdefault(pool, now)
+        earliest_attempt = self._earliest_attempts.setdefault(pool, now)
         rank = ranking.rank_candidates(pool, candidates).index(
             self._own_holder.name
         )
         wait_s = rank * _RANK_DELAY_S
         if len(candidates) == 1:
             wait_s = _SINGLE_CANDIDATE_DELAY_S
-        return now >= attempts_from + wait_s
+        return now >= earliest_attempt + wait_s
--- a/crocusrouter/pools/peers.py
+++ b/crocusrouter/pools/peers.py
@@ -3,9 +3,9 @@
 An entry that the store refuses learns of a new configuration, and of a later
 owner, from its peers. Heartbeats go to the owners, to two neighbours and to one
 peer drawn at random each time, so their number grows linearly with the number
-of entries. The random peer matters: entries that the store refuses together may
-have only each other as neighbours, and then kept a replaced owner for as long
-as the store refused them.
+of entries. The random peer is necessary: entries that the store refuses
+together may have only each other as neighbours, and then believed in a replaced
+owner for as long as the store refused them.
 """
 
 from collections.abc import Callable
@@ -118,32 +118,33 @@
         must not send its callers away for long: other entries would serve them.
         """
         settled_at = since + _OUTAGE_DETECTION_S
-        heard = any(
-            time_s >= settled_at for time_s in self._answered_at.values()
+        has_answers = any(
+            answered_at >= settled_at
+            for answered_at in self._answered_at.values()
         )
-        served = any(
-            time_s >= settled_at for time_s in self._served_at.values()
+        has_served_peer = any(
+            served_at >= settled_at for served_at in self._served_at.values()
         )
-        return heard and not served
+        return has_answers and not has_served_peer
 
-    def note_answer(self, beat: messages.Beat, asked_at: float) -> None:
+    def note_answer(self, heartbeat: messages.Beat, asked_at: float) -> None:
         """Record a peer's answer, which is no older than its request."""
         self._last_answer_at = max(asked_at, self._last_answer_at or asked_at)
-        self._answered_at[beat.name] = asked_at
-        if beat.is_served:
-            self._served_at[beat.name] = asked_at
+        self._answered_at[heartbeat.name] = asked_at
+        if heartbeat.is_served:
+            self._served_at[heartbeat.name] = asked_at
         else:
-            self._served_at.pop(beat.name, None)
+            self._served_at.pop(heartbeat.name, None)
 
-    def note_unrequested(self, beat: messages.Beat, now: float) -> None:
+    def note_unrequested(self, heartbeat: messages.Beat, now: float) -> None:
         """Record a heartbeat that a peer sent without a request.
 
         It may have been in flight for seconds, so it does not prove that the
         peer is reachable now. Its claim that the store serves the peer may be
         outdated too; that only makes callers retry sooner than necessary.
         """
-        if beat.is_served:
-            self._served_at[beat.name] = now
+        if heartbeat.is_served:
+            self._served_at[heartbeat.name] = now
 
     async def call(self, name: str, message: object) -> object | None:
         """Send a message to a peer; return None without an answer in time."""
--- a/crocusrouter/pools/tests/test_ownership.py
+++ b/crocusrouter/pools/tests/test_ownership.py
@@ -63,7 +63,7 @@
 def test_latest_owner_reported_by_a_peer_wins(name, epoch, expected):
     owner_table, replacements = _open_table()
     owner_table.apply_owner_key("p", b"e2 10.0.0.2:7 a1", 7)
-    owner_table.apply_rows((("p", epoch, name),))
+    owner_table.apply_heartbeat_rows((("p", epoch, name),))
     assert owner_table.find_owner("p") == expected
     assert replacements == [("p", 7)] + ([("p", 8)] if expected == "e3" else [])
 
@@ -73,10 +73,10 @@
     owner_table, _ = _open_table()
     owner_table.apply_owner_key("p", b"e2 10.0.0.2:7 a1", 7)
     owner_table.note_vacant("p", 1.0)
-    owner_table.apply_rows((("p", 7, "e2"),))
+    owner_table.apply_heartbeat_rows((("p", 7, "e2"),))
     assert owner_table.find_owner("p") is None
     assert owner_table.list_names() == set()
-    assert owner_table.list_rows() == (("p", 7, ""),)
+    assert owner_table.list_heartbeat_rows() == (("p", 7, ""),)
 
 
 def test_entry_waits_for_one_lease_after_its_attempt():
--- a/crocusrouter/pools/tests/test_worker_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -119,9 +119,11 @@
     job = build.make_job("0a", build.make_step(2))
     book = build.make_book(job, workers=("w0",))
     book.open_due(2e6, 0.0)
-    drains = records.Changed(_list_worker("w0", revision=9, draining=True))
+    draining_change = records.Changed(
+        _list_worker("w0", revision=9, draining=True)
+    )
     worker_list, _ = _open_list(
-        _Store(*[_LOST_ANSWER] * lost_answers, drains), book
+        _Store(*[_LOST_ANSWER] * lost_answers, draining_change), book
     )
     await worker_list.load()
     began_at = trio.current_time()
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -165,9 +165,11 @@
         self, listed_vms: tuple[vm_port.Vm, ...]
     ) -> tuple[vm_port.Vm, ...]:
         """Replace the worker id of each VM by the incarnation on it."""
-        known = work.map_incarnations(self._book)
+        incarnation_by_worker = work.map_incarnations(self._book)
         return tuple(
-            dataclasses.replace(vm, worker=known.get(vm.worker, ""))
+            dataclasses.replace(
+                vm, worker=incarnation_by_worker.get(vm.worker, "")
+            )
             for vm in listed_vms
         )
 
@@ -185,11 +187,11 @@
         record_before = upkeep.dump_record(record)
         upkeep.note_back(record, listed_vms)
         now = self._clock.steady()
-        chosen = upkeep.choose_vm(
+        chosen_vm = upkeep.choose_vm(
             self._book, pool, wave, record, listed_vms, now
         )
-        if chosen is not None:
-            record.begun[chosen.name] = chosen.worker
+        if chosen_vm is not None:
+            record.begun[chosen_vm.name] = chosen_vm.worker
         is_over = upkeep.is_over(wave, record, listed_vms)
         has_changed = is_over or upkeep.dump_record(record) != record_before
         if has_changed and not await self._write_record(
