--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -147,14 +147,14 @@
             source.prefix,
             self._handle_operator_events,
             metrics,
-            patient=True,
+            may_wait_long=True,
         )
         self._system_watch = intake.Follower(
             observed_store,
             keys.SYSTEM,
             self._handle_system_events,
             metrics,
-            patient=True,
+            may_wait_long=True,
         )
         self._relay = relay.RelayedStore(observed_store, self.peers)
         self.refresher = config_refresh.ConfigRefresher(
@@ -234,7 +234,7 @@
             self.configuration.measure_age(now),
             self._ownership.list_heartbeat_rows(),
             not self._observed_store.is_failing(),
-            self._system_watch.last_event,
+            self._system_watch.last_event_revision,
         )
 
     def _handle_heartbeat_answer(
--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -43,9 +43,9 @@
         on_events: Callable[[tuple[records.Event, ...]], None],
         metrics: Metrics,
         on_contact: Callable[[], None] = lambda: None,
-        pace_s: float = 0.0,
+        answer_pause_s: float = 0.0,
         *,
-        patient: bool = False,
+        may_wait_long: bool = False,
     ) -> None:
         """Prepare; `run` follows the prefix.
 
@@ -56,46 +56,46 @@
                 each key in it and a removal of each key that is gone.
             metrics: Measures how long the service gave no answer.
             on_contact: Called whenever the service has answered.
-            pace_s: Pause after each answer with changes. If keys change all the
-                time, changes then share calls: with 24 workers that write every
-                1.5 s, 0.4 s costs 2.5 calls/s instead of 16.
-            patient: Whether watches may wait long while no change is believed
-                missed.
+            answer_pause_s: Pause after each answer with changes. If keys change
+                all the time, changes then share calls: with 24 workers that
+                write every 1.5 s, 0.4 s costs 2.5 calls/s instead of 16.
+            may_wait_long: Whether watches may wait long while no change is
+                believed missed.
         """
-        self.failing = False
+        self.is_failing = False
         self._store = store
         self._prefix = prefix
         self._on_events = on_events
         self._metrics = metrics
         self._on_contact = on_contact
-        self._answer_pause_s = pace_s
-        self._may_wait_long = patient
+        self._answer_pause_s = answer_pause_s
+        self._may_wait_long = may_wait_long
         self._may_have_missed = False
         self._watch_scope = trio.CancelScope()
-        self._last_event = 0
+        self._last_event_revision = 0
         self._known_keys: set[str] = set()
         self._revision = 0
         self._last_answer_at: float | None = None
 
     @property
-    def last_event(self) -> int:
+    def last_event_revision(self) -> int:
         """Revision of the latest change that was received."""
-        return self._last_event
+        return self._last_event_revision
 
-    def check_for_missed(self, last_event: int) -> None:
+    def check_for_missed(self, peer_event_revision: int) -> None:
         """Watch again if a peer has received a change that we have not.
 
         A short watch in progress is not interrupted: heartbeats arrive several
         times a second, and each would end it before a slow service answers.
         """
-        if self.failing or self._may_have_missed:
+        if self.is_failing or self._may_have_missed:
             return
-        if self._revision and last_event > self._revision:
+        if self._revision and peer_event_revision > self._revision:
             log(
                 "watch:behind-peer",
                 prefix=self._prefix,
                 revision=self._revision,
-                peer_revision=last_event,
+                peer_revision=peer_event_revision,
             )
             self._metrics.count_event("watch-behind-peer")
             self.restart_watch()
@@ -106,7 +106,7 @@
         A long watch that has lost its answer would report no later change
         either.
         """
-        if self.failing or self._may_have_missed:
+        if self.is_failing or self._may_have_missed:
             return
         self._may_have_missed = True
         self._watch_scope.cancel()
@@ -127,13 +127,15 @@
 
     def _report_events(self, events: tuple[records.Event, ...]) -> None:
         revisions = (records.find_revision(event) for event in events)
-        self._last_event = max(self._last_event, *revisions, 0)
+        self._last_event_revision = max(
+            self._last_event_revision, *revisions, 0
+        )
         self._on_events(events)
 
     def _note_answer(self) -> None:
         """Record an answer; report how long there was none."""
         now = trio.current_time()
-        if self.failing and self._last_answer_at is not None:
+        if self.is_failing and self._last_answer_at is not None:
             behind_s = now - self._last_answer_at
             log(
                 "watch:regained",
@@ -141,7 +143,7 @@
                 behind_s=round(behind_s, 3),
             )
             self._metrics.note_behind(self._prefix, behind_s)
-        self.failing = False
+        self.is_failing = False
         self._last_answer_at = now
         self._on_contact()
 
@@ -164,9 +166,9 @@
                     await self.load()
                 await self._follow_once()
             except client.StoreUnavailableError as error:
-                if not self.failing:
+                if not self.is_failing:
                     log("watch:lost", prefix=self._prefix, cause=str(error))
-                self.failing = True
+                self.is_failing = True
                 await trio.sleep_until(began_at + _RETRY_DELAY_S)
             except port.HistoryGoneError:
                 log("watch:history-gone", prefix=self._prefix)
@@ -174,10 +176,10 @@
 
     def _choose_wait(self) -> float:
         if not self._may_wait_long:
-            return _PROBE_WAIT_S if self.failing else _SHORT_WAIT_S
+            return _PROBE_WAIT_S if self.is_failing else _SHORT_WAIT_S
         return (
             _SHORT_WAIT_S
-            if self.failing or self._may_have_missed
+            if self.is_failing or self._may_have_missed
             else _LONG_WAIT_S
         )
 
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -68,8 +68,7 @@
             available.
         make_policy: Opens the policy service of advised queues; None if there
             is none.
-        upkeeping: How waves of upkeep are read and carried out; None if there
-            are none.
+        upkeeping: Access to waves of upkeep; None if there are none.
     """
 
     workers_prefix: str
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -94,7 +94,7 @@
             self._handle_events,
             metrics,
             self.freshness.note_answer,
-            pace_s=_ANSWER_PAUSE_S,
+            answer_pause_s=_ANSWER_PAUSE_S,
         )
 
     async def load(self) -> None:
