--- /dev/null
+++ b/crocusrouter/pools/worker_links.py
@@ -0,0 +1,368 @@
+"""Connects a pool's owner with one worker: lease renewals, reports, orders."""
+
+from collections.abc import Awaitable
+from collections.abc import Callable
+
+import trio
+
+from crocusrouter import work
+from crocusrouter.pools import clocks
+from crocusrouter.pools import journal as journals
+from crocusrouter.pools import unanswered_starts
+from crocusrouter.pools import worker_leases
+from crocusrouter.telemetry import log
+from crocusrouter.work import orders
+from crocusrouter.work import runs
+
+# How long a poll of the worker waits for a task to end. Longer polls are fewer
+# calls; shorter ones show sooner that a worker is silent or a task makes no
+# progress.
+_POLL_WAIT_S = 1.0
+_RETRY_DELAY_S = 0.25
+# A worker lists ended tasks until they are confirmed, so polls return at once.
+# This limits their rate while the journal can't be written.
+_UNCONFIRMED_POLL_DELAY_S = 0.5
+# Orders are answered in milliseconds. An order without an answer is sent again
+# after this time under the same run number, so it can't run twice.
+_ORDER_TIMEOUT_S = 0.35
+# Members of a gang wait 3 s for each other, so a start is given up earlier.
+_START_TIMEOUT_S = 2.0
+
+
+# Called when another incarnation answers, with the expected incarnation, the
+# answering one (None if unknown), and the stops to deliver to the latter.
+OnReplaced = Callable[[str, str | None, list[orders.Stop]], None]
+
+
+class WorkerLink:
+    """Renews the lease of one incarnation and delivers orders to it."""
+
+    def __init__(
+        self,
+        incarnation: str,
+        port: orders.WorkerPort,
+        epoch: int,
+        book: work.Book,
+        clock: clocks.Clock,
+        settle: Callable[[], Awaitable[None]],
+        may_renew: Callable[[], bool],
+        may_start: Callable[[float], bool],
+        on_change: Callable[[], None],
+        on_replaced: OnReplaced,
+        pending_starts: unanswered_starts.UnansweredStarts,
+    ) -> None:
+        """Open a link.
+
+        Args:
+            incarnation: The incarnation of the worker.
+            port: How to reach it.
+            epoch: The owner's epoch.
+            book: Updated with everything that the worker reports.
+            clock: Source of the current time.
+            settle: Waits until the book's changes are durable.
+            may_renew: Returns whether leases may be renewed now.
+            may_start: Returns whether, at a steady time, the owner's view of
+                cancelled jobs and draining workers is recent enough for starts.
+            on_change: Called when the book has changed.
+            on_replaced: Called when another incarnation answers.
+            pending_starts: Unanswered starts; shared with the links to the
+                worker's other incarnations.
+        """
+        self.incarnation = incarnation
+        self.lease = worker_leases.WorkerLease(clock.steady())
+        self._port = port
+        self._epoch = epoch
+        self._book = book
+        self._clock = clock
+        self._settle = settle
+        self._may_renew = may_renew
+        self._may_start = may_start
+        self._on_change = on_change
+        self._on_replaced = on_replaced
+        self._pending_starts = pending_starts
+        self._confirmed_number = 0
+        self._wake_event = trio.Event()
+        self._is_abandoned = False
+
+    def wake(self) -> None:
+        """Resume polling because the worker has something to run or stop."""
+        self._wake_event.set()
+
+    async def run(self) -> None:
+        """Poll the worker until another incarnation answers in its place.
+
+        Raises:
+            DeposedError: The worker knows a later owner.
+        """
+        try:
+            await self._poll(0.0)
+            await self._stop_late_starts()
+            while not self._is_abandoned:
+                worker_state = self._book.workers.get(self.incarnation)
+                if worker_state is None:
+                    return
+                is_idle = not worker_state.runs and not worker_state.strays
+                if is_idle and worker_state.silent_since is None:
+                    if not worker_state.listed:
+                        return
+                    await self._wake_event.wait()
+                self._wake_event = trio.Event()
+                if not self._is_abandoned:
+                    await self._poll(_POLL_WAIT_S)
+        finally:
+            with trio.CancelScope(shield=True):
+                await self._port.aclose()
+
+    async def _poll(self, wait_s: float) -> None:
+        now = self._clock.steady()
+        worker_state = self._book.workers[self.incarnation]
+        until_ms = None
+        # A silent worker is polled without renewals. Each unanswered renewal
+        # may have been carried out, so the end of its lease would be postponed
+        # for ever.
+        if (
+            worker_state.reached
+            and worker_state.silent_since is None
+            and self._may_renew()
+        ):
+            until_ms = self.lease.extend(now)
+        answer = await self._port.hold(
+            self._epoch, self._confirmed_number, until_ms, wait_s
+        )
+        match answer:
+            case orders.Report():
+                await self._handle_report(answer, now)
+            case orders.Rejected(orders.Why.FENCED):
+                raise journals.DeposedError(f"fenced by {self.incarnation}")
+            case orders.Rejected(orders.Why.OTHER_INCARNATION, _, successor):
+                self._abandon(successor)
+            case _:
+                await self._handle_silence()
+
+    async def _handle_report(
+        self, report: orders.Report, sent_at: float
+    ) -> None:
+        now = self._clock.steady()
+        self.lease.note(report.clock_ms, now)
+        work.take_report(self._book, self.incarnation, report, sent_at, now)
+        self._on_change()
+        if not report.ended:
+            return
+        last_number = max(ended.number for ended in report.ended)
+        with trio.move_on_after(_UNCONFIRMED_POLL_DELAY_S):
+            await self._settle()
+            self._confirmed_number = max(self._confirmed_number, last_number)
+
+    async def _handle_silence(self) -> None:
+        now = self._clock.steady()
+        work.note_silent(self._book, self.incarnation, now)
+        worker_state = self._book.workers[self.incarnation]
+        if not worker_state.lapsed and self.lease.has_lapsed(now):
+            why = "the worker's lease expired"
+            work.note_lapsed(self._book, self.incarnation, why, now)
+            self._on_change()
+            if not worker_state.listed:
+                self._is_abandoned = True
+        await trio.sleep(_RETRY_DELAY_S)
+
+    def _abandon(self, successor: str | None) -> None:
+        """Abandon the incarnation because another one answers in its place."""
+        self._is_abandoned = True
+        stops = (
+            self._pending_starts.list_stops(successor, self._clock.steady())
+            if successor is not None
+            else []
+        )
+        self._on_replaced(self.incarnation, successor, stops)
+        self.wake()
+        self._on_change()
+
+    # Orders.
+
+    async def start(self, order: orders.Start) -> None:
+        """Deliver a start and record its outcome in the book.
+
+        Raises:
+            DeposedError: The worker knows a later owner.
+        """
+        give_up_at = self._clock.steady() + _START_TIMEOUT_S
+        maybe_begun = False
+        while self._may_send(order):
+            now = self._clock.steady()
+            until_ms = self.lease.extend(now)
+            if until_ms is None or now > give_up_at:
+                break
+            answer = await self._port.start(
+                self._epoch, order, until_ms, _ORDER_TIMEOUT_S
+            )
+            now = self._clock.steady()
+            match answer:
+                case orders.Taken(clock_ms):
+                    self.lease.note(clock_ms, now)
+                    self._book.note_taken(order.key, order.run, now)
+                    self._note_if_draining(order)
+                    self.wake()
+                    self._on_change()
+                    return
+                case orders.Rejected(orders.Why.FENCED):
+                    raise journals.DeposedError(f"fenced by {self.incarnation}")
+                case orders.Rejected(
+                    orders.Why.OTHER_INCARNATION, _, successor
+                ):
+                    self._abandon(successor)
+                    return
+                case orders.Rejected(why):
+                    if not maybe_begun:
+                        self._note_rejected(order, str(why))
+                        return
+                    break
+                case orders.Silent(cause, maybe_done):
+                    maybe_begun = maybe_begun or maybe_done
+                    if maybe_done:
+                        self._book.note_maybe_begun(order.key, order.run)
+                        self._pending_starts.note(order, self.incarnation, now)
+                    log(
+                        "order:unanswered",
+                        task=order.key,
+                        run=order.run,
+                        worker=self.incarnation,
+                        cause=cause,
+                    )
+                    if not maybe_done:
+                        await trio.sleep(_RETRY_DELAY_S)
+        await self._resolve_unconfirmed_start(order, maybe_begun)
+
+    def _may_send(self, order: orders.Start) -> bool:
+        """Return whether a start may be sent, or sent again.
+
+        A worker that drains or shrinks in the meantime must not get it: a start
+        is repeated for up to 2 s after the decision, which is later than the
+        worker may get anything new.
+        """
+        run = self._book.runs.get(order.key)
+        worker_state = self._book.workers.get(self.incarnation)
+        return (
+            run is not None
+            and run.number == order.run
+            and run.phase is runs.Phase.ORDERED
+            and worker_state is not None
+            and not worker_state.sealed
+            and run.work is not None
+            and not worker_state.is_over(run.work.step.charge)
+            and self._may_start(self._clock.steady())
+        )
+
+    def _note_if_draining(self, order: orders.Start) -> None:
+        """Record a start that was accepted after its worker began to drain."""
+        worker_state = self._book.workers.get(self.incarnation)
+        if worker_state is not None and worker_state.sealed:
+            self._book.note(
+                "run:on-leaving",
+                task=order.key,
+                run=order.run,
+                worker=self.incarnation,
+            )
+
+    def _note_rejected(self, order: orders.Start, why: str) -> None:
+        now = self._clock.steady()
+        self._book.note_not_begun(order.key, order.run, why, now)
+        self._on_change()
+
+    async def _resolve_unconfirmed_start(
+        self, order: orders.Start, maybe_begun: bool
+    ) -> None:
+        """Resolve a start that was not confirmed in time.
+
+        The worker may still carry it out. An answered stop prevents that; until
+        then the task counts as running there.
+        """
+        run = self._book.runs.get(order.key)
+        if run is None or run.number != order.run:
+            return
+        if not maybe_begun and run.phase is runs.Phase.ORDERED:
+            self._note_rejected(order, "unreachable")
+            return
+        if run.phase is runs.Phase.ORDERED:
+            now = self._clock.steady()
+            self._book.stop_run(run, "its start was not answered", now)
+            if run.work is not None and run.work.step.gang:
+                # The other members would wait for it and then end alone.
+                why = "a member's start was not answered"
+                self._book.stop_step(run.work, why, now)
+            self._on_change()
+
+    async def _stop_late_starts(self) -> None:
+        """Stop starts that were sent to the worker's earlier incarnations."""
+        worker_state = self._book.workers.get(self.incarnation)
+        if (
+            self._is_abandoned
+            or worker_state is None
+            or not worker_state.reached
+        ):
+            return
+        now = self._clock.steady()
+        for order in self._pending_starts.list_stops(self.incarnation, now):
+            await self.stop(order)
+
+    def _is_current_run(self, order: orders.Stop) -> bool:
+        run = self._book.runs.get(order.key)
+        return run is not None and run.number == order.run
+
+    async def stop(self, order: orders.Stop) -> None:
+        """Deliver a stop, repeated until it is answered or pointless.
+
+        The book may not know the run, for example if a late order started a
+        task of a cancelled job. If the only stop of such a run were lost, the
+        run would go on until its lease ends, because an idle worker is not
+        polled.
+
+        Raises:
+            DeposedError: The worker knows a later owner.
+        """
+        is_known_run = self._is_current_run(order)
+        while not self._is_abandoned:
+            answer = await self._port.stop(self._epoch, order, _ORDER_TIMEOUT_S)
+            match answer:
+                case orders.Rejected(orders.Why.FENCED):
+                    raise journals.DeposedError(f"fenced by {self.incarnation}")
+                case orders.Taken(clock_ms):
+                    now = self._clock.steady()
+                    self.lease.note(clock_ms, now)
+                    await self._handle_stopped(order, now)
+                    return
+                case orders.Rejected(
+                    orders.Why.OTHER_INCARNATION, _, successor
+                ):
+                    self._abandon(successor)
+                    return
+            if is_known_run and not self._is_current_run(order):
+                return
+            if not is_known_run and self.lease.has_lapsed(self._clock.steady()):
+                return
+            self.wake()
+            await trio.sleep(_RETRY_DELAY_S)
+
+    async def pace(self, order: orders.Pace) -> None:
+        """Deliver a pace order once; the next decision repeats a lost one.
+
+        Raises:
+            DeposedError: The worker knows a later owner.
+        """
+        answer = await self._port.pace(self._epoch, order, _ORDER_TIMEOUT_S)
+        now = self._clock.steady()
+        match answer:
+            case orders.Taken():
+                self._book.note_paced(order.key, order.run, order.percent, now)
+                log("run:paced", task=order.key, percent=order.percent)
+            case orders.Rejected(orders.Why.FENCED):
+                raise journals.DeposedError(f"fenced by {self.incarnation}")
+            case _:
+                log("run:not-paced", task=order.key, answer=str(answer))
+
+    async def _handle_stopped(self, order: orders.Stop, now: float) -> None:
+        run = self._book.runs.get(order.key)
+        is_current = run is not None and run.number == order.run
+        if run is not None and is_current and run.confirmed_at is None:
+            self._book.note_settled(order.key, order.run, now)
+            await self._poll(0.0)
+        self.wake()
