--- a/crocusrouter/jobs/__init__.py
+++ b/crocusrouter/jobs/__init__.py
@@ -1,6 +1,6 @@
-"""Jobs: guarantees, placement, gangs and the journal."""
+"""Job scheduling: guarantees, placement, gangs and the journal."""
 
-from crocusrouter.jobs.admission import Misfit
+from crocusrouter.jobs.admission import UnsatisfiableGuarantee
 from crocusrouter.jobs.admission import check_guarantees
 from crocusrouter.jobs.book import Book
 from crocusrouter.jobs.effects import Effects
@@ -16,15 +16,14 @@
 from crocusrouter.jobs.model import choose_data_centre
 from crocusrouter.jobs.model import parse_data_centre
 from crocusrouter.jobs.outbox import Outbox
-from crocusrouter.jobs.placement import Ask
+from crocusrouter.jobs.placement import NoPlacement
 from crocusrouter.jobs.placement import Placed
-from crocusrouter.jobs.placement import Situation
-from crocusrouter.jobs.placement import Waits
-from crocusrouter.jobs.placement import place
+from crocusrouter.jobs.placement import PlacementContext
+from crocusrouter.jobs.placement import PlacementRequest
+from crocusrouter.jobs.placement import place_job
 from crocusrouter.jobs.scheduler import schedule
 
 __all__ = [
-    "Ask",
     "Book",
     "Effects",
     "Explanation",
@@ -33,17 +32,18 @@
     "JobState",
     "Journal",
     "Member",
-    "Misfit",
+    "NoPlacement",
     "Outbox",
     "Placed",
-    "Situation",
+    "PlacementContext",
+    "PlacementRequest",
     "Spec",
-    "Waits",
+    "UnsatisfiableGuarantee",
     "build_job_id",
     "check_guarantees",
     "choose_data_centre",
     "parse_data_centre",
     "handle_message",
-    "place",
+    "place_job",
     "schedule",
 ]
--- a/crocusrouter/jobs/admission.py
+++ b/crocusrouter/jobs/admission.py
@@ -1,4 +1,4 @@
-"""Whether a set of guarantees embeds in the fleet."""
+"""Admission: checks that a set of guarantees embeds in the fleet."""
 
 from collections.abc import Iterator
 import dataclasses
@@ -12,39 +12,44 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Misfit:
-    """A guarantee that finds no place.
+class UnsatisfiableGuarantee:
+    """A guaranteed cell that can't be embedded in the fleet.
 
     Attributes:
-        data_centre: Where it should be.
-        need: The cell that fails.
-        loss: What was taken as lost; empty for nothing.
+        data_centre: Data centre in which the cell must be.
+        demand: The cell.
+        lost_part: The worker or rack that the check took as lost; empty for
+            the whole fleet.
     """
 
     data_centre: str
-    need: cells.Need
-    loss: str = ""
+    demand: cells.Need
+    lost_part: str = ""
 
     def __str__(self) -> str:
-        """Describe the cell that fails.
+        """Describe the cell.
 
-        >>> need = cells.Need("a", Level.RACK, 16)
-        >>> str(Misfit("liege", need, "rack r1"))
+        >>> demand = cells.Need("a", Level.RACK, 16)
+        >>> str(UnsatisfiableGuarantee("liege", demand, "rack r1"))
         "a's cell of 16 in one rack of liege, after the loss of rack r1"
         """
-        after = f", after the loss of {self.loss}" if self.loss else ""
+        after = (
+            f", after the loss of {self.lost_part}" if self.lost_part else ""
+        )
         return (
-            f"{self.need.customer}'s cell of {self.need.accelerators} in one "
-            f"{self.need.level} of {self.data_centre}{after}"
+            f"{self.demand.customer}'s cell of {self.demand.accelerators} in"
+            f" one {self.demand.level} of {self.data_centre}{after}"
         )
 
 
-def build_floor(
+def build_total_capacities(
     fleet: fleet_model.Fleet, data_centre: str
-) -> dict[str, cells.Space]:
-    """Return the floor of a data centre with every accelerator free."""
+) -> dict[str, cells.WorkerCapacity]:
+    """Return the capacities of live workers with all accelerators free."""
     return {
-        vm.name: cells.Space(vm.name, vm.rack, (1 << vm.accelerators) - 1)
+        vm.name: cells.WorkerCapacity(
+            vm.name, vm.rack, (1 << vm.accelerators) - 1
+        )
         for vm in fleet_model.select_vms(
             fleet, fleet_model.Role.WORKER, data_centre
         )
@@ -54,25 +59,35 @@
 
 def check_guarantees(
     catalog: Catalog, fleet: fleet_model.Fleet
-) -> Misfit | None:
+) -> UnsatisfiableGuarantee | None:
     """Return the first guarantee that doesn't embed, or None if all do.
 
-    Guarantees that must survive a loss are also checked with each worker, or
-    each rack, taken away in turn.
+    Guarantees that must survive the loss of a worker or a rack are also
+    checked without each worker, or each rack, in turn.
 
     Args:
-        catalog: Every template, the edited one included.
+        catalog: Every template, including the edited one.
         fleet: The fleet as known.
     """
     for data_centre in _list_data_centres(catalog):
-        floor = build_floor(fleet, data_centre)
-        needs = claims.list_needs(catalog, data_centre)
-        for loss, lost, survivors in _list_losses(catalog, floor):
-            owed = [need for need in needs if need.customer in survivors]
-            kept = {n: s for n, s in floor.items() if n not in lost}
-            found = cells.embed(owed, kept)
-            if isinstance(found, cells.Unfit):
-                return Misfit(data_centre, found.need, loss)
+        capacities = build_total_capacities(fleet, data_centre)
+        demands = claims.list_demands(catalog, data_centre)
+        for lost_part, lost_workers, customers in _iterate_losses(
+            catalog, capacities
+        ):
+            surviving_demands = [
+                demand for demand in demands if demand.customer in customers
+            ]
+            remaining_capacities = {
+                name: capacity
+                for name, capacity in capacities.items()
+                if name not in lost_workers
+            }
+            result = cells.embed(surviving_demands, remaining_capacities)
+            if isinstance(result, cells.EmbeddingFailure):
+                return UnsatisfiableGuarantee(
+                    data_centre, result.demand, lost_part
+                )
     return None
 
 
@@ -80,27 +95,40 @@
     return sorted(
         {
             cell.data_centre
-            for held in catalog.templates.values()
-            for cell in held.template.guarantee
+            for template_version in catalog.templates.values()
+            for cell in template_version.template.guarantee
         }
     )
 
 
-def _list_losses(
-    catalog: Catalog, floor: cells.Floor
+def _iterate_losses(
+    catalog: Catalog, capacities: cells.Floor
 ) -> Iterator[tuple[str, set[str], set[str]]]:
-    """Yield (what is lost, its workers, customers whose guarantee holds)."""
-    chosen = {
-        customer: held.template.survive
-        for customer, held in catalog.templates.items()
+    """Yield the losses that guarantees must survive, "no loss" first.
+
+    Yields:
+        Description of the lost part, names of its workers, and the customers
+        whose guarantees must survive the loss.
+    """
+    survived_losses = {
+        customer: template_version.template.survive
+        for customer, template_version in catalog.templates.items()
+    }
+    yield "", set(), set(survived_losses)
+    rack_loss_customers = {
+        customer
+        for customer, loss in survived_losses.items()
+        if loss is Loss.RACK
+    }
+    worker_loss_customers = {
+        customer
+        for customer, loss in survived_losses.items()
+        if loss is not Loss.NONE
     }
-    yield "", set(), set(chosen)
-    hold_rack = {c for c, loss in chosen.items() if loss is Loss.RACK}
-    hold_worker = {c for c, loss in chosen.items() if loss is not Loss.NONE}
-    if hold_worker:
-        for name in floor:
-            yield f"worker {name}", {name}, hold_worker
-    if hold_rack:
-        for unit in cells.group_spaces(floor, Level.RACK):
-            lost = {space.worker for space in unit}
-            yield f"rack {unit[0].rack}", lost, hold_rack
+    if worker_loss_customers:
+        for name in capacities:
+            yield f"worker {name}", {name}, worker_loss_customers
+    if rack_loss_customers:
+        for unit in cells.group_spaces(capacities, Level.RACK):
+            lost_workers = {capacity.worker for capacity in unit}
+            yield f"rack {unit[0].rack}", lost_workers, rack_loss_customers
--- a/crocusrouter/jobs/backfill.py
+++ b/crocusrouter/jobs/backfill.py
@@ -1,9 +1,10 @@
-"""Backfill: small jobs go ahead of a large one only if they don't delay it.
+"""Backfill: small jobs overtake a large job only if they don't delay it.
 
-When the first job of the queue finds no place, the unit that will have room
-for it first is held for it. Jobs behind it may still use that unit if they
-are expected to end before then; without that, small jobs would take each
-accelerator as it gets free and a large job would never start.
+When the first job of the queue finds no place, the unit that is expected to
+have room for it first is reserved. Jobs behind it may use that unit only if
+they are expected to end before the large job starts. Otherwise small jobs
+would take each accelerator as it becomes free, and a large job would never
+start.
 
 References:
     D. Lifka, "The ANL/IBM SP scheduling system", JSSPP 1995 (EASY backfill).
@@ -16,78 +17,93 @@
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import placement
 
-# What runs on a worker: when it is expected to end, and its accelerators.
-Ends = Mapping[str, Sequence[tuple[float, int]]]
+# Expected end time and accelerator mask of each task, by worker name.
+ExpectedEnds = Mapping[str, Sequence[tuple[float, int]]]
 
 
 @dataclasses.dataclass(frozen=True)
 class Reservation:
-    """A unit that is held for a waiting job.
+    """A unit that is reserved for a waiting job.
 
     Attributes:
-        workers: The workers of the unit.
-        at: When the job is expected to start there, as Unix time.
+        workers: Names of the unit's workers.
+        starts_at: When the job is expected to start there, as Unix time.
     """
 
     workers: frozenset[str]
-    at: float
+    starts_at: float
 
 
 def reserve_unit(
-    ask: placement.Ask, floor: cells.Floor, ends: Ends, now: float
+    request: placement.PlacementRequest,
+    capacities: cells.Floor,
+    expected_ends: ExpectedEnds,
+    now: float,
 ) -> Reservation | None:
-    """Hold the unit that will have room for a job first.
+    """Reserve the unit that is expected to have room for a job first.
 
-    >>> floor = {"w": cells.Space("w", "r", 0b0011)}
-    >>> ask = placement.Ask("dc.1", "a", cells.Level.WORKER, 4)
-    >>> reserve_unit(ask, floor, {"w": [(50.0, 0b1100)]}, now=0.0).at
+    >>> capacities = {"w": cells.WorkerCapacity("w", "r", 0b0011)}
+    >>> request = placement.PlacementRequest("dc.1", "a", cells.Level.WORKER, 4)
+    >>> ends = {"w": [(50.0, 0b1100)]}
+    >>> reserve_unit(request, capacities, ends, now=0.0).starts_at
     50.0
 
     Args:
-        ask: The job that waits.
-        floor: Spaces of the data centre.
-        ends: What runs on each worker, and until when.
+        request: The job that waits.
+        capacities: Capacities of the workers of the data centre.
+        expected_ends: Expected end and accelerators of each running task.
         now: Unix time in seconds.
 
     Returns:
         The reservation, or None if no unit is large enough.
     """
-    found = []
-    for unit in cells.group_spaces(floor, ask.level):
-        at = _find_time(unit, ask.accelerators, ends, now)
-        if at is not None:
-            workers = frozenset(space.worker for space in unit)
-            found.append((at, min(workers), workers))
-    if not found:
+    candidates = []
+    for unit in cells.group_spaces(capacities, request.level):
+        starts_at = _find_start_time(
+            unit, request.accelerators, expected_ends, now
+        )
+        if starts_at is not None:
+            workers = frozenset(capacity.worker for capacity in unit)
+            candidates.append((starts_at, min(workers), workers))
+    if not candidates:
         return None
-    at, _, workers = min(found)
-    return Reservation(workers, at)
+    starts_at, _, workers = min(candidates)
+    return Reservation(workers, starts_at)
 
 
-def _find_time(
-    unit: list[cells.Space], wanted: int, ends: Ends, now: float
+def _find_start_time(
+    unit: list[cells.WorkerCapacity],
+    size: int,
+    expected_ends: ExpectedEnds,
+    now: float,
 ) -> float | None:
-    """Return when a unit is expected to have `wanted` accelerators free."""
-    free = cells.count_free(unit)
-    if free >= wanted:
+    """Return when a unit is expected to have `size` accelerators free."""
+    free_count = cells.count_free(unit)
+    if free_count >= size:
         return now
-    running = sorted(
-        (at, mask) for space in unit for at, mask in ends.get(space.worker, ())
+    running_tasks = sorted(
+        (ends_at, mask)
+        for capacity in unit
+        for ends_at, mask in expected_ends.get(capacity.worker, ())
     )
-    for at, mask in running:
-        free += mask.bit_count()
-        if free >= wanted:
-            return max(now, at)
+    for ends_at, mask in running_tasks:
+        free_count += mask.bit_count()
+        if free_count >= size:
+            return max(now, ends_at)
     return None
 
 
-def respect(
-    reservation: Reservation | None, floor: cells.Floor, ends_at: float
+def exclude_reserved_unit(
+    reservation: Reservation | None,
+    capacities: cells.Floor,
+    job_ends_at: float,
 ) -> cells.Floor:
-    """Return what of a floor a job may use that is expected to end then."""
-    if reservation is None or ends_at <= reservation.at:
-        return floor
+    """Return the capacities that a job with this expected end may use."""
+    if reservation is None or job_ends_at <= reservation.starts_at:
+        return capacities
     return {
-        name: space._replace(free=0) if name in reservation.workers else space
-        for name, space in floor.items()
+        name: capacity._replace(free_mask=0)
+        if name in reservation.workers
+        else capacity
+        for name, capacity in capacities.items()
     }
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -1,9 +1,9 @@
-"""The book of one data centre: its jobs, gangs and workers in memory.
+"""Scheduler state: jobs, gangs and workers of one data centre in memory.
 
 Methods take an event and the present time and return effects: the jobs that
-changed, to be journaled, and the commands to send once they are. The book
-does no I/O, so the same code runs under its owner, in tests and in
-measurements.
+changed, which must be journaled, and the commands to send after that. The
+state does no I/O, so the same code runs under its owner, in tests and in
+benchmarks.
 """
 
 import collections
@@ -11,14 +11,14 @@
 import dataclasses
 
 from crocusrouter.fleet import messages
-from crocusrouter.jobs import blame as blames
+from crocusrouter.jobs import cell_bindings
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import claims
-from crocusrouter.jobs import estimates as learned
 from crocusrouter.jobs import gang as gangs
-from crocusrouter.jobs import homes
 from crocusrouter.jobs import model
 from crocusrouter.jobs import placement
+from crocusrouter.jobs import quarantine
+from crocusrouter.jobs import run_times
 from crocusrouter.jobs import workers
 from crocusrouter.jobs.effects import Effects
 from crocusrouter.jobs.effects import Explanation
@@ -27,146 +27,173 @@
 from crocusrouter.outcomes import RetryReason
 from crocusrouter.templates import Catalog
 
-_EVENTS_KEPT = 16
-# Of the 2.8 s in which urgent work starts; the rest is for the stop itself,
-# the commit and the start.
-_CHECKPOINT_LIMIT_S = 1.5
-# A job that ends its workers would be started on one after the other. Four in a
-# row are lost by chance next to never: twelve VMs of 1,400 fail in a day.
-_MOST_EARLY_LOSSES = 4
-# A worker that ends right after a start is known to be lost when its lease has
-# lapsed.
+_MAX_EVENTS_PER_JOB = 16
+# Urgent work must start within 2.8 s. The rest of this time is for the stop
+# itself, the commit and the start.
+_MAX_CHECKPOINT_S = 1.5
+# A job whose task ends its workers would otherwise be started on one worker
+# after the other. Four early losses in a row hardly ever happen by chance:
+# twelve VMs of 1,400 fail in a day.
+_MAX_EARLY_LOSSES = 4
+# A worker that ends right after a start is known to be lost only when its
+# lease has lapsed.
 _EARLY_LOSS_S = 20.0
 _RETRY_REASONS = {
-    gangs.End.FAILED: RetryReason.TASK_FAILED,
-    gangs.End.LOST: RetryReason.WORKER_LOST,
-    gangs.End.DECLINED: RetryReason.WORKER_DECLINED,
+    gangs.EndReason.FAILED: RetryReason.TASK_FAILED,
+    gangs.EndReason.LOST: RetryReason.WORKER_LOST,
+    gangs.EndReason.DECLINED: RetryReason.WORKER_DECLINED,
 }
 
 
 class Book:
-    """Jobs, gangs and workers of one data centre."""
+    """Jobs, gangs and workers of one data centre.
+
+    Attributes:
+        data_centre: Name of the data centre.
+        jobs: All jobs that are kept, by id.
+        gangs: Gangs of the attempts that have not ended, by job id.
+        run_time_history: Run times of recent jobs.
+        run_started_at: Unix time at which a job's attempt began to run.
+        holdings: Allocations of the attempts that are not ending, by job id.
+        workers: Workers of the VM list, by name.
+        snapshot_version: Rises whenever a cached snapshot becomes invalid.
+        cached_snapshot: The snapshot version and the scheduler's snapshot.
+        bindings: The allocation to which each cell is bound.
+        failed_placements: Why queued jobs wait, by job id.
+        earliest_retry_at: Unix time before which a queued job can't start.
+    """
 
     def __init__(self, data_centre: str) -> None:
         self.data_centre = data_centre
         self.jobs: dict[str, model.Job] = {}
-        self._queued: dict[str, model.Job] = {}
+        self._queued_jobs: dict[str, model.Job] = {}
         self.gangs: dict[str, gangs.Gang] = {}
-        self.estimates = learned.Estimates()
-        self.began: dict[str, float] = {}
-        self._asked_to_stop: dict[str, float] = {}
-        self.holdings: dict[str, claims.Holding] = {}
+        self.run_time_history = run_times.RunTimeHistory()
+        self.run_started_at: dict[str, float] = {}
+        self._stop_requested_at: dict[str, float] = {}
+        self.holdings: dict[str, claims.JobAllocation] = {}
         self.workers: dict[str, workers.Worker] = {}
         self._catalog = Catalog()
-        self.occupancy = 0
-        self.observed: object = None
-        self.homes: homes.Homes = {}
-        self.waits: dict[str, placement.Waits] = {}
-        self.not_before: dict[str, float] = {}
+        self.snapshot_version = 0
+        self.cached_snapshot: object = None
+        self.bindings: cell_bindings.CellBindings = {}
+        self.failed_placements: dict[str, placement.NoPlacement] = {}
+        self.earliest_retry_at: dict[str, float] = {}
         self._events: dict[str, collections.deque[tuple[float, str]]] = {}
 
     @property
     def catalog(self) -> Catalog:
-        """The templates by which the book decides."""
+        """The templates on which decisions are based."""
         return self._catalog
 
     @catalog.setter
     def catalog(self, catalog: Catalog) -> None:
         self._catalog = catalog
-        self.touch()
+        self.invalidate_snapshot()
 
-    def touch(self) -> None:
-        """Note that what workers hold, or guarantees want, has changed.
+    def invalidate_snapshot(self) -> None:
+        """Invalidate the cached snapshot after a change of capacity or cells.
 
-        Decisions keep what they have worked out until then.
+        Until the next call, decisions use what the snapshot has computed.
         """
-        self.occupancy += 1
+        self.snapshot_version += 1
 
     # Jobs.
 
     def load(self, jobs: Iterable[model.Job], now: float) -> None:
-        """Take over what an earlier owner journaled."""
-        self.touch()
+        """Load the jobs that an earlier owner journaled."""
+        self.invalidate_snapshot()
         for job in jobs:
-            self.put(job)
+            self.store_job(job)
             if job.state is model.JobState.ASSIGNED:
-                self.open_gang(job, gangs.recover_gang(job))
-                self.note(job.id, now, "taken over from an earlier owner")
+                self.add_gang(job, gangs.recover_gang(job))
+                self.record_event(
+                    job.id, now, "taken over from an earlier owner"
+                )
 
     def submit(self, job: model.Job, now: float) -> Effects | Refusal:
-        """Accept a job, recognise a repeat, or refuse."""
-        held = self.jobs.get(job.id)
-        if held is not None:
-            if held.digest != job.digest:
+        """Accept a job, recognise a repeated submission, or refuse the job."""
+        existing_job = self.jobs.get(job.id)
+        if existing_job is not None:
+            if existing_job.digest != job.digest:
                 return Refusal(RefusalReason.KEY_REUSED, f"job {job.id}")
             return Effects()
-        refusal = self._check_room(job) or self._check_fits(job)
+        refusal = self._check_queue_limit(job) or self._check_fits(job)
         if refusal is not None:
             return refusal
-        self.put(job)
-        self.note(job.id, now, "accepted")
+        self.store_job(job)
+        self.record_event(job.id, now, "accepted")
         return Effects(changed=[job])
 
     def cancel(self, job_id: str, now: float) -> Effects | Refusal:
-        """Cancel a job; its accelerators are free once workers say so."""
+        """Cancel a job.
+
+        Its accelerators become free when the workers report the stop.
+        """
         job = self.jobs.get(job_id)
         if job is None:
             return Refusal(RefusalReason.UNKNOWN_JOB, f"job {job_id}")
         if job.is_final:
             return Effects()
         effects = Effects()
-        held = self.gangs.get(job_id)
-        self._finish(job, model.JobState.CANCELLED, now, effects)
-        if held is not None:
-            step = gangs.end_gang(held, gangs.End.CANCELLED)
-            self.apply(step, now, effects)
+        gang = self.gangs.get(job_id)
+        self._finish_job(job, model.JobState.CANCELLED, now, effects)
+        if gang is not None:
+            transition = gangs.end_gang(gang, gangs.EndReason.CANCELLED)
+            self.apply_transition(transition, now, effects)
         return effects
 
     def forget(self, job_id: str) -> None:
-        """Drop a final job that has been kept long enough."""
+        """Remove a final job whose retention time is over."""
         self.jobs.pop(job_id, None)
-        self._queued.pop(job_id, None)
+        self._queued_jobs.pop(job_id, None)
         self._events.pop(job_id, None)
-        self.began.pop(job_id, None)
+        self.run_started_at.pop(job_id, None)
 
     def explain(self, job_id: str) -> Explanation | None:
-        """Tell why a job stands where it stands."""
+        """Explain why a job is in its state."""
         job = self.jobs.get(job_id)
         if job is None:
             return None
-        held = self.gangs.get(job_id)
-        waits = self.waits.get(job_id)
+        gang = self.gangs.get(job_id)
+        no_placement = self.failed_placements.get(job_id)
         return Explanation(
             job,
-            str(held.phase) if held is not None else "",
-            f"{waits.reason}: {waits.detail}" if waits is not None else "",
+            str(gang.phase) if gang is not None else "",
+            f"{no_placement.reason}: {no_placement.detail}"
+            if no_placement is not None
+            else "",
             tuple(self._events.get(job_id, ())),
         )
 
-    def _check_room(self, job: model.Job) -> Refusal | None:
+    def _check_queue_limit(self, job: model.Job) -> Refusal | None:
+        """Refuse a job if its customer has too many unfinished jobs."""
         template = self.catalog.find(job.customer)
         limit = template.max_jobs if template is not None else 0
-        unfinished = sum(
+        unfinished_count = sum(
             1
-            for held in self.jobs.values()
-            if held.customer == job.customer and not held.is_final
+            for other_job in self.jobs.values()
+            if other_job.customer == job.customer and not other_job.is_final
         )
-        if unfinished < limit:
+        if unfinished_count < limit:
             return None
-        detail = f"{unfinished} unfinished jobs of at most {limit}"
+        detail = f"{unfinished_count} unfinished jobs of at most {limit}"
         return Refusal(RefusalReason.QUEUE_FULL, detail, retry_after_s=5.0)
 
     def _check_fits(self, job: model.Job) -> Refusal | None:
-        empty = {
-            worker.name: cells.Space(
+        """Refuse a job that would not fit if nothing else ran."""
+        total_capacities = {
+            worker.name: cells.WorkerCapacity(
                 worker.name, worker.rack, (1 << worker.accelerators) - 1
             )
             for worker in self.workers.values()
             if worker.live
         }
-        if placement.check_fits(build_ask(job), empty):
+        if placement.fits_in_capacity(
+            build_placement_request(job), total_capacities
+        ):
             return None
-        units = cells.group_spaces(empty, job.spec.level)
+        units = cells.group_spaces(total_capacities, job.spec.level)
         largest = max(map(cells.count_usable, units), default=0)
         detail = (
             f"{job.spec.accelerators} accelerators in one {job.spec.level} of "
@@ -174,283 +201,322 @@
         )
         return Refusal(RefusalReason.NEVER_FITS, detail)
 
-    def put(self, job: model.Job) -> None:
-        """Replace a job by its next form."""
+    def store_job(self, job: model.Job) -> None:
+        """Store a new job, or the new version of a job."""
         self.jobs[job.id] = job
         if job.state is model.JobState.QUEUED:
-            self._queued[job.id] = job
+            self._queued_jobs[job.id] = job
         else:
-            self._queued.pop(job.id, None)
+            self._queued_jobs.pop(job.id, None)
 
     def list_queued(self) -> list[model.Job]:
-        """Return the jobs that wait for a place."""
-        return list(self._queued.values())
+        """Return the queued jobs."""
+        return list(self._queued_jobs.values())
 
     # Workers.
 
     def set_worker(
         self, name: str, rack: str, accelerators: int, live: bool
     ) -> None:
-        """Note what the VM list says of a worker."""
-        held = self.workers.get(name)
-        if held is None:
+        """Add or update a worker that the VM list shows."""
+        worker = self.workers.get(name)
+        if worker is None:
             self.workers[name] = workers.Worker(
                 name, rack, accelerators, live=live
             )
-            self.touch()
-        elif held.live != live:
-            held.live = live
-            self.touch()
+            self.invalidate_snapshot()
+        elif worker.live != live:
+            worker.live = live
+            self.invalidate_snapshot()
 
     def suspect_worker(self, name: str, now: float) -> Effects:
         """End the gangs of a worker that stopped answering.
 
-        Its own tasks stop when their lease lapses. Stopping the other members
-        already now keeps a part of the gang from running on alone. A job that
-        runs on this worker only goes on: the worker may come back in time.
+        The worker's own tasks stop when their lease lapses. Other members are
+        stopped at once, so that a part of a gang doesn't run alone. A job that
+        runs on this worker only goes on, because the worker may come back in
+        time.
         """
         effects = Effects()
         if name in self.workers:
             self.workers[name].known = False
-            self.touch()
-        for held in self.list_gangs_on(name):
-            if len(held.members) > 1:
-                step = gangs.end_gang(
-                    held, gangs.End.LOST, f"worker {name} is silent"
+            self.invalidate_snapshot()
+        for gang in self.list_gangs_on(name):
+            if len(gang.members) > 1:
+                transition = gangs.end_gang(
+                    gang, gangs.EndReason.LOST, f"worker {name} is silent"
                 )
-                self.apply(step, now, effects)
+                self.apply_transition(transition, now, effects)
         return effects
 
     def lose_worker(self, name: str, now: float) -> Effects:
-        """Note that a worker certainly runs nothing of ours any more."""
+        """Record that a worker certainly runs no task of this owner."""
         effects = Effects()
         if name in self.workers:
             self.workers[name].known = False
-            self.workers[name].strays.clear()
-            self.touch()
-        for held in list(self.gangs.values()):
-            if name not in held.workers:
+            self.workers[name].stray_masks.clear()
+            self.invalidate_snapshot()
+        for gang in list(self.gangs.values()):
+            if name not in gang.workers:
                 continue
-            step = gangs.note_gone(
-                held, name, gangs.End.LOST, f"worker {name} is lost"
+            transition = gangs.record_released(
+                gang, name, gangs.EndReason.LOST, f"worker {name} is lost"
             )
-            self.apply(step, now, effects)
+            self.apply_transition(transition, now, effects)
         return effects
 
     def find_missing(self) -> frozenset[str]:
-        """Return workers that gangs count on and nobody lists.
+        """Return workers of gangs that are not in the VM list.
 
-        A worker that went while no owner watched is in the journal only; no
-        event will ever tell that its tasks are gone.
+        If a worker disappeared while the data centre had no owner, only the
+        journal names it, and no event will report the loss of its tasks.
         """
         return frozenset(
             name
-            for held in self.gangs.values()
-            for name in held.workers
+            for gang in self.gangs.values()
+            for name in gang.workers
             if name not in self.workers
         )
 
     def remove_worker(self, name: str) -> None:
-        """Drop a worker that the VM list no longer shows."""
+        """Remove a worker that the VM list no longer shows."""
         self.workers.pop(name, None)
-        self.touch()
+        self.invalidate_snapshot()
 
-    def open_gang(self, job: model.Job, opened: gangs.Gang) -> None:
-        """Begin to follow an attempt and what it holds."""
-        self.gangs[job.id] = opened
-        self.holdings[job.id] = claims.Holding(
+    # Gangs.
+
+    def add_gang(self, job: model.Job, gang: gangs.Gang) -> None:
+        """Add the gang of a job's attempt and its allocation."""
+        self.gangs[job.id] = gang
+        self.holdings[job.id] = claims.JobAllocation(
             job.id, job.customer, job.members, job.claims
         )
 
     def find_gang(self, job_id: str, attempt: int) -> gangs.Gang | None:
         """Return the gang of an attempt, or None if it no longer counts."""
-        held = self.gangs.get(job_id)
-        return held if held is not None and held.attempt == attempt else None
-
-    def list_gangs_on(self, worker: str) -> list[gangs.Gang]:
-        """Return the gangs of which a worker may hold a member."""
-        return [held for held in self.gangs.values() if worker in held.held]
-
-    # Steps of gangs.
-
-    def apply(self, step: gangs.Step, now: float, effects: Effects) -> None:
-        """Take a gang's step over and settle the job if its attempt ended."""
-        after, commands = step
-        if after.phase in (gangs.Phase.ENDING, gangs.Phase.ENDED):
-            self.holdings.pop(after.job_id, None)
-            self._asked_to_stop.setdefault(after.job_id, now)
-            self.touch()
-        elif after.phase is gangs.Phase.RUNNING:
-            self.began.setdefault(after.job_id, now)
-        self.gangs[after.job_id] = after
+        gang = self.gangs.get(job_id)
+        return gang if gang is not None and gang.attempt == attempt else None
+
+    def list_gangs_on(self, worker_name: str) -> list[gangs.Gang]:
+        """Return the gangs of which a worker may hold a task."""
+        return [
+            gang for gang in self.gangs.values() if worker_name in gang.held
+        ]
+
+    def apply_transition(
+        self, transition: gangs.Transition, now: float, effects: Effects
+    ) -> None:
+        """Store a changed gang; update its job if the attempt has ended."""
+        gang, commands = transition
+        if gang.phase in (gangs.Phase.ENDING, gangs.Phase.ENDED):
+            self.holdings.pop(gang.job_id, None)
+            self._stop_requested_at.setdefault(gang.job_id, now)
+            self.invalidate_snapshot()
+        elif gang.phase is gangs.Phase.RUNNING:
+            self.run_started_at.setdefault(gang.job_id, now)
+        self.gangs[gang.job_id] = gang
         effects.commands += commands
-        if after.phase is gangs.Phase.ENDED:
-            self._close(after, now, effects)
+        if gang.phase is gangs.Phase.ENDED:
+            self._remove_ended_gang(gang, now, effects)
 
     def press_stops(self, now: float) -> Effects:
-        """Stop at once what takes too long over its checkpoint.
+        """Stop reclaimed attempts whose checkpoints take too long.
 
-        A claim waits for the loans in its way. A checkpoint may take longer
-        than urgent work can wait; the job then loses what it did since its
-        last one, and starts again later.
+        A claim waits until the loans that it reclaims have stopped. Their
+        checkpoints may take longer than urgent work can wait. An attempt that
+        is stopped without a checkpoint loses its work since the last one, and
+        its job starts again later.
         """
         effects = Effects()
-        for held in self.gangs.values():
-            asked_at = self._asked_to_stop.get(held.job_id, now)
-            if held.end is not gangs.End.RECLAIMED:
+        for gang in self.gangs.values():
+            requested_at = self._stop_requested_at.get(gang.job_id, now)
+            if gang.end_reason is not gangs.EndReason.RECLAIMED:
                 continue
-            if now - asked_at < _CHECKPOINT_LIMIT_S:
+            if now - requested_at < _MAX_CHECKPOINT_S:
                 continue
-            self._asked_to_stop[held.job_id] = now
-            self.note(held.job_id, now, "stopped without a checkpoint")
+            self._stop_requested_at[gang.job_id] = now
+            self.record_event(gang.job_id, now, "stopped without a checkpoint")
             effects.commands += [
                 gangs.Command(
-                    name, messages.Stop(held.job_id, held.attempt, False)
+                    name, messages.Stop(gang.job_id, gang.attempt, False)
                 )
-                for name in sorted(held.held)
+                for name in sorted(gang.held)
             ]
         return effects
 
-    def _close(self, ended: gangs.Gang, now: float, effects: Effects) -> None:
-        """Settle a job whose attempt has ended everywhere."""
-        del self.gangs[ended.job_id]
-        self._asked_to_stop.pop(ended.job_id, None)
-        job = self.jobs[ended.job_id]
-        end = ended.end or gangs.End.LOST
-        self.note(job.id, now, f"attempt {ended.attempt} {end} {ended.detail}")
-        for member in ended.members:
+    def _remove_ended_gang(
+        self, gang: gangs.Gang, now: float, effects: Effects
+    ) -> None:
+        """Remove a gang that has ended on every worker and update its job."""
+        del self.gangs[gang.job_id]
+        self._stop_requested_at.pop(gang.job_id, None)
+        job = self.jobs[gang.job_id]
+        end_reason = gang.end_reason or gangs.EndReason.LOST
+        self.record_event(
+            job.id, now, f"attempt {gang.attempt} {end_reason} {gang.detail}"
+        )
+        for member in gang.members:
             effects.commands.append(
                 gangs.Command(
                     member.worker,
-                    messages.Acknowledge(ended.job_id, ended.attempt),
+                    messages.Acknowledge(gang.job_id, gang.attempt),
                 )
             )
         if not job.is_final:
-            self._settle(job, ended, end, now, effects)
-        self._release_victim(job.id, now, effects)
+            self._finish_or_requeue(job, gang, end_reason, now, effects)
+        self._unblock_gangs(job.id, now, effects)
 
-    def _settle(
+    def _finish_or_requeue(
         self,
         job: model.Job,
-        ended: gangs.Gang,
-        end: gangs.End,
+        gang: gangs.Gang,
+        end_reason: gangs.EndReason,
         now: float,
         effects: Effects,
     ) -> None:
-        began = self.began.pop(job.id, None)
-        if end is gangs.End.SUCCEEDED:
-            self._clear(ended)
-            if began is not None:
-                self._learn(job, now - began)
-            first = ended.members[0].worker
-            job = dataclasses.replace(job, result=dict(ended.results)[first])
-            self._finish(job, model.JobState.DONE, now, effects)
+        """Finish a job after its attempt, or put it back into the queue."""
+        started_at = self.run_started_at.pop(job.id, None)
+        if end_reason is gangs.EndReason.SUCCEEDED:
+            self._record_worker_successes(gang)
+            if started_at is not None:
+                self._record_run_time(job, now - started_at)
+            first_worker = gang.members[0].worker
+            job = dataclasses.replace(
+                job, result=dict(gang.results)[first_worker]
+            )
+            self._finish_job(job, model.JobState.DONE, now, effects)
             return
-        if end is gangs.End.FAILED:
-            job = self._blame(job, ended, now)
+        if end_reason is gangs.EndReason.FAILED:
+            job = self._record_task_failure(job, gang, now)
         else:
-            ran_s = now - began if began is not None else 0.0
-            job = _note_loss(job, ended, end, ran_s)
-        spent = job.failures >= job.spec.max_attempts
-        if spent or job.early_losses >= _MOST_EARLY_LOSSES:
-            self._finish(job, model.JobState.FAILED, now, effects)
+            run_time_s = now - started_at if started_at is not None else 0.0
+            job = _record_loss(job, gang, end_reason, run_time_s)
+        has_no_attempts_left = job.failures >= job.spec.max_attempts
+        if has_no_attempts_left or job.early_losses >= _MAX_EARLY_LOSSES:
+            self._finish_job(job, model.JobState.FAILED, now, effects)
             return
         job = dataclasses.replace(
             job, state=model.JobState.QUEUED, members=(), claims=()
         )
-        self.put(job)
+        self.store_job(job)
         effects.changed.append(job)
-        if end in _RETRY_REASONS:
-            effects.retries.append(_RETRY_REASONS[end])
+        if end_reason in _RETRY_REASONS:
+            effects.retries.append(_RETRY_REASONS[end_reason])
 
-    def _learn(self, job: model.Job, took_s: float) -> None:
+    def _record_run_time(self, job: model.Job, run_time_s: float) -> None:
         key = (job.customer, job.spec.kind)
-        self.estimates = learned.note_run_time(self.estimates, key, took_s)
+        self.run_time_history = run_times.record_run_time(
+            self.run_time_history, key, run_time_s
+        )
 
-    def _clear(self, ended: gangs.Gang) -> None:
-        for name in ended.workers & self.workers.keys():
-            held = self.workers[name]
-            held.blame = blames.note_success(held.blame)
+    def _record_worker_successes(self, gang: gangs.Gang) -> None:
+        for name in gang.workers & self.workers.keys():
+            worker = self.workers[name]
+            worker.failure_history = quarantine.record_success(
+                worker.failure_history
+            )
 
-    def _blame(
-        self, job: model.Job, ended: gangs.Gang, now: float
+    def _record_task_failure(
+        self, job: model.Job, gang: gangs.Gang, now: float
     ) -> model.Job:
-        """Note a failure against the worker, and against the job.
+        """Record a failed attempt against its worker and its job.
 
-        Failures on workers that are set aside don't count against the job.
+        Failures on quarantined workers don't count against the job.
         """
-        held = self.workers.get(ended.culprit)
-        if held is not None:
-            elsewhere = bool(set(job.failed_on) - {held.name})
-            held.blame = blames.note_failure(held.blame, job.id, elsewhere, now)
-            self.touch()
-        failed_on = (*job.failed_on, ended.culprit)
-        own = [name for name in failed_on if not self.is_aside(name, now)]
+        worker = self.workers.get(gang.failed_worker)
+        if worker is not None:
+            failed_elsewhere = bool(set(job.failed_on) - {worker.name})
+            worker.failure_history = quarantine.record_failure(
+                worker.failure_history, job.id, failed_elsewhere, now
+            )
+            self.invalidate_snapshot()
+        failed_on = (*job.failed_on, gang.failed_worker)
+        counted_failures = [
+            name for name in failed_on if not self.is_quarantined(name, now)
+        ]
         return dataclasses.replace(
             job,
-            failures=len(own),
+            failures=len(counted_failures),
             failed_on=failed_on,
-            detail=ended.detail,
+            detail=gang.detail,
         )
 
-    def is_aside(self, name: str, now: float) -> bool:
-        """Tell whether a worker is set aside."""
-        held = self.workers.get(name)
-        return held is not None and blames.is_aside(held.blame, now)
+    def is_quarantined(self, worker_name: str, now: float) -> bool:
+        """Tell whether a worker is in quarantine."""
+        worker = self.workers.get(worker_name)
+        return worker is not None and quarantine.is_quarantined(
+            worker.failure_history, now
+        )
 
-    def _finish(
+    def _finish_job(
         self,
         job: model.Job,
         state: model.JobState,
         now: float,
         effects: Effects,
     ) -> None:
+        """Move a job to a final state."""
         job = dataclasses.replace(
             job, state=state, members=(), claims=(), finished_at=now
         )
-        self.put(job)
-        self.waits.pop(job.id, None)
-        self.not_before.pop(job.id, None)
-        self.note(job.id, now, str(state))
+        self.store_job(job)
+        self.failed_placements.pop(job.id, None)
+        self.earliest_retry_at.pop(job.id, None)
+        self.record_event(job.id, now, str(state))
         effects.changed.append(job)
 
-    def _release_victim(
-        self, job_id: str, now: float, effects: Effects
-    ) -> None:
-        waiting = [g for g in self.gangs.values() if job_id in g.victims]
-        for held in waiting:
-            self.apply(gangs.release_victim(held, job_id), now, effects)
+    def _unblock_gangs(self, job_id: str, now: float, effects: Effects) -> None:
+        """Tell the gangs that wait for a job that its attempt has ended."""
+        blocked_gangs = [
+            gang
+            for gang in self.gangs.values()
+            if job_id in gang.blocking_job_ids
+        ]
+        for gang in blocked_gangs:
+            self.apply_transition(
+                gangs.record_blocker_ended(gang, job_id), now, effects
+            )
 
-    def note(self, job_id: str, now: float, text: str) -> None:
-        """Keep a line of a job's story for `explain`."""
+    def record_event(self, job_id: str, now: float, text: str) -> None:
+        """Add an event to the job's history that `explain` returns."""
         events = self._events.setdefault(
-            job_id, collections.deque(maxlen=_EVENTS_KEPT)
+            job_id, collections.deque(maxlen=_MAX_EVENTS_PER_JOB)
         )
         events.append((now, text.strip()))
 
 
-def _note_loss(
-    job: model.Job, ended: gangs.Gang, end: gangs.End, ran_s: float
+def _record_loss(
+    job: model.Job,
+    gang: gangs.Gang,
+    end_reason: gangs.EndReason,
+    run_time_s: float,
 ) -> model.Job:
-    """Count an attempt that ended through no failure that anyone told of."""
+    """Count an attempt that ended without a task failure.
+
+    An early loss is one with a worker, soon after all members were told to
+    start.
+    """
     job = dataclasses.replace(job, losses=job.losses + 1)
-    if end is not gangs.End.LOST or ended.reserved != ended.workers:
+    if (
+        end_reason is not gangs.EndReason.LOST
+        or gang.reserved_workers != gang.workers
+    ):
         return job
-    if ran_s > _EARLY_LOSS_S:
+    if run_time_s > _EARLY_LOSS_S:
         return dataclasses.replace(job, early_losses=0)
     return dataclasses.replace(
         job,
         early_losses=job.early_losses + 1,
         detail=(
-            f"{job.early_losses + 1} attempts lost their worker soon after "
-            "their start; check that the task does not end its worker"
+            f"{job.early_losses + 1} attempts lost a worker soon after their "
+            "start; check that the task does not end its worker"
         ),
     )
 
 
-def build_ask(job: model.Job) -> placement.Ask:
-    """Return what a job asks of placement."""
-    return placement.Ask(
+def build_placement_request(job: model.Job) -> placement.PlacementRequest:
+    """Return the shape for which a job needs an allocation."""
+    return placement.PlacementRequest(
         job.id,
         job.customer,
         job.spec.level,
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -1,12 +1,15 @@
-"""Cells: guaranteed shapes and how they embed in the free accelerators.
+"""Cells: guaranteed shapes and the search that embeds them in free capacity.
 
-A quota in mere counts is broken by fragmentation even when the counts add up.
-A guarantee is therefore a set of cells, each a number of accelerators that
-must be adjacent within a worker, a rack or a data centre. It holds as long as
-all cells embed together: what is unclaimed of a cell in what is free or lent,
-and in the same unit as what is claimed of it. Without the last condition a
-cell could be claimed in part, the rest of its rack be given to another claim,
-and the whole cell find no place once the first claim ends.
+A quota that is a mere count can be broken by fragmentation: enough
+accelerators are free, but not next to each other. A guarantee is therefore a
+set of cells. Each cell is a number of accelerators that must be in one worker,
+one rack or one data centre; these are the topology units.
+
+A guarantee holds as long as all cells embed together. The unclaimed part of a
+cell must fit in free or lent accelerators, in the same unit as its claimed
+part. Without this condition, the rest of the rack of a partly claimed cell
+could be given to another claim, and the whole cell would have no place once
+the first claim ends.
 
 References:
     H. Zhao et al., "HiveD: Sharing a GPU Cluster for Deep Learning with
@@ -24,47 +27,49 @@
 from crocusrouter.templates import Level
 
 _LEVEL_ORDER = {Level.WORKER: 0, Level.RACK: 1, Level.DATA_CENTRE: 2}
-_CANDIDATES = 4
-_NODE_LIMIT = 400
+_MAX_CANDIDATE_UNITS = 4
+_MAX_SEARCH_NODES = 400
 
 
-class Space(NamedTuple):
-    """The accelerators of one worker, as bit masks.
+class WorkerCapacity(NamedTuple):
+    """The available accelerators of one worker, as bit masks.
 
-    A named tuple, since decisions make thousands of them.
+    This is a named tuple because each decision creates thousands of them.
 
     Attributes:
         worker: The worker's name.
-        rack: Its rack.
-        free: Accelerators that nobody uses.
-        lent: Accelerators used beyond a guarantee, which can be taken back.
+        rack: The rack of the worker.
+        free_mask: Accelerators that nobody uses.
+        lent: Accelerators used beyond a guarantee, which can be reclaimed.
     """
 
     worker: str
     rack: str
-    free: int
+    free_mask: int
     lent: int = 0
 
     @property
-    def usable(self) -> int:
-        """What a guarantee can count on: free or lent."""
-        return self.free | self.lent
+    def usable_mask(self) -> int:
+        """Accelerators that a guarantee can count on: free or lent."""
+        return self.free_mask | self.lent
 
 
-Floor = dict[str, Space]
-_Shape = tuple[tuple[int, int], ...]
+# Capacities of the workers of one data centre, by worker name.
+Floor = dict[str, WorkerCapacity]
+# Usable and free counts of each worker of a unit, sorted.
+_UnitShape = tuple[tuple[int, int], ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class Need:
-    """One cell that must find a place.
+    """One cell that must be embedded.
 
     Attributes:
-        customer: Whose guarantee it is.
-        level: The unit that must hold it whole.
-        accelerators: Its whole size.
-        index: Its index among the customer's cells.
-        pinned: What is claimed of it; in use, so neither free nor lent.
+        customer: Customer whose guarantee includes the cell.
+        level: Kind of unit that must hold the whole cell.
+        accelerators: Size of the whole cell.
+        index: Index of the cell among the customer's cells.
+        pinned: Claimed part of the cell; in use, so neither free nor lent.
     """
 
     customer: str
@@ -74,9 +79,9 @@
     pinned: tuple[model.Member, ...] = ()
 
     @property
-    def unclaimed(self) -> int:
-        """How many accelerators are still owed."""
-        return self.accelerators - sum(m.size for m in self.pinned)
+    def unclaimed_count(self) -> int:
+        """The number of accelerators that are not claimed."""
+        return self.accelerators - sum(member.size for member in self.pinned)
 
 
 Spot = tuple[model.Member, ...]
@@ -84,236 +89,294 @@
 
 @dataclasses.dataclass(frozen=True)
 class Embedding:
-    """A place for what is unclaimed; `spots[i]` belongs to `needs[i]`."""
+    """Disjoint allocations for the unclaimed parts of cells.
+
+    Attributes:
+        demands: The cells, in the order of the search.
+        allocations: `allocations[i]` belongs to `demands[i]`.
+    """
 
-    needs: tuple[Need, ...]
-    spots: tuple[Spot, ...]
+    demands: tuple[Need, ...]
+    allocations: tuple[Spot, ...]
 
 
 @dataclasses.dataclass(frozen=True)
-class Unfit:
-    """No embedding was found; `need` is the first that found no place."""
+class EmbeddingFailure:
+    """The search found no embedding.
 
-    need: Need
+    Attributes:
+        demand: The first cell for which no allocation was found.
+    """
 
+    demand: Need
 
-def embed(needs: Iterable[Need], floor: Floor) -> Embedding | Unfit:
-    """Find disjoint places for all needs in what is free or lent.
 
-    Tight levels and large cells go first; each takes the tightest unit that
-    holds it, so that whole units stay whole. Where that runs into a wall, a
-    bounded search goes back over the choices. The search can miss an
-    embedding that exists (it then says `Unfit`), but what it returns always
-    is one.
+def embed(
+    demands: Iterable[Need], capacities: Floor
+) -> Embedding | EmbeddingFailure:
+    """Find disjoint allocations for all cells in free or lent accelerators.
 
-    >>> floor = {name: Space(name, "r1", 0b1111) for name in ("w1", "w2")}
-    >>> pair = Need("a", Level.RACK, 6)
-    >>> embed([pair], floor).spots
+    Cells of narrow levels and large cells are placed first. Each cell takes
+    the tightest unit that holds it, so that whole units stay available. If a
+    cell then finds no place, a bounded search backtracks over the choices.
+    The search can miss an existing embedding and return `EmbeddingFailure`,
+    but an embedding that it returns is always valid.
+
+    >>> capacities = {
+    ...     name: WorkerCapacity(name, "r1", 0b1111) for name in ("w1", "w2")
+    ... }
+    >>> rack_cell = Need("a", Level.RACK, 6)
+    >>> embed([rack_cell], capacities).allocations
     ((Member(worker='w1', mask=15), Member(worker='w2', mask=3)),)
-    >>> embed([pair, Need("b", Level.WORKER, 4)], floor).need.customer
+    >>> worker_cell = Need("b", Level.WORKER, 4)
+    >>> embed([rack_cell, worker_cell], capacities).demand.customer
     'a'
 
     Args:
-        needs: Cells that must be placed together.
-        floor: Spaces by worker, of one data centre.
+        demands: Cells that must be placed together.
+        capacities: Capacities of the workers of one data centre.
 
     Returns:
-        The embedding, its needs in the order in which they were placed, or
-        the need that fails.
+        The embedding, or the cell for which the search failed.
     """
-    ordered = tuple(sorted(needs, key=_order_need))
+    ordered = tuple(sorted(demands, key=_build_demand_sort_key))
     if not ordered:
         return Embedding((), ())
-    return _Search(ordered, floor).run()
+    return _EmbeddingSearch(ordered, capacities).run()
 
 
-def find_spot(need: Need, floor: Floor) -> Spot | None:
-    """Return the best place for one need in `usable`, or None."""
-    return next(_find_spots(need, floor), None)
+def find_allocation(demand: Need, capacities: Floor) -> Spot | None:
+    """Return the best allocation of usable accelerators for one cell."""
+    return next(_iterate_allocations(demand, capacities), None)
 
 
-def remove_spot(floor: Floor, spot: Spot) -> Floor:
-    """Return the floor without the accelerators of `spot`."""
-    return remove_spots(floor, (spot,))
+def remove_spot(capacities: Floor, allocation: Spot) -> Floor:
+    """Return the capacities without the accelerators of an allocation."""
+    return subtract_allocations(capacities, (allocation,))
 
 
-def remove_spots(floor: Floor, spots: Iterable[Spot]) -> Floor:
-    """Return the floor without the accelerators of several spots."""
-    changed = dict(floor)
-    for spot in spots:
-        for member in spot:
-            name, rack, free, lent = changed[member.worker]
-            keep = ~member.mask
-            changed[name] = Space(name, rack, free & keep, lent & keep)
-    return changed
+def subtract_allocations(
+    capacities: Floor, allocations: Iterable[Spot]
+) -> Floor:
+    """Return the capacities without the accelerators of all allocations."""
+    remaining = dict(capacities)
+    for allocation in allocations:
+        for member in allocation:
+            name, rack, free_mask, lent_mask = remaining[member.worker]
+            kept_mask = ~member.mask
+            remaining[member.worker] = WorkerCapacity(
+                name, rack, free_mask & kept_mask, lent_mask & kept_mask
+            )
+    return remaining
 
 
-def _order_need(need: Need) -> tuple[bool, int, int, str]:
-    """Put what has least choice first."""
+def _build_demand_sort_key(demand: Need) -> tuple[bool, int, int, str]:
+    """Build a sort key that puts the most constrained cells first."""
     return (
-        not need.pinned,
-        _LEVEL_ORDER[need.level],
-        -need.unclaimed,
-        need.customer,
+        not demand.pinned,
+        _LEVEL_ORDER[demand.level],
+        -demand.unclaimed_count,
+        demand.customer,
     )
 
 
-class _Search:
-    """Depth-first search for an embedding, bounded by a count of nodes."""
+class _EmbeddingSearch:
+    """Depth-first search for an embedding with a bounded number of nodes."""
 
-    def __init__(self, needs: tuple[Need, ...], floor: Floor) -> None:
-        self._needs = needs
-        self._floor = floor
-        self._nodes = 0
-        self._deepest = 0
+    def __init__(self, demands: tuple[Need, ...], capacities: Floor) -> None:
+        self._demands = demands
+        self._capacities = capacities
+        self._visited_nodes = 0
+        self._deepest_index = 0
 
-    def run(self) -> Embedding | Unfit:
-        spots = self._place(0, self._floor)
-        if spots is None:
-            return Unfit(self._needs[self._deepest])
-        return Embedding(self._needs, spots)
+    def run(self) -> Embedding | EmbeddingFailure:
+        allocations = self._place_from(0, self._capacities)
+        if allocations is None:
+            return EmbeddingFailure(self._demands[self._deepest_index])
+        return Embedding(self._demands, allocations)
 
-    def _place(self, index: int, floor: Floor) -> tuple[Spot, ...] | None:
-        if index == len(self._needs):
+    def _place_from(
+        self, index: int, capacities: Floor
+    ) -> tuple[Spot, ...] | None:
+        """Place the cells from `index` on, or return None."""
+        if index == len(self._demands):
             return ()
-        self._deepest = max(self._deepest, index)
-        for spot in _find_spots(self._needs[index], floor):
-            self._nodes += 1
-            rest = self._place(index + 1, remove_spot(floor, spot))
+        self._deepest_index = max(self._deepest_index, index)
+        for allocation in _iterate_allocations(
+            self._demands[index], capacities
+        ):
+            self._visited_nodes += 1
+            rest = self._place_from(
+                index + 1, remove_spot(capacities, allocation)
+            )
             if rest is not None:
-                return (spot, *rest)
-            if self._nodes >= _NODE_LIMIT:
+                return (allocation, *rest)
+            if self._visited_nodes >= _MAX_SEARCH_NODES:
                 return None
         return None
 
 
-def _find_spots(need: Need, floor: Floor) -> Iterator[Spot]:
-    """Yield places for a need, tightest unit first, alike units once."""
-    if not need.unclaimed:
+def _iterate_allocations(demand: Need, capacities: Floor) -> Iterator[Spot]:
+    """Yield allocations for a cell, tightest unit first.
+
+    Of several units with the same shape, only the first is used.
+    """
+    if not demand.unclaimed_count:
         yield ()
         return
-    size = need.unclaimed
-    seen = set()
-    rack_shapes = _describe_racks(floor)
-    fits = [
-        unit for unit in _list_units(need, floor) if count_usable(unit) >= size
+    size = demand.unclaimed_count
+    seen_shapes = set()
+    rack_shapes = _describe_racks(capacities)
+    fitting_units = [
+        unit
+        for unit in _list_units(demand, capacities)
+        if count_usable(unit) >= size
     ]
-    fits.sort(
+    fitting_units.sort(
         key=lambda unit: (
-            *_rate_unit(unit, size),
+            *_score_unit(unit, size),
             rack_shapes[unit[0].rack],
             unit[0].worker,
         )
     )
-    for unit in fits:
-        # Workers alike in themselves differ if their racks do: taking one
-        # may break up a rack that a later need wants whole.
+    for unit in fitting_units:
+        # Identical workers in different racks are not interchangeable: taking
+        # one may break up a rack that a later cell needs as a whole.
         shape = (_describe_unit(unit), rack_shapes[unit[0].rack])
-        if shape in seen:
+        if shape in seen_shapes:
             continue
-        seen.add(shape)
+        seen_shapes.add(shape)
         yield fill_unit(unit, size)
-        if len(seen) == _CANDIDATES:
+        if len(seen_shapes) == _MAX_CANDIDATE_UNITS:
             return
 
 
-def _list_units(need: Need, floor: Floor) -> list[list[Space]]:
-    """Return the units that could hold a cell with what is claimed of it."""
-    units = group_spaces(floor, need.level)
-    if not need.pinned:
+def _list_units(demand: Need, capacities: Floor) -> list[list[WorkerCapacity]]:
+    """Return the units that contain all claimed workers of a cell."""
+    units = group_spaces(capacities, demand.level)
+    if not demand.pinned:
         return units
-    pinned = {member.worker for member in need.pinned}
-    return [u for u in units if pinned <= {space.worker for space in u}]
+    claimed_workers = {member.worker for member in demand.pinned}
+    return [
+        unit
+        for unit in units
+        if claimed_workers <= {capacity.worker for capacity in unit}
+    ]
 
 
-def group_spaces(floor: Floor, level: Level) -> list[list[Space]]:
-    """Group the spaces of a floor into the units of one level."""
+def group_spaces(capacities: Floor, level: Level) -> list[list[WorkerCapacity]]:
+    """Group the worker capacities into the units of one level."""
     if level is Level.WORKER:
-        return [[space] for space in floor.values()]
+        return [[capacity] for capacity in capacities.values()]
     if level is Level.DATA_CENTRE:
-        return [list(floor.values())]
-    racks: dict[str, list[Space]] = collections.defaultdict(list)
-    for space in floor.values():
-        racks[space.rack].append(space)
+        return [list(capacities.values())]
+    racks: dict[str, list[WorkerCapacity]] = collections.defaultdict(list)
+    for capacity in capacities.values():
+        racks[capacity.rack].append(capacity)
     return list(racks.values())
 
 
-def count_usable(spaces: Sequence[Space]) -> int:
+def count_usable(unit: Sequence[WorkerCapacity]) -> int:
     """Count the free and lent accelerators of a unit."""
-    return sum(space.usable.bit_count() for space in spaces)
+    return sum(capacity.usable_mask.bit_count() for capacity in unit)
 
 
-def count_free(spaces: Sequence[Space]) -> int:
+def count_free(unit: Sequence[WorkerCapacity]) -> int:
     """Count the free accelerators of a unit."""
-    return sum(space.free.bit_count() for space in spaces)
+    return sum(capacity.free_mask.bit_count() for capacity in unit)
 
 
-def _rate_unit(unit: list[Space], size: int) -> tuple[int, int]:
-    """Prefer units that break fewest loans, then the tightest."""
-    broken = max(0, size - count_free(unit))
-    return (broken, count_usable(unit) - size)
+def _score_unit(unit: list[WorkerCapacity], size: int) -> tuple[int, int]:
+    """Score a unit: fewest lent accelerators used, then the tightest fit."""
+    reclaimed_count = max(0, size - count_free(unit))
+    return (reclaimed_count, count_usable(unit) - size)
 
 
-def _describe_racks(floor: Floor) -> dict[str, tuple[int, _Shape]]:
+def _describe_racks(capacities: Floor) -> dict[str, tuple[int, _UnitShape]]:
     """Return the usable count and the shape of each rack."""
-    racks = group_spaces(floor, Level.RACK)
+    racks = group_spaces(capacities, Level.RACK)
     return {
         unit[0].rack: (count_usable(unit), _describe_unit(unit))
         for unit in racks
     }
 
 
-def _describe_unit(unit: list[Space]) -> _Shape:
-    return tuple(sorted(_rate_space(space) for space in unit))
+def _describe_unit(unit: list[WorkerCapacity]) -> _UnitShape:
+    return tuple(sorted(_count_accelerators(capacity) for capacity in unit))
 
 
-def _rate_space(space: Space) -> tuple[int, int]:
-    return (space.usable.bit_count(), space.free.bit_count())
+def _count_accelerators(capacity: WorkerCapacity) -> tuple[int, int]:
+    """Return the usable and the free count of a worker."""
+    return (
+        capacity.usable_mask.bit_count(),
+        capacity.free_mask.bit_count(),
+    )
 
 
-def fill_unit(unit: Sequence[Space], size: int) -> Spot:
-    """Take `size` accelerators of a unit, on as few workers as possible.
+def fill_unit(unit: Sequence[WorkerCapacity], size: int) -> Spot:
+    """Allocate `size` accelerators of a unit on as few workers as possible.
 
-    Workers that fit whole go first, largest first; the rest comes from the
-    worker that it fits tightest. Free accelerators go before lent ones.
+    Workers that are used completely come first, the largest first. The rest
+    comes from the worker with the tightest fit. Free accelerators are used
+    before lent ones.
 
-    >>> unit = [Space("w1", "r", 0b11), Space("w2", "r", 0b1111)]
-    >>> fill_unit(unit, 5)
+    >>> small_worker = WorkerCapacity("w1", "r", 0b11)
+    >>> large_worker = WorkerCapacity("w2", "r", 0b1111)
+    >>> fill_unit([small_worker, large_worker], 5)
     (Member(worker='w2', mask=15), Member(worker='w1', mask=1))
     """
     members = []
-    left = size
-    spaces = [space for space in unit if space.usable]
-    while left:
-        space = _choose_space(spaces, left)
-        spaces.remove(space)
-        mask = take_bits(space, left)
-        members.append(model.Member(space.worker, mask))
-        left -= mask.bit_count()
+    missing = size
+    unused_capacities = [capacity for capacity in unit if capacity.usable_mask]
+    while missing:
+        capacity = _choose_worker(unused_capacities, missing)
+        unused_capacities.remove(capacity)
+        mask = select_accelerators(capacity, missing)
+        members.append(model.Member(capacity.worker, mask))
+        missing -= mask.bit_count()
     return tuple(members)
 
 
-def _choose_space(spaces: list[Space], left: int) -> Space:
-    enough = [space for space in spaces if space.usable.bit_count() >= left]
-    if enough:
-        return min(enough, key=lambda s: (-_free_part(s, left), _rate_space(s)))
-    return max(spaces, key=lambda s: (s.free.bit_count(), _rate_space(s)))
+def _choose_worker(
+    capacities: list[WorkerCapacity], missing: int
+) -> WorkerCapacity:
+    large_enough = [
+        capacity
+        for capacity in capacities
+        if capacity.usable_mask.bit_count() >= missing
+    ]
+    if large_enough:
+        return min(
+            large_enough,
+            key=lambda capacity: (
+                -_count_free_up_to(capacity, missing),
+                _count_accelerators(capacity),
+            ),
+        )
+    return max(
+        capacities,
+        key=lambda capacity: (
+            capacity.free_mask.bit_count(),
+            _count_accelerators(capacity),
+        ),
+    )
 
 
-def _free_part(space: Space, size: int) -> int:
-    return min(size, space.free.bit_count())
+def _count_free_up_to(capacity: WorkerCapacity, limit: int) -> int:
+    return min(limit, capacity.free_mask.bit_count())
 
 
-def take_bits(space: Space, size: int) -> int:
+def select_accelerators(capacity: WorkerCapacity, size: int) -> int:
     """Return a mask of at most `size` accelerators, free ones first.
 
-    >>> bin(take_bits(Space("w", "r", free=0b0100, lent=0b0011), 2))
+    >>> capacity = WorkerCapacity("w", "r", free_mask=0b0100, lent=0b0011)
+    >>> bin(select_accelerators(capacity, 2))
     '0b101'
     """
-    mask = 0
-    for available in (space.free, space.lent):
-        while available and mask.bit_count() < size:
-            lowest = available & -available
-            mask |= lowest
-            available ^= lowest
-    return mask
+    selected_mask = 0
+    for available_mask in (capacity.free_mask, capacity.lent):
+        while available_mask and selected_mask.bit_count() < size:
+            lowest_bit = available_mask & -available_mask
+            selected_mask |= lowest_bit
+            available_mask ^= lowest_bit
+    return selected_mask
--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -1,4 +1,4 @@
-"""Which running jobs use a guarantee, and what of it is unclaimed."""
+"""Claims: how running jobs use their customers' guaranteed cells."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -9,36 +9,36 @@
 from crocusrouter.templates import Catalog
 from crocusrouter.templates import Level
 
-_WIDTH = {Level.WORKER: 0, Level.RACK: 1, Level.DATA_CENTRE: 2}
+_LEVEL_WIDTH = {Level.WORKER: 0, Level.RACK: 1, Level.DATA_CENTRE: 2}
 
-Needs = tuple[cells.Need, ...]
+CellDemands = tuple[cells.Need, ...]
 
 
 @dataclasses.dataclass(frozen=True)
-class Holding:
-    """The accelerators that one job's latest attempt uses."""
+class JobAllocation:
+    """The accelerators that the latest attempt of a job uses."""
 
     job_id: str
     customer: str
-    spot: cells.Spot
-    claims: tuple[model.Claim, ...] = ()
+    allocation: cells.Spot
+    claims: tuple[model.CellClaim, ...] = ()
 
     @property
     def size(self) -> int:
         """The number of accelerators."""
-        return sum(member.size for member in self.spot)
+        return sum(member.size for member in self.allocation)
 
 
-def list_needs(catalog: Catalog, data_centre: str) -> Needs:
-    """Return every guaranteed cell of a data centre, nothing claimed."""
+def list_demands(catalog: Catalog, data_centre: str) -> CellDemands:
+    """Return every guaranteed cell of a data centre, with nothing claimed."""
     return tuple(
-        need
+        demand
         for customer in sorted(catalog.templates)
-        for need in _list_cells(catalog, customer, data_centre)
+        for demand in _iterate_customer_cells(catalog, customer, data_centre)
     )
 
 
-def _list_cells(
+def _iterate_customer_cells(
     catalog: Catalog, customer: str, data_centre: str
 ) -> Iterator[cells.Need]:
     index = 0
@@ -50,107 +50,129 @@
             index += 1
 
 
-def pin_holdings(
-    needs: Needs, holdings: Iterable[Holding]
-) -> tuple[Needs, list[Holding]]:
-    """Mark what is claimed of each cell.
+def assign_claims(
+    demands: CellDemands, job_allocations: Iterable[JobAllocation]
+) -> tuple[CellDemands, list[JobAllocation]]:
+    """Mark the claimed part of each cell and find the loans.
 
-    A claim on a cell that an edit has removed or shrunk doesn't count; its
-    job holds a loan from then on.
+    An edit of a template can remove or shrink a cell that is claimed. The
+    claim then no longer counts, and its job runs on a loan.
 
-    >>> need = cells.Need("a", Level.RACK, 4)
-    >>> claim = model.Claim(0, (model.Member("w", 0b1),))
-    >>> held = Holding("dc.1", "a", claim.spot, (claim,))
-    >>> pinned, loans = pin_holdings((need,), [held])
-    >>> pinned[0].unclaimed, loans
+    >>> demand = cells.Need("a", Level.RACK, 4)
+    >>> claim = model.CellClaim(0, (model.Member("w", 0b1),))
+    >>> job_allocation = JobAllocation("dc.1", "a", claim.spot, (claim,))
+    >>> claimed_demands, loans = assign_claims((demand,), [job_allocation])
+    >>> claimed_demands[0].unclaimed_count, loans
     (3, [])
 
     Args:
-        needs: Every cell, nothing claimed.
-        holdings: What running attempts hold.
+        demands: Every cell, with nothing claimed.
+        job_allocations: Allocations of the running attempts.
 
     Returns:
-        The cells with what is claimed of them, and the holdings that are
+        The cells with their claimed parts, and the allocations that are
         loans.
     """
-    room = {(n.customer, n.index): n.accelerators for n in needs}
-    pinned: dict[tuple[str, int], cells.Spot] = {}
+    unclaimed_counts = {
+        (demand.customer, demand.index): demand.accelerators
+        for demand in demands
+    }
+    claimed_parts: dict[tuple[str, int], cells.Spot] = {}
     loans = []
-    for holding in holdings:
-        if not holding.claims or not _is_backed(room, holding):
-            loans.append(holding)
+    for job_allocation in job_allocations:
+        if not job_allocation.claims or not _is_covered(
+            unclaimed_counts, job_allocation
+        ):
+            loans.append(job_allocation)
             continue
-        for claim in holding.claims:
-            key = (holding.customer, claim.cell)
-            room[key] -= claim.size
-            pinned[key] = pinned.get(key, ()) + claim.spot
-    marked = tuple(
-        dataclasses.replace(need, pinned=pinned[key]) if key in pinned else need
-        for need in needs
-        for key in [(need.customer, need.index)]
+        for claim in job_allocation.claims:
+            key = (job_allocation.customer, claim.cell)
+            unclaimed_counts[key] -= claim.size
+            claimed_parts[key] = claimed_parts.get(key, ()) + claim.spot
+    claimed_demands = tuple(
+        dataclasses.replace(demand, pinned=claimed_parts[key])
+        if key in claimed_parts
+        else demand
+        for demand in demands
+        for key in [(demand.customer, demand.index)]
     )
-    return marked, loans
+    return claimed_demands, loans
 
 
-def _is_backed(room: dict[tuple[str, int], int], holding: Holding) -> bool:
-    """Tell whether a guarantee has room for all that a holding claims."""
+def _is_covered(
+    unclaimed_counts: dict[tuple[str, int], int],
+    job_allocation: JobAllocation,
+) -> bool:
+    """Tell whether the guarantee has room for all claims of an allocation."""
     return all(
-        room.get((holding.customer, claim.cell), 0) >= claim.size
-        for claim in holding.claims
+        unclaimed_counts.get((job_allocation.customer, claim.cell), 0)
+        >= claim.size
+        for claim in job_allocation.claims
     )
 
 
-def pin(needs: Needs, customer: str, claim: model.Claim) -> Needs:
-    """Return the needs with one more claim on a cell."""
+def add_claim(
+    demands: CellDemands, customer: str, claim: model.CellClaim
+) -> CellDemands:
+    """Return the cells with one more claim on one of them."""
     return tuple(
-        dataclasses.replace(need, pinned=need.pinned + claim.spot)
-        if (need.customer, need.index) == (customer, claim.cell)
-        else need
-        for need in needs
+        dataclasses.replace(demand, pinned=demand.pinned + claim.spot)
+        if (demand.customer, demand.index) == (customer, claim.cell)
+        else demand
+        for demand in demands
     )
 
 
-def list_cells(
-    needs: Needs, customer: str, level: Level, size: int
+def list_claimable_cells(
+    demands: CellDemands, customer: str, level: Level, size: int
 ) -> list[cells.Need]:
-    """Return the cells that could take a whole job, the tightest first.
+    """Return the cells that have room for a whole job, the tightest first.
 
     A cell guarantees adjacency at its own level, so it serves jobs that ask
-    for no narrower one. A single accelerator is adjacent to itself.
+    for the same or a wider level. Jobs with one accelerator fit at any level.
     """
-    fitting = [
-        need
-        for need in needs
-        if need.customer == customer
-        and need.unclaimed >= size
-        and (size == 1 or _WIDTH[need.level] <= _WIDTH[level])
+    claimable_cells = [
+        demand
+        for demand in demands
+        if demand.customer == customer
+        and demand.unclaimed_count >= size
+        and (size == 1 or _LEVEL_WIDTH[demand.level] <= _LEVEL_WIDTH[level])
     ]
-    return sorted(fitting, key=lambda need: (need.unclaimed, need.index))
+    return sorted(
+        claimable_cells,
+        key=lambda demand: (demand.unclaimed_count, demand.index),
+    )
 
 
 def split_over_cells(
-    needs: Needs, customer: str, size: int
+    demands: CellDemands, customer: str, size: int
 ) -> dict[int, int] | None:
-    """Spread a job that is adjacent nowhere over several cells.
+    """Split a job without adjacency needs over several cells.
 
     Returns:
         Accelerators by cell index, or None if the guarantee is too small.
     """
-    parts: dict[int, int] = {}
-    mine = [need for need in needs if need.customer == customer]
-    for need in sorted(mine, key=lambda need: -need.unclaimed):
-        part = min(size, need.unclaimed)
-        if part:
-            parts[need.index] = part
-            size -= part
-    return None if size else parts
-
-
-def is_claimable(needs: Needs, customer: str, level: Level, size: int) -> bool:
+    sizes_by_cell: dict[int, int] = {}
+    customer_cells = [
+        demand for demand in demands if demand.customer == customer
+    ]
+    for demand in sorted(
+        customer_cells, key=lambda demand: -demand.unclaimed_count
+    ):
+        part_size = min(size, demand.unclaimed_count)
+        if part_size:
+            sizes_by_cell[demand.index] = part_size
+            size -= part_size
+    return None if size else sizes_by_cell
+
+
+def is_within_guarantee(
+    demands: CellDemands, customer: str, level: Level, size: int
+) -> bool:
     """Tell whether the guarantee has room for a job of this shape."""
-    if list_cells(needs, customer, level, size):
+    if list_claimable_cells(demands, customer, level, size):
         return True
     return (
         level is Level.DATA_CENTRE
-        and split_over_cells(needs, customer, size) is not None
+        and split_over_cells(demands, customer, size) is not None
     )
--- a/crocusrouter/jobs/effects.py
+++ b/crocusrouter/jobs/effects.py
@@ -1,4 +1,4 @@
-"""What follows from one event, and what a job's story tells."""
+"""Effects of an event on jobs and workers; explanation of a job's state."""
 
 import dataclasses
 
@@ -9,14 +9,20 @@
 
 @dataclasses.dataclass
 class Effects:
-    """What follows from one event."""
+    """What an event changes and which commands it causes.
+
+    Attributes:
+        changed: Jobs whose new state must be journaled.
+        commands: Commands for workers, to be sent once that is done.
+        retries: Why attempts ended whose jobs run again.
+    """
 
     changed: list[model.Job] = dataclasses.field(default_factory=list)
     commands: list[gangs.Command] = dataclasses.field(default_factory=list)
     retries: list[RetryReason] = dataclasses.field(default_factory=list)
 
     def add(self, other: "Effects") -> None:
-        """Append another event's effects."""
+        """Append the effects of another event."""
         self.changed += other.changed
         self.commands += other.commands
         self.retries += other.retries
@@ -24,13 +30,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Explanation:
-    """Why a job stands where it stands.
+    """Why a job is in its state.
 
     Attributes:
         job: The job.
-        phase: Where its attempt stands, if it has one.
-        waiting_for: Why it waits, if it does.
-        events: What happened, as (Unix time, text).
+        phase: Phase of its attempt; empty without an attempt.
+        waiting_for: Why it waits; empty if it does not wait.
+        events: Latest events as (Unix time, text), oldest first.
     """
 
     job: model.Job
--- a/crocusrouter/jobs/gang.py
+++ b/crocusrouter/jobs/gang.py
@@ -1,12 +1,13 @@
-"""A gang: one attempt of a job, whole or not at all.
+"""Gangs: the state machine of one attempt of a job.
 
-The owner reserves on every member, starts only when all hold, and renews all
-or none. A member that is lost ends the attempt: the others are stopped, and
-the attempt counts as ended only when each member has said so or its lease has
-lapsed. Only then may the next attempt begin, so two attempts never overlap.
+All members of a gang run, or none does. The owner reserves accelerators on
+every member's worker and starts the tasks only when all reservations hold. If
+a member is lost, the attempt ends and the other members are stopped. The
+attempt counts as ended only when each member has reported its end or its lease
+has lapsed. The next attempt begins after that, so attempts never overlap.
 
-The functions take a gang and an event and return the gang after it, with the
-commands to send. They hold no clock and do no I/O.
+The functions take a gang and an event; they return the changed gang and the
+commands to send. They use no clock and do no I/O.
 """
 
 import dataclasses
@@ -17,9 +18,9 @@
 
 
 class Phase(enum.StrEnum):
-    """Where an attempt stands."""
+    """Phase of an attempt."""
 
-    WAITING = "waiting"  # for loans on its accelerators to stop
+    WAITING = "waiting"  # for other attempts on its accelerators to end
     RESERVING = "reserving"
     STARTING = "starting"
     RUNNING = "running"
@@ -27,35 +28,35 @@
     ENDED = "ended"
 
 
-class End(enum.StrEnum):
+class EndReason(enum.StrEnum):
     """Why an attempt ends."""
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"  # a task failed
     LOST = "lost"  # a member's worker is gone or lost the task
-    DECLINED = "declined"  # a worker would not hold it
-    RECLAIMED = "reclaimed"  # its loan was taken back
+    DECLINED = "declined"  # a worker declined the reservation
+    RECLAIMED = "reclaimed"  # its loan was reclaimed
     CANCELLED = "cancelled"
 
 
 @dataclasses.dataclass(frozen=True)
 class Gang:
-    """One attempt and what is known of its members.
+    """One attempt and the known state of its members.
 
     Attributes:
         job_id: The job.
-        attempt: The attempt's number.
+        attempt: Number of the attempt.
         spec: What the tasks run.
         members: All members.
-        phase: Where the attempt stands.
-        victims: Jobs that must stop before the reservation.
-        reserved: Workers that hold their reservation or more.
-        started: Workers whose task runs or ended.
-        results: Results of the tasks that ended well, by worker.
-        held: Workers that may still hold something.
-        end: Why it ends, once it does.
-        detail: What the failing worker said.
-        culprit: The worker that ended it.
+        phase: Phase of the attempt.
+        blocking_job_ids: Jobs whose attempts must end before the reservation.
+        reserved_workers: Workers that hold the reservation or went further.
+        started_workers: Workers whose task runs or has ended.
+        results: Results of tasks that succeeded, as (worker, JSON text).
+        held: Workers that may still hold a reservation or a task.
+        end_reason: Why the attempt ends; None before.
+        detail: Explanation of the failure or loss.
+        failed_worker: Worker whose failure or loss ended the attempt.
     """
 
     job_id: str
@@ -63,14 +64,14 @@
     spec: model.Spec
     members: tuple[model.Member, ...]
     phase: Phase = Phase.WAITING
-    victims: frozenset[str] = frozenset()
-    reserved: frozenset[str] = frozenset()
-    started: frozenset[str] = frozenset()
+    blocking_job_ids: frozenset[str] = frozenset()
+    reserved_workers: frozenset[str] = frozenset()
+    started_workers: frozenset[str] = frozenset()
     results: tuple[tuple[str, str], ...] = ()
     held: frozenset[str] = frozenset()
-    end: End | None = None
+    end_reason: EndReason | None = None
     detail: str = ""
-    culprit: str = ""
+    failed_worker: str = ""
 
     @property
     def workers(self) -> frozenset[str]:
@@ -91,19 +92,26 @@
     message: TaskCommand
 
 
-Step = tuple[Gang, tuple[Command, ...]]
+# The changed gang and the commands to send.
+Transition = tuple[Gang, tuple[Command, ...]]
 
 
-def open_gang(job: model.Job, victims: frozenset[str]) -> Gang:
-    """Return the gang of a job's new attempt, which waits for `victims`."""
-    return Gang(job.id, job.attempt, job.spec, job.members, victims=victims)
+def create_gang(job: model.Job, blocking_job_ids: frozenset[str]) -> Gang:
+    """Create the gang of a new attempt, which waits for the blocking jobs."""
+    return Gang(
+        job.id,
+        job.attempt,
+        job.spec,
+        job.members,
+        blocking_job_ids=blocking_job_ids,
+    )
 
 
 def recover_gang(job: model.Job) -> Gang:
-    """Return the gang of an attempt that an earlier owner began.
+    """Create the gang of an attempt that an earlier owner began.
 
-    Nobody knows how far it got, so every member may hold something; the
-    workers' inventories tell.
+    The journal does not tell how far the attempt got, so every member may hold
+    a task. The workers' inventories tell.
     """
     workers = frozenset(member.worker for member in job.members)
     return Gang(
@@ -116,108 +124,132 @@
     )
 
 
-def release_victim(gang: Gang, job_id: str) -> Step:
-    """Note that a loan in the way has stopped; reserve when none is left."""
-    rest = gang.victims - {job_id}
-    gang = dataclasses.replace(gang, victims=rest)
-    if rest or gang.phase is not Phase.WAITING:
+def record_blocker_ended(gang: Gang, job_id: str) -> Transition:
+    """Remove a blocking job; reserve all members after the last one."""
+    remaining_job_ids = gang.blocking_job_ids - {job_id}
+    gang = dataclasses.replace(gang, blocking_job_ids=remaining_job_ids)
+    if remaining_job_ids or gang.phase is not Phase.WAITING:
         return gang, ()
-    return reserve_all(gang)
+    return reserve_members(gang)
 
 
-def reserve_all(gang: Gang) -> Step:
-    """Ask every member's worker to hold its accelerators."""
+def reserve_members(gang: Gang) -> Transition:
+    """Ask every member's worker to reserve its accelerators."""
     commands = tuple(
-        Command(m.worker, messages.Reserve(gang.job_id, gang.attempt, m.mask))
-        for m in gang.members
+        Command(
+            member.worker,
+            messages.Reserve(gang.job_id, gang.attempt, member.mask),
+        )
+        for member in gang.members
     )
-    changed = dataclasses.replace(
+    reserving_gang = dataclasses.replace(
         gang, phase=Phase.RESERVING, held=gang.workers
     )
-    return changed, commands
+    return reserving_gang, commands
 
 
-def note_reserved(gang: Gang, worker: str) -> Step:
-    """Note a held reservation; start all members when it was the last.
+def record_reserved(gang: Gang, worker: str) -> Transition:
+    """Record a worker's reservation; start all members after the last one.
 
-    Starting before all hold would let a part of the gang run alone whenever
-    the last worker declines.
+    An earlier start would let a part of the gang run alone whenever the last
+    worker declines.
     """
     if gang.phase is Phase.ENDING:
-        return gang, (stop_member(gang, worker),)
-    reserved = gang.reserved | {worker}
-    gang = dataclasses.replace(gang, reserved=reserved)
-    if gang.phase is not Phase.RESERVING or reserved != gang.workers:
+        return gang, (build_stop(gang, worker),)
+    reserved_workers = gang.reserved_workers | {worker}
+    gang = dataclasses.replace(gang, reserved_workers=reserved_workers)
+    if gang.phase is not Phase.RESERVING or reserved_workers != gang.workers:
         return gang, ()
-    waiting = sorted(gang.workers - gang.started)
-    commands = tuple(Command(name, build_start(gang)) for name in waiting)
-    phase = Phase.STARTING if waiting else Phase.RUNNING
+    unstarted_workers = sorted(gang.workers - gang.started_workers)
+    commands = tuple(
+        Command(name, build_start(gang)) for name in unstarted_workers
+    )
+    phase = Phase.STARTING if unstarted_workers else Phase.RUNNING
     return dataclasses.replace(gang, phase=phase), commands
 
 
-def note_started(gang: Gang, worker: str) -> Step:
-    """Note that a member runs."""
-    gang = dataclasses.replace(gang, started=gang.started | {worker})
-    gang, commands = note_reserved(gang, worker)
-    if gang.phase is Phase.STARTING and gang.started == gang.workers:
+def record_started(gang: Gang, worker: str) -> Transition:
+    """Record that a worker runs its task."""
+    gang = dataclasses.replace(
+        gang, started_workers=gang.started_workers | {worker}
+    )
+    gang, commands = record_reserved(gang, worker)
+    if gang.phase is Phase.STARTING and gang.started_workers == gang.workers:
         gang = dataclasses.replace(gang, phase=Phase.RUNNING)
     return gang, commands
 
 
-def note_finished(gang: Gang, worker: str, ok: bool, result: str) -> Step:
-    """Note a member's end; one failure ends the attempt, all successes too."""
+def record_finished(
+    gang: Gang, worker: str, ok: bool, result: str
+) -> Transition:
+    """Record the end of a worker's task.
+
+    The attempt ends at the first failure, or when all tasks have succeeded.
+    """
     gang = dataclasses.replace(gang, held=gang.held - {worker})
     if gang.phase is Phase.ENDING:
-        return _check_ended(gang), ()
+        return _end_if_released(gang), ()
     if not ok:
-        return end_gang(gang, End.FAILED, result, worker)
-    others = tuple(pair for pair in gang.results if pair[0] != worker)
-    results = tuple(sorted((*others, (worker, result))))
+        return end_gang(gang, EndReason.FAILED, result, worker)
+    other_results = tuple(pair for pair in gang.results if pair[0] != worker)
+    results = tuple(sorted((*other_results, (worker, result))))
     gang = dataclasses.replace(gang, results=results)
     if len(results) < len(gang.members):
-        # The others still run; this member counts as reserved and started.
-        gang, commands = note_started(gang, worker)
+        # Other members still run; this one counts as reserved and started.
+        gang, commands = record_started(gang, worker)
         return gang, commands
-    return end_gang(gang, End.SUCCEEDED)
+    return end_gang(gang, EndReason.SUCCEEDED)
 
 
-def note_gone(gang: Gang, worker: str, end: End, detail: str) -> Step:
-    """Note that a worker certainly holds nothing of this attempt any more."""
+def record_released(
+    gang: Gang, worker: str, end_reason: EndReason, detail: str
+) -> Transition:
+    """Record that a worker certainly holds no task of the attempt any more."""
     gang = dataclasses.replace(gang, held=gang.held - {worker})
     if gang.phase is Phase.ENDED:
         return gang, ()
     if gang.phase is Phase.ENDING:
-        return _check_ended(gang), ()
+        return _end_if_released(gang), ()
     if any(name == worker for name, _ in gang.results):
         return gang, ()
-    return end_gang(gang, end, detail, worker)
+    return end_gang(gang, end_reason, detail, worker)
 
 
-def end_gang(gang: Gang, end: End, detail: str = "", culprit: str = "") -> Step:
-    """End the attempt: stop whatever members still hold."""
+def end_gang(
+    gang: Gang,
+    end_reason: EndReason,
+    detail: str = "",
+    failed_worker: str = "",
+) -> Transition:
+    """End the attempt and stop all members that may still hold a task."""
     if gang.phase in (Phase.ENDING, Phase.ENDED):
         return gang, ()
     gang = dataclasses.replace(
-        gang, phase=Phase.ENDING, end=end, detail=detail, culprit=culprit
+        gang,
+        phase=Phase.ENDING,
+        end_reason=end_reason,
+        detail=detail,
+        failed_worker=failed_worker,
     )
-    commands = tuple(stop_member(gang, name) for name in sorted(gang.held))
-    return _check_ended(gang), commands
+    commands = tuple(build_stop(gang, name) for name in sorted(gang.held))
+    return _end_if_released(gang), commands
 
 
-def stop_member(gang: Gang, worker: str) -> Command:
-    """Build the command that stops one member."""
-    checkpoint = gang.end is End.RECLAIMED
+def build_stop(gang: Gang, worker: str) -> Command:
+    """Build the command that stops one worker's task."""
+    checkpoint = gang.end_reason is EndReason.RECLAIMED
     return Command(worker, messages.Stop(gang.job_id, gang.attempt, checkpoint))
 
 
-def _check_ended(gang: Gang) -> Gang:
+def _end_if_released(gang: Gang) -> Gang:
+    """Set the phase to ended if no worker holds a task any more."""
     if gang.held:
         return gang
     return dataclasses.replace(gang, phase=Phase.ENDED)
 
 
 def build_start(gang: Gang) -> messages.Start:
-    """Build the start of a member's task."""
+    """Build the message that starts a member's task."""
     return messages.Start(
         gang.job_id,
         gang.attempt,
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -1,4 +1,4 @@
-"""What a book makes of the messages of its workers."""
+"""Handlers: apply the messages of workers to a data centre's state."""
 
 import functools
 
@@ -7,198 +7,223 @@
 from crocusrouter.jobs.book import Book
 from crocusrouter.jobs.effects import Effects
 
-_PAUSE_AFTER_DECLINE_S = 0.5
-_HELD = (messages.TaskPhase.RESERVED, messages.TaskPhase.RUNNING)
+_RETRY_DELAY_AFTER_DECLINE_S = 0.5
+_HOLDING_PHASES = (messages.TaskPhase.RESERVED, messages.TaskPhase.RUNNING)
 
 
 def handle_message(
-    book: Book, worker: str, message: object, now: float
+    book: Book, worker_name: str, message: object, now: float
 ) -> Effects:
-    """Take a worker's message into account.
+    """Apply a worker's message; ignore messages of unknown workers.
 
     Args:
-        book: The book of the worker's data centre.
-        worker: Who sent it.
+        book: The state of the worker's data centre.
+        worker_name: The worker that sent the message.
         message: One of `crocusrouter.fleet.messages`.
         now: Unix time in seconds.
 
     Returns:
-        What follows from it.
+        The effects of the message.
 
     Raises:
         TypeError: No worker sends such a message.
     """
     effects = Effects()
-    if worker in book.workers:
-        _handle(message, book, worker, now, effects)
+    if worker_name in book.workers:
+        _handle(message, book, worker_name, now, effects)
     return effects
 
 
 @functools.singledispatch
 def _handle(
-    message: object, book: Book, worker: str, now: float, effects: Effects
+    message: object,
+    book: Book,
+    worker_name: str,
+    now: float,
+    effects: Effects,
 ) -> None:
-    raise TypeError(f"unexpected {type(message).__name__} from {worker}")
+    raise TypeError(f"unexpected {type(message).__name__} from {worker_name}")
 
 
 @_handle.register
 def _(
     message: messages.Inventory,
     book: Book,
-    worker: str,
+    worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    listed = {(task.job_id, task.attempt): task for task in message.tasks}
-    known = book.workers[worker]
-    known.known = True
-    known.strays = {}
-    book.touch()
-    for key, task in listed.items():
-        if not _is_current(book, key, worker):
-            _stop_stray(book, worker, task, effects)
-    for held in book.list_gangs_on(worker):
-        found = listed.get((held.job_id, held.attempt))
-        book.apply(_compare(held, worker, found), now, effects)
+    reported_tasks = {
+        (task.job_id, task.attempt): task for task in message.tasks
+    }
+    worker = book.workers[worker_name]
+    worker.known = True
+    worker.stray_masks = {}
+    book.invalidate_snapshot()
+    for key, task in reported_tasks.items():
+        if not _is_expected(book, key, worker_name):
+            _remove_stray_task(book, worker_name, task, effects)
+    for gang in book.list_gangs_on(worker_name):
+        reported_task = reported_tasks.get((gang.job_id, gang.attempt))
+        book.apply_transition(
+            _reconcile(gang, worker_name, reported_task), now, effects
+        )
 
 
 @_handle.register
 def _(
     message: messages.Reserved,
     book: Book,
-    worker: str,
+    worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    held = book.find_gang(message.job_id, message.attempt)
-    if held is None:
-        effects.commands.append(_stop(worker, message))
+    gang = book.find_gang(message.job_id, message.attempt)
+    if gang is None:
+        effects.commands.append(_build_stop(worker_name, message))
     else:
-        book.apply(gangs.note_reserved(held, worker), now, effects)
+        book.apply_transition(
+            gangs.record_reserved(gang, worker_name), now, effects
+        )
 
 
 @_handle.register
 def _(
     message: messages.Started,
     book: Book,
-    worker: str,
+    worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    held = book.find_gang(message.job_id, message.attempt)
-    if held is None:
-        effects.commands.append(_stop(worker, message))
+    gang = book.find_gang(message.job_id, message.attempt)
+    if gang is None:
+        effects.commands.append(_build_stop(worker_name, message))
     else:
-        book.apply(gangs.note_started(held, worker), now, effects)
+        book.apply_transition(
+            gangs.record_started(gang, worker_name), now, effects
+        )
 
 
 @_handle.register
 def _(
     message: messages.Declined,
     book: Book,
-    worker: str,
+    worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    held = book.find_gang(message.job_id, message.attempt)
-    if held is None:
+    gang = book.find_gang(message.job_id, message.attempt)
+    if gang is None:
         return
-    book.not_before[held.job_id] = now + _PAUSE_AFTER_DECLINE_S
-    step = gangs.note_gone(held, worker, gangs.End.DECLINED, message.why)
-    book.apply(step, now, effects)
+    book.earliest_retry_at[gang.job_id] = now + _RETRY_DELAY_AFTER_DECLINE_S
+    transition = gangs.record_released(
+        gang, worker_name, gangs.EndReason.DECLINED, message.why
+    )
+    book.apply_transition(transition, now, effects)
 
 
 @_handle.register
 def _(
     message: messages.Stopped,
     book: Book,
-    worker: str,
+    worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
     key = (message.job_id, message.attempt)
-    if book.workers[worker].strays.pop(key, None) is not None:
-        book.touch()
-    held = book.find_gang(*key)
-    if held is not None and worker in held.held:
-        step = gangs.note_gone(
-            held, worker, gangs.End.LOST, "the worker stopped its task"
+    if book.workers[worker_name].stray_masks.pop(key, None) is not None:
+        book.invalidate_snapshot()
+    gang = book.find_gang(*key)
+    if gang is not None and worker_name in gang.held:
+        transition = gangs.record_released(
+            gang,
+            worker_name,
+            gangs.EndReason.LOST,
+            "the worker stopped its task",
         )
-        book.apply(step, now, effects)
+        book.apply_transition(transition, now, effects)
 
 
 @_handle.register
 def _(
     message: messages.Finished,
     book: Book,
-    worker: str,
+    worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    held = book.find_gang(message.job_id, message.attempt)
-    if held is None or worker not in held.workers:
-        # A late result of an attempt that no longer counts: let the worker
-        # forget it, or it would offer it for ever.
-        effects.commands.append(_acknowledge(worker, message))
+    gang = book.find_gang(message.job_id, message.attempt)
+    if gang is None or worker_name not in gang.workers:
+        # A late result of an attempt that no longer counts. Without an
+        # acknowledgement the worker would keep the result for ever.
+        effects.commands.append(_build_acknowledge(worker_name, message))
         return
-    step = gangs.note_finished(held, worker, message.ok, message.result)
-    book.apply(step, now, effects)
+    transition = gangs.record_finished(
+        gang, worker_name, message.ok, message.result
+    )
+    book.apply_transition(transition, now, effects)
 
 
-def _is_current(book: Book, key: tuple[str, int], worker: str) -> bool:
-    held = book.find_gang(*key)
-    if held is None:
+def _is_expected(book: Book, key: tuple[str, int], worker_name: str) -> bool:
+    """Tell whether a gang accounts for a worker's task."""
+    gang = book.find_gang(*key)
+    if gang is None:
         return False
-    ended = any(name == worker for name, _ in held.results)
-    return worker in held.held or ended
+    has_result = any(name == worker_name for name, _ in gang.results)
+    return worker_name in gang.held or has_result
 
 
-def _stop_stray(
-    book: Book, worker: str, task: messages.TaskReport, effects: Effects
+def _remove_stray_task(
+    book: Book, worker_name: str, task: messages.TaskReport, effects: Effects
 ) -> None:
-    """Get rid of a task that no gang accounts for.
+    """Stop or acknowledge a task that belongs to no gang.
 
-    Its accelerators count as taken until the worker says that it stopped.
+    Its accelerators count as used until the worker reports that it stopped.
     """
-    if task.phase in _HELD:
-        book.workers[worker].strays[(task.job_id, task.attempt)] = task.mask
-        effects.commands.append(_stop(worker, task))
+    if task.phase in _HOLDING_PHASES:
+        book.workers[worker_name].stray_masks[(task.job_id, task.attempt)] = (
+            task.mask
+        )
+        effects.commands.append(_build_stop(worker_name, task))
     else:
-        effects.commands.append(_acknowledge(worker, task))
+        effects.commands.append(_build_acknowledge(worker_name, task))
 
 
-def _compare(
-    held: gangs.Gang, worker: str, task: messages.TaskReport | None
-) -> gangs.Step:
-    """Bring a gang in line with what a worker says it holds."""
+def _reconcile(
+    gang: gangs.Gang, worker_name: str, task: messages.TaskReport | None
+) -> gangs.Transition:
+    """Bring a gang in line with the task that a worker reports, if any."""
     if task is None:
-        return gangs.note_gone(
-            held, worker, gangs.End.LOST, f"{worker} doesn't hold the task"
+        return gangs.record_released(
+            gang,
+            worker_name,
+            gangs.EndReason.LOST,
+            f"{worker_name} doesn't hold the task",
         )
     if task.phase is messages.TaskPhase.RESERVED:
-        if held.phase is gangs.Phase.STARTING:
-            # The start was lost with the connection.
-            return held, (gangs.Command(worker, gangs.build_start(held)),)
-        return gangs.note_reserved(held, worker)
+        if gang.phase is gangs.Phase.STARTING:
+            # The start message was lost with the connection.
+            return gang, (gangs.Command(worker_name, gangs.build_start(gang)),)
+        return gangs.record_reserved(gang, worker_name)
     if task.phase is messages.TaskPhase.RUNNING:
-        return gangs.note_started(held, worker)
+        return gangs.record_started(gang, worker_name)
     ok = task.phase is messages.TaskPhase.SUCCEEDED
-    return gangs.note_finished(held, worker, ok, task.result or "")
+    return gangs.record_finished(gang, worker_name, ok, task.result or "")
 
 
-def _stop(
-    worker: str,
+def _build_stop(
+    worker_name: str,
     task: messages.Reserved | messages.Started | messages.TaskReport,
 ) -> gangs.Command:
-    """Stop a task whose attempt no longer counts."""
+    """Build the command that stops a task whose attempt no longer counts."""
     return gangs.Command(
-        worker, messages.Stop(task.job_id, task.attempt, checkpoint=False)
+        worker_name, messages.Stop(task.job_id, task.attempt, checkpoint=False)
     )
 
 
-def _acknowledge(
-    worker: str, task: messages.Finished | messages.TaskReport
+def _build_acknowledge(
+    worker_name: str, task: messages.Finished | messages.TaskReport
 ) -> gangs.Command:
     return gangs.Command(
-        worker, messages.Acknowledge(task.job_id, task.attempt)
+        worker_name, messages.Acknowledge(task.job_id, task.attempt)
     )
--- a/crocusrouter/jobs/model.py
+++ b/crocusrouter/jobs/model.py
@@ -1,4 +1,4 @@
-"""Jobs as the journal keeps them."""
+"""Data model of jobs, as the journal stores them."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class JobState(enum.StrEnum):
-    """Where a job stands; only these states are journaled."""
+    """State of a job; the journal knows only these states."""
 
     QUEUED = "queued"
     ASSIGNED = "assigned"
@@ -23,17 +23,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Spec:
-    """What was asked for.
+    """What a customer asks of a job.
 
     Attributes:
         kind: Kind of job in the customer's template.
-        accelerators: Size of the gang.
-        level: The unit that must hold all of them.
+        accelerators: Number of accelerators of the gang.
+        level: Kind of unit (worker, rack or data centre) that must hold the
+            whole gang.
         run_time_s: Declared run time in seconds.
         deadline_s: Seconds from submission to the wanted end.
-        max_attempts: Attempts that may fail before the job does.
-        urgent: Whether it goes before the customer's other jobs.
-        payload: JSON text handed to each task.
+        max_attempts: Number of failed attempts after which the job fails.
+        urgent: Whether the job comes before other jobs in the queue.
+        payload: JSON text that each task receives.
     """
 
     kind: str
@@ -48,7 +49,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-    """One task of a gang: accelerators of one worker, as a bit mask."""
+    """One task of a gang: accelerators of one worker.
+
+    Attributes:
+        worker: Name of the worker.
+        mask: The accelerators, as a bit mask.
+    """
 
     worker: str
     mask: int
@@ -60,12 +66,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Claim:
-    """Accelerators that use one cell of the customer's guarantee.
+class CellClaim:
+    """Accelerators that a job uses as part of a guaranteed cell.
 
     Attributes:
-        cell: Index of the cell among the customer's in the data centre.
-        spot: The accelerators.
+        cell: Index of the cell among the customer's cells in the data centre.
+        spot: The allocated accelerators.
     """
 
     cell: int
@@ -73,7 +79,7 @@
 
     @functools.cached_property
     def size(self) -> int:
-        """The number of accelerators; asked at every decision."""
+        """The number of accelerators; cached because each decision reads it."""
         return sum(member.size for member in self.spot)
 
 
@@ -82,22 +88,24 @@
     """One accepted job.
 
     Attributes:
-        id: "<data centre>.<hash>"; names the owner that decides on it.
-        customer: Whose it is.
-        spec: What was asked for.
+        id: "<data centre>.<hash>"; the data centre's owner decides on the job.
+        customer: Customer that submitted the job.
+        spec: What the customer asked for.
         submitted_at: Unix time of acceptance in seconds.
-        digest: Hash of the submission, to tell a repeat from a reused key.
-        state: Where it stands.
+        digest: Hash of the submission; tells a repeated submission from a
+            reused key.
+        state: State of the job.
         attempt: Number of the latest attempt; 0 before the first.
         members: The latest attempt's gang; empty unless assigned.
         claims: The cells that the gang uses; empty for a loan.
-        failures: Attempts that failed by the job's own fault.
-        losses: Attempts lost with a worker or reclaimed.
-        early_losses: Attempts in a row lost with a worker soon after all
-            members had been told to start.
+        failures: Number of failed attempts that count against the job.
+        losses: Number of attempts that ended without a task failure: lost with
+            a worker, declined or reclaimed.
+        early_losses: Number of consecutive attempts that were lost with a
+            worker soon after all members had been told to start.
         failed_on: Workers on which an attempt failed.
         result: JSON text of the result.
-        detail: Why it failed.
+        detail: Why the job failed.
         finished_at: Unix time of the end.
     """
 
@@ -109,7 +117,7 @@
     state: JobState = JobState.QUEUED
     attempt: int = 0
     members: tuple[Member, ...] = ()
-    claims: tuple[Claim, ...] = ()
+    claims: tuple[CellClaim, ...] = ()
     failures: int = 0
     losses: int = 0
     early_losses: int = 0
@@ -125,12 +133,12 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing more will happen to the job."""
+        """Whether the job is in a state that never changes again."""
         return self.state in FINAL_STATES
 
 
 def parse_data_centre(job_id: str) -> str:
-    """Return the data centre that a job's id names.
+    """Return the data centre in a job's id.
 
     >>> parse_data_centre("liege.0a1b")
     'liege'
@@ -141,14 +149,14 @@
 def build_job_id(data_centre: str, customer: str, key: str) -> str:
     """Return the id of the job that `customer` submits under `key`.
 
-    The same submission to two entries yields the same id, so its owner sees
-    that it is one job.
+    A submission that reaches two entries gets the same id at both, so the
+    owner recognises it as one job.
 
     >>> build_job_id("liege", "a", "k") == build_job_id("liege", "a", "k")
     True
     """
-    text = f"{customer}\0{key}".encode()
-    return f"{data_centre}.{hashlib.blake2b(text, digest_size=8).hexdigest()}"
+    data = f"{customer}\0{key}".encode()
+    return f"{data_centre}.{hashlib.blake2b(data, digest_size=8).hexdigest()}"
 
 
 def choose_data_centre(
@@ -156,15 +164,15 @@
 ) -> str:
     """Choose a job's data centre by rendezvous hashing.
 
-    Every entry chooses alike for the same key, so a submission repeated at
-    another entry reaches the same owner.
+    All entries choose the same data centre for a key, so a submission that is
+    repeated at another entry reaches the same owner.
 
     >>> choose_data_centre(("a", "b"), "c", "key-1")
     'a'
     """
 
-    def weigh(data_centre: str) -> bytes:
-        text = f"{data_centre}\0{customer}\0{key}".encode()
-        return hashlib.blake2b(text, digest_size=8).digest()
+    def compute_weight(data_centre: str) -> bytes:
+        data = f"{data_centre}\0{customer}\0{key}".encode()
+        return hashlib.blake2b(data, digest_size=8).digest()
 
-    return max(data_centres, key=weigh)
+    return max(data_centres, key=compute_weight)
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -1,8 +1,8 @@
-"""Placement: where a job starts, or why it waits.
+"""Placement: chooses where a job starts, or says why it has to wait.
 
-`place` is a pure function. It keeps the invariant that after every step all
-cells embed together, what is unclaimed of them in what is free or lent, so a
-guaranteed shape can always be taken back.
+`place_job` is a pure function. It keeps one invariant: after every decision
+the unclaimed parts of all cells embed together in free or lent accelerators.
+A guaranteed shape can therefore always be reclaimed.
 """
 
 from collections.abc import Iterable
@@ -10,13 +10,13 @@
 import dataclasses
 import enum
 
+from crocusrouter.jobs import cell_bindings
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import claims
-from crocusrouter.jobs import homes
 from crocusrouter.jobs import model
 from crocusrouter.templates import Level
 
-_CANDIDATES = 6
+_MAX_CANDIDATE_UNITS = 6
 
 
 class WaitReason(enum.StrEnum):
@@ -28,8 +28,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ask:
-    """What a job asks of placement."""
+class PlacementRequest:
+    """The shape for which a job needs an allocation."""
 
     job_id: str
     customer: str
@@ -40,281 +40,346 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placed:
-    """The job starts here.
+    """An allocation on which the job starts.
 
     Attributes:
-        spot: Its accelerators.
-        claims: The cells of its customer's guarantee that it uses; empty if
-            the accelerators are lent.
-        victims: Jobs with loans that must stop first.
-        moved: A cell's new home, if the claim moved it.
+        allocation: The accelerators of the job.
+        claims: The cells of its customer's guarantee that the job uses; empty
+            if the accelerators are lent.
+        victims: Ids of jobs with loans that must stop first.
+        new_binding: Key and allocation of a cell that the claim has bound to
+            another place.
     """
 
-    spot: cells.Spot
-    claims: tuple[model.Claim, ...] = ()
+    allocation: cells.Spot
+    claims: tuple[model.CellClaim, ...] = ()
     victims: tuple[str, ...] = ()
-    moved: tuple[homes.Key, cells.Spot] | None = None
+    new_binding: tuple[cell_bindings.CellKey, cells.Spot] | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class Waits:
-    """The job waits."""
+class NoPlacement:
+    """The job has to wait."""
 
     reason: WaitReason
     detail: str
 
 
 @dataclasses.dataclass(frozen=True)
-class Situation:
-    """All that placement looks at.
+class PlacementContext:
+    """The state of a data centre on which a placement depends.
 
     Attributes:
-        floor: Spaces by worker, with what is free and what is lent.
-        needs: Every guaranteed cell, with what is claimed of it.
-        bound: The home of each cell.
-        loans: Holdings that are borrowed.
+        capacities: Free and lent accelerators of each worker.
+        demands: Every guaranteed cell, with its claimed part.
+        bindings: The allocation to which each cell is bound.
+        loans: Allocations of jobs that run beyond a guarantee.
     """
 
-    floor: cells.Floor
-    needs: claims.Needs = ()
-    bound: homes.Homes = dataclasses.field(default_factory=dict)
-    loans: tuple[claims.Holding, ...] = ()
+    capacities: cells.Floor
+    demands: claims.CellDemands = ()
+    bindings: cell_bindings.CellBindings = dataclasses.field(
+        default_factory=dict
+    )
+    loans: tuple[claims.JobAllocation, ...] = ()
 
 
-def place(ask: Ask, situation: Situation) -> Placed | Waits:
-    """Decide where a job starts, or why it waits.
+def place_job(
+    request: PlacementRequest, context: PlacementContext
+) -> Placed | NoPlacement:
+    """Choose where a job starts, or say why it has to wait.
 
-    A job within its customer's guarantee takes a part of a home of its
-    customer's cells. If loans are there, the home first moves to a free place
-    outside all homes; if there is none, the loans must stop. A job beyond the
-    guarantee takes free accelerators only: what it takes is lent, which never
-    weakens a guarantee.
+    A job within its customer's guarantee uses a part of the accelerators to
+    which one of the customer's cells is bound. If loans use them, the cell is
+    first bound to a free place outside all bindings; if there is none, the
+    loans must stop. A job beyond the guarantee borrows free accelerators only.
+    They can be reclaimed, so this never weakens a guarantee.
 
-    >>> floor = {"w": cells.Space("w", "r", 0b11)}
-    >>> place(Ask("dc.1", "a", Level.RACK, 1), Situation(floor)).spot
+    >>> capacities = {"w": cells.WorkerCapacity("w", "r", 0b11)}
+    >>> request = PlacementRequest("dc.1", "a", Level.RACK, 1)
+    >>> place_job(request, PlacementContext(capacities)).allocation
     (Member(worker='w', mask=1),)
 
     Args:
-        ask: The job's shape.
-        situation: The state of its data centre.
+        request: The job's shape.
+        context: The state of its data centre.
 
     Returns:
-        Placed or Waits.
+        The placement, or the reason to wait.
     """
-    if claims.is_claimable(
-        situation.needs, ask.customer, ask.level, ask.accelerators
+    if claims.is_within_guarantee(
+        context.demands, request.customer, request.level, request.accelerators
     ):
-        return _claim(ask, situation)
-    return _borrow(ask, situation)
+        return _claim(request, context)
+    return _borrow(request, context)
 
 
-def check_fits(ask: Ask, empty_floor: cells.Floor) -> bool:
+def fits_in_capacity(
+    request: PlacementRequest, total_capacities: cells.Floor
+) -> bool:
     """Tell whether the job would fit if nothing else ran.
 
-    >>> floor = {"w": cells.Space("w", "r", 0b11)}
-    >>> check_fits(Ask("dc.1", "a", Level.RACK, 3), floor)
+    >>> capacities = {"w": cells.WorkerCapacity("w", "r", 0b11)}
+    >>> request = PlacementRequest("dc.1", "a", Level.RACK, 3)
+    >>> fits_in_capacity(request, capacities)
     False
     """
-    need = cells.Need(ask.customer, ask.level, ask.accelerators)
-    return cells.find_spot(need, empty_floor) is not None
+    demand = cells.Need(request.customer, request.level, request.accelerators)
+    return cells.find_allocation(demand, total_capacities) is not None
 
 
-def _borrow(ask: Ask, situation: Situation) -> Placed | Waits:
-    """Take free accelerators, away from all homes if possible.
+def _borrow(
+    request: PlacementRequest, context: PlacementContext
+) -> Placed | NoPlacement:
+    """Allocate free accelerators, outside all cell bindings if possible.
 
-    A loan on a home would have to stop when the cell is claimed.
+    A loan inside a binding would have to stop when the cell is claimed.
     """
-    free = _keep_free(situation.floor)
-    apart = homes.take_away(free, situation.needs, situation.bound)
-    for floor in (apart, free):
-        spot = next(_list_spots(ask, floor), None)
-        if spot is not None:
-            return Placed(spot)
-    return Waits(WaitReason.NO_FREE_SPOT, _describe_lack(ask, free))
-
-
-def _claim(ask: Ask, situation: Situation) -> Placed | Waits:
-    admitting = [
-        need
-        for need in claims.list_cells(
-            situation.needs, ask.customer, ask.level, ask.accelerators
+    free_capacities = _exclude_lent(context.capacities)
+    unbound_capacities = cell_bindings.subtract_unclaimed(
+        free_capacities, context.demands, context.bindings
+    )
+    for capacities in (unbound_capacities, free_capacities):
+        allocation = next(_iterate_allocations(request, capacities), None)
+        if allocation is not None:
+            return Placed(allocation)
+    return NoPlacement(
+        WaitReason.NO_FREE_SPOT, _describe_shortage(request, free_capacities)
+    )
+
+
+def _claim(
+    request: PlacementRequest, context: PlacementContext
+) -> Placed | NoPlacement:
+    """Start a job within its customer's guarantee."""
+    bound_cells = [
+        demand
+        for demand in claims.list_claimable_cells(
+            context.demands,
+            request.customer,
+            request.level,
+            request.accelerators,
         )
-        if homes.find_key(need) in situation.bound
+        if cell_bindings.get_cell_key(demand) in context.bindings
     ]
-    for attempt in (_claim_free, _claim_moved, _borrow_instead, _claim_lent):
-        for need in admitting:
-            placed = attempt(ask, situation, need)
-            if placed is not None:
-                return placed
-    if ask.level is Level.DATA_CENTRE:
-        return _claim_many(ask, situation)
-    return _wait_for_home(ask)
-
-
-def _claim_free(
-    ask: Ask, situation: Situation, need: cells.Need
+    for strategy in (
+        _claim_free_part,
+        _rebind_and_claim,
+        _borrow_instead,
+        _claim_lent_part,
+    ):
+        for demand in bound_cells:
+            placement = strategy(request, context, demand)
+            if placement is not None:
+                return placement
+    if request.level is Level.DATA_CENTRE:
+        return _claim_several_cells(request, context)
+    return _report_unbound_cell(request)
+
+
+def _claim_free_part(
+    request: PlacementRequest, context: PlacementContext, demand: cells.Need
 ) -> Placed | None:
-    """Claim a free part of the cell's home."""
-    unit = _open_home(situation, need, with_lent=False)
-    if cells.count_free(unit) < ask.accelerators:
+    """Claim free accelerators to which the cell is bound."""
+    unit = _list_unclaimed_capacities(context, demand, include_lent=False)
+    if cells.count_free(unit) < request.accelerators:
         return None
-    spot = cells.fill_unit(unit, ask.accelerators)
-    return Placed(spot, (model.Claim(need.index, spot),))
+    allocation = cells.fill_unit(unit, request.accelerators)
+    return Placed(allocation, (model.CellClaim(demand.index, allocation),))
 
 
-def _claim_moved(
-    ask: Ask, situation: Situation, need: cells.Need
+def _rebind_and_claim(
+    request: PlacementRequest, context: PlacementContext, demand: cells.Need
 ) -> Placed | None:
-    """Move an unclaimed cell to a free place outside all homes."""
-    if need.pinned:
+    """Bind an unclaimed cell to a free place outside all bindings."""
+    if demand.pinned:
         return None
-    free = _keep_free(situation.floor)
-    apart = homes.take_away(free, situation.needs, situation.bound)
-    home = cells.find_spot(need, apart)
-    if home is None:
+    free_capacities = _exclude_lent(context.capacities)
+    unbound_capacities = cell_bindings.subtract_unclaimed(
+        free_capacities, context.demands, context.bindings
+    )
+    binding = cells.find_allocation(demand, unbound_capacities)
+    if binding is None:
         return None
-    spot = cells.fill_unit(_limit(home, free), ask.accelerators)
-    claim = model.Claim(need.index, spot)
-    return Placed(spot, (claim,), moved=(homes.find_key(need), home))
+    allocation = cells.fill_unit(
+        _restrict_to_allocation(binding, free_capacities), request.accelerators
+    )
+    claim = model.CellClaim(demand.index, allocation)
+    return Placed(
+        allocation,
+        (claim,),
+        new_binding=(cell_bindings.get_cell_key(demand), binding),
+    )
 
 
 def _borrow_instead(
-    ask: Ask, situation: Situation, need: cells.Need
+    request: PlacementRequest, context: PlacementContext, demand: cells.Need
 ) -> Placed | None:
-    """Take free accelerators as a loan rather than stop another's loan.
+    """Borrow free accelerators instead of stopping another job's loan.
 
-    The cell stays unclaimed and the guarantee whole. An urgent job claims: a
-    loan could be taken back from it.
+    The cell stays unclaimed and the guarantee stays whole. An urgent job never
+    borrows here, because its loan could be reclaimed.
     """
-    if ask.urgent:
+    if request.urgent:
         return None
-    found = _borrow(ask, situation)
-    return found if isinstance(found, Placed) else None
+    result = _borrow(request, context)
+    return result if isinstance(result, Placed) else None
 
 
-def _claim_lent(
-    ask: Ask, situation: Situation, need: cells.Need
+def _claim_lent_part(
+    request: PlacementRequest, context: PlacementContext, demand: cells.Need
 ) -> Placed | None:
-    """Claim a part of the cell's home and take the loans on it back."""
-    unit = _open_home(situation, need, with_lent=True)
-    if cells.count_usable(unit) < ask.accelerators:
+    """Claim accelerators of the cell's binding and reclaim loans on them."""
+    unit = _list_unclaimed_capacities(context, demand, include_lent=True)
+    if cells.count_usable(unit) < request.accelerators:
         return None
-    spot = cells.fill_unit(unit, ask.accelerators)
-    victims = find_victims(spot, situation.loans)
-    return Placed(spot, (model.Claim(need.index, spot),), victims)
-
-
-def _claim_many(ask: Ask, situation: Situation) -> Placed | Waits:
-    """Claim parts of several cells for a job that is adjacent nowhere."""
-    parts = claims.split_over_cells(
-        situation.needs, ask.customer, ask.accelerators
+    allocation = cells.fill_unit(unit, request.accelerators)
+    victims = find_victims(allocation, context.loans)
+    claim = model.CellClaim(demand.index, allocation)
+    return Placed(allocation, (claim,), victims)
+
+
+def _claim_several_cells(
+    request: PlacementRequest, context: PlacementContext
+) -> Placed | NoPlacement:
+    """Claim parts of several cells for a job without adjacency needs."""
+    sizes_by_cell = claims.split_over_cells(
+        context.demands, request.customer, request.accelerators
     )
-    by_index = {
-        need.index: need
-        for need in situation.needs
-        if need.customer == ask.customer
+    demands_by_index = {
+        demand.index: demand
+        for demand in context.demands
+        if demand.customer == request.customer
     }
-    taken = []
-    for index, size in (parts or {}).items():
-        need = by_index[index]
-        if homes.find_key(need) not in situation.bound:
-            return _wait_for_home(ask)
-        unit = _open_home(situation, need, with_lent=True)
-        taken.append(model.Claim(index, cells.fill_unit(unit, size)))
-    spot = homes.merge([claim.spot for claim in taken])
-    victims = find_victims(spot, situation.loans)
-    return Placed(spot, tuple(taken), victims)
-
-
-def _wait_for_home(ask: Ask) -> Waits:
-    return Waits(
+    new_claims = []
+    for index, size in (sizes_by_cell or {}).items():
+        demand = demands_by_index[index]
+        if cell_bindings.get_cell_key(demand) not in context.bindings:
+            return _report_unbound_cell(request)
+        unit = _list_unclaimed_capacities(context, demand, include_lent=True)
+        new_claims.append(model.CellClaim(index, cells.fill_unit(unit, size)))
+    allocation = cell_bindings.merge_allocations(
+        [claim.spot for claim in new_claims]
+    )
+    victims = find_victims(allocation, context.loans)
+    return Placed(allocation, tuple(new_claims), victims)
+
+
+def _report_unbound_cell(request: PlacementRequest) -> NoPlacement:
+    return NoPlacement(
         WaitReason.GUARANTEE_IN_THE_WAY,
-        f"{ask.customer}'s cell has no place; workers are missing or unknown",
+        f"a guaranteed cell of {request.customer} has no place; workers are"
+        " missing or their tasks are unknown",
     )
 
 
-def _open_home(
-    situation: Situation, need: cells.Need, *, with_lent: bool
-) -> list[cells.Space]:
-    """Return the unclaimed part of a cell's home as spaces."""
-    home = situation.bound[homes.find_key(need)]
-    floor = situation.floor if with_lent else _keep_free(situation.floor)
-    return _limit(homes.find_unclaimed(need, home), floor)
+def _list_unclaimed_capacities(
+    context: PlacementContext, demand: cells.Need, *, include_lent: bool
+) -> list[cells.WorkerCapacity]:
+    """Return the capacity of the unclaimed part of a cell's binding."""
+    binding = context.bindings[cell_bindings.get_cell_key(demand)]
+    capacities = (
+        context.capacities
+        if include_lent
+        else _exclude_lent(context.capacities)
+    )
+    return _restrict_to_allocation(
+        cell_bindings.find_unclaimed_part(demand, binding), capacities
+    )
 
 
-def _limit(spot: cells.Spot, floor: cells.Floor) -> list[cells.Space]:
-    """Return the spaces of a floor, limited to a spot."""
+def _restrict_to_allocation(
+    allocation: cells.Spot, capacities: cells.Floor
+) -> list[cells.WorkerCapacity]:
+    """Return the capacities of the accelerators of an allocation."""
     return [
-        cells.Space(
+        cells.WorkerCapacity(
             member.worker,
-            floor[member.worker].rack,
-            floor[member.worker].free & member.mask,
-            floor[member.worker].lent & member.mask,
+            capacities[member.worker].rack,
+            capacities[member.worker].free_mask & member.mask,
+            capacities[member.worker].lent & member.mask,
         )
-        for member in spot
+        for member in allocation
     ]
 
 
 def find_victims(
-    spot: cells.Spot, loans: Iterable[claims.Holding]
+    allocation: cells.Spot, loans: Iterable[claims.JobAllocation]
 ) -> tuple[str, ...]:
-    """Return the jobs whose loans overlap `spot`."""
-    masks = {member.worker: member.mask for member in spot}
+    """Return the ids of the jobs whose loans overlap an allocation."""
+    masks = {member.worker: member.mask for member in allocation}
     return tuple(
         loan.job_id
         for loan in loans
-        if any(masks.get(m.worker, 0) & m.mask for m in loan.spot)
+        if any(
+            masks.get(member.worker, 0) & member.mask
+            for member in loan.allocation
+        )
     )
 
 
-def _keep_free(floor: cells.Floor) -> cells.Floor:
-    """Return the floor as if lent accelerators were taken."""
+def _exclude_lent(capacities: cells.Floor) -> cells.Floor:
+    """Return the capacities with their free accelerators only."""
     return {
-        name: cells.Space(name, space.rack, space.free)
-        for name, space in floor.items()
+        name: cells.WorkerCapacity(name, capacity.rack, capacity.free_mask)
+        for name, capacity in capacities.items()
     }
 
 
-def _list_spots(ask: Ask, floor: cells.Floor) -> Iterator[cells.Spot]:
-    """Yield spots for a job, the one that breaks up least first."""
+def _iterate_allocations(
+    request: PlacementRequest, capacities: cells.Floor
+) -> Iterator[cells.Spot]:
+    """Yield allocations for a job, those that fragment least first."""
     units = [
         unit
-        for unit in cells.group_spaces(floor, ask.level)
-        if cells.count_usable(unit) >= ask.accelerators
+        for unit in cells.group_spaces(capacities, request.level)
+        if cells.count_usable(unit) >= request.accelerators
     ]
-    if ask.level is not Level.WORKER:
+    if request.level is not Level.WORKER:
         # A job that one worker can hold should not span several.
-        whole = cells.group_spaces(floor, Level.WORKER)
-        units += [u for u in whole if cells.count_usable(u) >= ask.accelerators]
-    rack_sizes = _count_racks(floor)
-    units.sort(key=lambda unit: _rate(unit, ask.accelerators, rack_sizes))
-    for unit in units[:_CANDIDATES]:
-        yield cells.fill_unit(unit, ask.accelerators)
+        worker_units = cells.group_spaces(capacities, Level.WORKER)
+        units += [
+            unit
+            for unit in worker_units
+            if cells.count_usable(unit) >= request.accelerators
+        ]
+    usable_by_rack = _count_usable_by_rack(capacities)
+    units.sort(
+        key=lambda unit: _build_unit_sort_key(
+            unit, request.accelerators, usable_by_rack
+        )
+    )
+    for unit in units[:_MAX_CANDIDATE_UNITS]:
+        yield cells.fill_unit(unit, request.accelerators)
 
 
-def _count_racks(floor: cells.Floor) -> dict[str, int]:
-    racks = cells.group_spaces(floor, Level.RACK)
+def _count_usable_by_rack(capacities: cells.Floor) -> dict[str, int]:
+    racks = cells.group_spaces(capacities, Level.RACK)
     return {unit[0].rack: cells.count_usable(unit) for unit in racks}
 
 
-def _rate(
-    unit: list[cells.Space], size: int, rack_sizes: dict[str, int]
+def _build_unit_sort_key(
+    unit: list[cells.WorkerCapacity],
+    size: int,
+    usable_by_rack: dict[str, int],
 ) -> tuple[int, int, int, str]:
-    """Order units: fewest loans broken, fewest members, fullest rack."""
-    broken = max(0, size - cells.count_free(unit))
-    spare = cells.count_usable(unit) - size
+    """Sort by fewest reclaimed accelerators, fewest members, fullest rack."""
+    reclaimed_count = max(0, size - cells.count_free(unit))
+    spare_count = cells.count_usable(unit) - size
     return (
-        broken,
+        reclaimed_count,
         min(len(unit), size),
-        spare * 1000 + rack_sizes[unit[0].rack],
+        spare_count * 1000 + usable_by_rack[unit[0].rack],
         unit[0].worker,
     )
 
 
-def _describe_lack(ask: Ask, free: cells.Floor) -> str:
-    units = cells.group_spaces(free, ask.level)
+def _describe_shortage(
+    request: PlacementRequest, free_capacities: cells.Floor
+) -> str:
+    units = cells.group_spaces(free_capacities, request.level)
     largest = max(map(cells.count_usable, units), default=0)
     return (
-        f"needs {ask.accelerators} free accelerators in one {ask.level}; "
-        f"the largest has {largest}"
+        f"needs {request.accelerators} free accelerators in one"
+        f" {request.level}; the largest has {largest}"
     )
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -1,4 +1,4 @@
-"""Decisions: which waiting jobs start, and where."""
+"""Scheduler: decides which queued jobs start, and where."""
 
 import collections
 from collections.abc import Iterable
@@ -6,251 +6,285 @@
 import math
 
 from crocusrouter.jobs import backfill
-from crocusrouter.jobs import blame as blames
+from crocusrouter.jobs import cell_bindings
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import claims
 from crocusrouter.jobs import gang as gangs
-from crocusrouter.jobs import homes
 from crocusrouter.jobs import model
 from crocusrouter.jobs import placement
+from crocusrouter.jobs import quarantine
 from crocusrouter.jobs import queue
 from crocusrouter.jobs.book import Book
-from crocusrouter.jobs.book import build_ask
+from crocusrouter.jobs.book import build_placement_request
 from crocusrouter.jobs.effects import Effects
 
-_DECISIONS_PER_PASS = 8
+_MAX_DECISIONS_PER_PASS = 8
 
 
 @dataclasses.dataclass(frozen=True)
-class State:
-    """What one decision looks at.
+class Snapshot:
+    """The state of a data centre on which the next decision depends.
 
     Attributes:
-        floor: Spaces of the workers that can be used now.
-        needs: Every guaranteed cell, with what is claimed of it.
-        bound: The home of each cell.
-        loans: What is used beyond the guarantees.
-        valid_until: When a worker that is set aside comes back.
+        floor: Capacities of the workers that can be used now.
+        needs: Every guaranteed cell, with its claimed part.
+        bindings: The allocation to which each cell is bound.
+        loans: Allocations of jobs that run beyond a guarantee.
+        valid_until: When the next worker leaves quarantine, as Unix time.
     """
 
     floor: cells.Floor
-    needs: claims.Needs
-    bound: homes.Homes
-    loans: tuple[claims.Holding, ...]
+    needs: claims.CellDemands
+    bindings: cell_bindings.CellBindings
+    loans: tuple[claims.JobAllocation, ...]
     valid_until: float = math.inf
 
 
 def schedule(book: Book, now: float) -> Effects:
-    """Start what can start; at most a few decisions, to stay quick.
+    """Start jobs that can start, a few at most so that the call stays short.
 
-    Jobs of one shape that found no place are passed over in the same pass:
-    the next one would not find one either.
+    Once a job of some shape finds no place, other jobs of this shape are
+    skipped in the same pass, because they would find none either.
 
     Args:
-        book: The book; assigned jobs change in it.
+        book: The state of the data centre; jobs that start change in it.
         now: Unix time in seconds.
 
     Returns:
-        The effects; no changed job means that nothing more can start.
+        The effects; without a changed job nothing more can start.
     """
     effects = Effects()
-    waiting = _list_waiting(book, now)
-    if not waiting:
+    ready_jobs = _list_ready_jobs(book, now)
+    if not ready_jobs:
         return effects
-    failed: set[tuple[str, str, int, tuple[str, ...]]] = set()
-    decisions = 0
-    state = recall(book, now)
+    failed_shapes: set[tuple[str, str, int, tuple[str, ...]]] = set()
+    decision_count = 0
+    snapshot = get_snapshot(book, now)
     reservation: backfill.Reservation | None = None
-    ordered = queue.order_queue(
-        waiting,
-        state.needs,
-        _share_borrowed(book, state),
+    ordered_jobs = queue.order_queue(
+        ready_jobs,
+        snapshot.needs,
+        _compute_borrowed_shares(book, snapshot),
         book.catalog,
-        book.estimates,
+        book.run_time_history,
     )
-    for job in ordered:
+    for job in ordered_jobs:
         shape = (
             job.customer,
             str(job.spec.level),
             job.spec.accelerators,
             job.failed_on,
         )
-        if shape in failed:
+        if shape in failed_shapes:
             continue
-        decision = _place(book, job, state, reservation, now)
-        if isinstance(decision, placement.Waits):
-            failed.add(shape)
-            _note_wait(book, job, decision, now)
+        decision = _decide_placement(book, job, snapshot, reservation, now)
+        if isinstance(decision, placement.NoPlacement):
+            failed_shapes.add(shape)
+            _record_wait(book, job, decision, now)
             if reservation is None:
                 reservation = backfill.reserve_unit(
-                    build_ask(job), state.floor, _list_ends(book, now), now
+                    build_placement_request(job),
+                    snapshot.floor,
+                    _list_expected_ends(book, now),
+                    now,
                 )
             continue
         assign(book, job, decision, now, effects)
-        state = _follow(book, job, decision, state, now)
-        book.observed = (book.occupancy, state)
-        decisions += 1
-        if decisions == _DECISIONS_PER_PASS:
+        snapshot = _update_snapshot(book, job, decision, snapshot, now)
+        book.cached_snapshot = (book.snapshot_version, snapshot)
+        decision_count += 1
+        if decision_count == _MAX_DECISIONS_PER_PASS:
             break
     return effects
 
 
-def recall(book: Book, now: float) -> State:
-    """Return the state as worked out earlier, or afresh if it has changed."""
-    kept = book.observed
-    if isinstance(kept, tuple) and kept[0] == book.occupancy:
-        state: State = kept[1]
-        if now < state.valid_until:
-            return state
-    state = observe(book, now)
-    book.observed = (book.occupancy, state)
-    return state
-
-
-def observe(book: Book, now: float) -> State:
-    """Return the state on which the next decision rests."""
-    needs, loans = claims.pin_holdings(
-        claims.list_needs(book.catalog, book.data_centre),
+def get_snapshot(book: Book, now: float) -> Snapshot:
+    """Return the cached snapshot, or a new one if the cache is out of date."""
+    cache_entry = book.cached_snapshot
+    if isinstance(cache_entry, tuple) and cache_entry[0] == (
+        book.snapshot_version
+    ):
+        snapshot: Snapshot = cache_entry[1]
+        if now < snapshot.valid_until:
+            return snapshot
+    snapshot = observe(book, now)
+    book.cached_snapshot = (book.snapshot_version, snapshot)
+    return snapshot
+
+
+def observe(book: Book, now: float) -> Snapshot:
+    """Build a snapshot and bind all cells that lost their binding."""
+    demands, loans = claims.assign_claims(
+        claims.list_demands(book.catalog, book.data_centre),
         book.holdings.values(),
     )
-    floor = build_floor(book, now, loans)
-    book.homes = homes.bind(needs, floor, book.homes)
-    returns = [
-        worker.blame.aside_until
+    capacities = build_floor(book, now, loans)
+    book.bindings = cell_bindings.bind_cells(demands, capacities, book.bindings)
+    quarantine_ends = [
+        worker.failure_history.quarantined_until
         for worker in book.workers.values()
-        if book.is_aside(worker.name, now)
+        if book.is_quarantined(worker.name, now)
     ]
-    valid_until = min(returns, default=math.inf)
-    return State(floor, needs, book.homes, tuple(loans), valid_until)
+    valid_until = min(quarantine_ends, default=math.inf)
+    return Snapshot(
+        capacities, demands, book.bindings, tuple(loans), valid_until
+    )
 
 
-def _follow(
+def _update_snapshot(
     book: Book,
     job: model.Job,
     decision: placement.Placed,
-    state: State,
+    snapshot: Snapshot,
     now: float,
-) -> State:
-    """Return the state after a decision, without looking at every gang."""
-    floor = cells.remove_spot(state.floor, decision.spot)
-    if decision.moved is not None:
-        key, home = decision.moved
-        book.homes = book.homes | {key: home}
+) -> Snapshot:
+    """Return the snapshot after a decision without a scan of all gangs."""
+    capacities = cells.remove_spot(snapshot.floor, decision.allocation)
+    if decision.new_binding is not None:
+        key, binding = decision.new_binding
+        book.bindings = book.bindings | {key: binding}
     if decision.victims:
-        # What they hold turns from lent to claimed step by step.
+        # The victims release their accelerators one after the other.
         return observe(book, now)
     if decision.claims:
-        needs = state.needs
+        demands = snapshot.needs
         for claim in decision.claims:
-            needs = claims.pin(needs, job.customer, claim)
+            demands = claims.add_claim(demands, job.customer, claim)
         return dataclasses.replace(
-            state, floor=floor, needs=needs, bound=book.homes
+            snapshot, floor=capacities, needs=demands, bindings=book.bindings
         )
-    for member in decision.spot:
-        space = floor[member.worker]
-        floor[member.worker] = space._replace(lent=space.lent | member.mask)
-    loan = claims.Holding(job.id, job.customer, decision.spot)
-    return dataclasses.replace(state, floor=floor, loans=(*state.loans, loan))
+    for member in decision.allocation:
+        capacity = capacities[member.worker]
+        capacities[member.worker] = capacity._replace(
+            lent=capacity.lent | member.mask
+        )
+    loan = claims.JobAllocation(job.id, job.customer, decision.allocation)
+    return dataclasses.replace(
+        snapshot, floor=capacities, loans=(*snapshot.loans, loan)
+    )
 
 
-def _share_borrowed(book: Book, state: State) -> dict[str, float]:
+def _compute_borrowed_shares(
+    book: Book, snapshot: Snapshot
+) -> dict[str, float]:
     """Return the share of the data centre that each customer borrows."""
-    total = sum(worker.accelerators for worker in book.workers.values())
-    borrowed: collections.Counter[str] = collections.Counter()
-    for loan in state.loans:
-        borrowed[loan.customer] += loan.size
-    return {name: size / max(1, total) for name, size in borrowed.items()}
+    total_count = sum(worker.accelerators for worker in book.workers.values())
+    borrowed_counts: collections.Counter[str] = collections.Counter()
+    for loan in snapshot.loans:
+        borrowed_counts[loan.customer] += loan.size
+    return {
+        customer: count / max(1, total_count)
+        for customer, count in borrowed_counts.items()
+    }
 
 
 def build_floor(
-    book: Book, now: float, loans: Iterable[claims.Holding] = ()
+    book: Book, now: float, loans: Iterable[claims.JobAllocation] = ()
 ) -> cells.Floor:
-    """Return the spaces of the workers that can be used now.
+    """Return the capacities of the workers that can be used now.
 
-    What is held by nothing but attempts that end counts as lent: a claim may
-    take it at once, and its reservation waits for the stop.
+    Accelerators that only ending attempts hold count as lent: a claim may take
+    them at once, and its reservation waits until these attempts have ended.
     """
-    kept: dict[str, int] = collections.defaultdict(int)
-    ending: dict[str, int] = collections.defaultdict(int)
-    lent: dict[str, int] = collections.defaultdict(int)
-    for held in book.gangs.values():
-        masks = ending if held.phase is gangs.Phase.ENDING else kept
-        for member in held.members:
+    active_masks: dict[str, int] = collections.defaultdict(int)
+    ending_masks: dict[str, int] = collections.defaultdict(int)
+    lent_masks: dict[str, int] = collections.defaultdict(int)
+    for gang in book.gangs.values():
+        masks = (
+            ending_masks if gang.phase is gangs.Phase.ENDING else active_masks
+        )
+        for member in gang.members:
             masks[member.worker] |= member.mask
     for loan in loans:
-        for member in loan.spot:
-            lent[member.worker] |= member.mask
-    floor = {}
+        for member in loan.allocation:
+            lent_masks[member.worker] |= member.mask
+    capacities = {}
     for worker in book.workers.values():
         if not (worker.known and worker.live):
             continue
-        if blames.is_aside(worker.blame, now):
+        if quarantine.is_quarantined(worker.failure_history, now):
             continue
         name = worker.name
-        taken = kept[name] | ending[name]
-        for mask in worker.strays.values():
-            taken |= mask
-        free = ((1 << worker.accelerators) - 1) & ~taken
-        reclaimable = lent[name] | (ending[name] & ~kept[name])
-        floor[name] = cells.Space(name, worker.rack, free, reclaimable)
-    return floor
+        used_mask = active_masks[name] | ending_masks[name]
+        for stray_mask in worker.stray_masks.values():
+            used_mask |= stray_mask
+        free_mask = ((1 << worker.accelerators) - 1) & ~used_mask
+        reclaimable_mask = lent_masks[name] | (
+            ending_masks[name] & ~active_masks[name]
+        )
+        capacities[name] = cells.WorkerCapacity(
+            name, worker.rack, free_mask, reclaimable_mask
+        )
+    return capacities
 
 
-def _list_waiting(book: Book, now: float) -> list[model.Job]:
+def _list_ready_jobs(book: Book, now: float) -> list[model.Job]:
+    """Return the queued jobs whose retry delay is over."""
     return [
         job
         for job in book.list_queued()
-        if book.not_before.get(job.id, 0.0) <= now
+        if book.earliest_retry_at.get(job.id, 0.0) <= now
     ]
 
 
-def _list_ends(book: Book, now: float) -> backfill.Ends:
-    """Return when what runs on each worker is expected to end.
+def _list_expected_ends(book: Book, now: float) -> backfill.ExpectedEnds:
+    """Return the expected end of each task, by worker name.
 
-    What has run longer than expected could end at any moment.
+    A task that runs longer than expected may end at any moment, so its
+    expected end is now.
     """
-    ends: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
-    for held in book.gangs.values():
-        job = book.jobs[held.job_id]
-        expected_s = queue.estimate_job(book.estimates, job)
-        began = book.began.get(held.job_id, now)
-        for member in held.members:
-            ends[member.worker].append(
-                (max(now, began + expected_s), member.mask)
+    expected_ends: dict[str, list[tuple[float, int]]] = collections.defaultdict(
+        list
+    )
+    for gang in book.gangs.values():
+        job = book.jobs[gang.job_id]
+        expected_s = queue.estimate_job_run_time(book.run_time_history, job)
+        started_at = book.run_started_at.get(gang.job_id, now)
+        for member in gang.members:
+            expected_ends[member.worker].append(
+                (max(now, started_at + expected_s), member.mask)
             )
-    return ends
+    return expected_ends
 
 
-def _place(
+def _decide_placement(
     book: Book,
     job: model.Job,
-    state: State,
+    snapshot: Snapshot,
     reservation: backfill.Reservation | None,
     now: float,
-) -> placement.Placed | placement.Waits:
-    expected_s = queue.estimate_job(book.estimates, job)
-    floor = backfill.respect(reservation, state.floor, now + expected_s)
+) -> placement.Placed | placement.NoPlacement:
+    """Place a job outside the backfill reservation and its failed workers."""
+    expected_s = queue.estimate_job_run_time(book.run_time_history, job)
+    capacities = backfill.exclude_reserved_unit(
+        reservation, snapshot.floor, now + expected_s
+    )
     if job.failed_on:
-        # Workers where it failed offer nothing, but stay on the floor: homes
-        # of cells may be there.
-        floor = {
-            name: space._replace(free=0, lent=0)
+        # Workers on which the job failed offer no accelerators to it. They
+        # stay in the mapping, because cells may be bound there.
+        capacities = {
+            name: capacity._replace(free_mask=0, lent=0)
             if name in job.failed_on
-            else space
-            for name, space in floor.items()
+            else capacity
+            for name, capacity in capacities.items()
         }
-    situation = placement.Situation(
-        floor, state.needs, state.bound, state.loans
+    context = placement.PlacementContext(
+        capacities, snapshot.needs, snapshot.bindings, snapshot.loans
     )
-    return placement.place(build_ask(job), situation)
+    return placement.place_job(build_placement_request(job), context)
 
 
-def _note_wait(
-    book: Book, job: model.Job, waits: placement.Waits, now: float
+def _record_wait(
+    book: Book,
+    job: model.Job,
+    no_placement: placement.NoPlacement,
+    now: float,
 ) -> None:
-    if book.waits.get(job.id) != waits:
-        book.waits[job.id] = waits
-        book.note(job.id, now, f"waits: {waits.reason}: {waits.detail}")
+    if book.failed_placements.get(job.id) != no_placement:
+        book.failed_placements[job.id] = no_placement
+        book.record_event(
+            job.id, now, f"waits: {no_placement.reason}: {no_placement.detail}"
+        )
 
 
 def assign(
@@ -260,43 +294,51 @@
     now: float,
     effects: Effects,
 ) -> None:
-    """Open the job's next attempt and end the loans in its way."""
+    """Create the job's next attempt and end the loans that it reclaims."""
     job = dataclasses.replace(
         job,
         state=model.JobState.ASSIGNED,
         attempt=job.attempt + 1,
-        members=decision.spot,
+        members=decision.allocation,
         claims=decision.claims,
     )
-    book.put(job)
-    book.waits.pop(job.id, None)
-    book.not_before.pop(job.id, None)
-    book.note(job.id, now, _describe(job, decision))
+    book.store_job(job)
+    book.failed_placements.pop(job.id, None)
+    book.earliest_retry_at.pop(job.id, None)
+    book.record_event(job.id, now, _describe_placement(job, decision))
     effects.changed.append(job)
-    in_the_way = frozenset(decision.victims) | _find_ending(book, job)
-    book.open_gang(job, gangs.open_gang(job, in_the_way))
+    blocking_job_ids = frozenset(decision.victims) | _find_ending_jobs(
+        book, job
+    )
+    book.add_gang(job, gangs.create_gang(job, blocking_job_ids))
     for victim in decision.victims:
-        why = f"by job {job.id} under its guarantee"
-        step = gangs.end_gang(book.gangs[victim], gangs.End.RECLAIMED, why)
-        book.apply(step, now, effects)
-    opened = book.gangs[job.id]
-    if opened.phase is gangs.Phase.WAITING and not opened.victims:
-        book.apply(gangs.reserve_all(opened), now, effects)
+        detail = f"by job {job.id} under its guarantee"
+        transition = gangs.end_gang(
+            book.gangs[victim], gangs.EndReason.RECLAIMED, detail
+        )
+        book.apply_transition(transition, now, effects)
+    gang = book.gangs[job.id]
+    if gang.phase is gangs.Phase.WAITING and not gang.blocking_job_ids:
+        book.apply_transition(gangs.reserve_members(gang), now, effects)
 
 
-def _find_ending(book: Book, job: model.Job) -> frozenset[str]:
-    """Return ending attempts that still hold accelerators of the job."""
+def _find_ending_jobs(book: Book, job: model.Job) -> frozenset[str]:
+    """Return jobs whose ending attempts still hold the job's accelerators."""
     masks = {member.worker: member.mask for member in job.members}
     return frozenset(
-        held.job_id
-        for held in book.gangs.values()
-        if held.phase is gangs.Phase.ENDING
-        and any(masks.get(m.worker, 0) & m.mask for m in held.members)
+        gang.job_id
+        for gang in book.gangs.values()
+        if gang.phase is gangs.Phase.ENDING
+        and any(
+            masks.get(member.worker, 0) & member.mask for member in gang.members
+        )
     )
 
 
-def _describe(job: model.Job, decision: placement.Placed) -> str:
-    where = ", ".join(f"{m.worker} x{m.size}" for m in decision.spot)
+def _describe_placement(job: model.Job, decision: placement.Placed) -> str:
+    where = ", ".join(
+        f"{member.worker} x{member.size}" for member in decision.allocation
+    )
     how = "under its guarantee" if decision.claims else "as a loan"
     after = f" after {', '.join(decision.victims)}" if decision.victims else ""
     return f"attempt {job.attempt} placed {how} on {where}{after}"
--- a/crocusrouter/jobs/tests/build.py
+++ b/crocusrouter/jobs/tests/build.py
@@ -1,4 +1,4 @@
-"""Short builders for tests of jobs."""
+"""Builders of jobs, templates and capacities for tests."""
 
 import hashlib
 
@@ -11,16 +11,16 @@
 DATA_CENTRE = "dc"
 
 
-def build_floor(*free, per_rack=2):
-    """Workers w0, w1, ... with the given masks free."""
+def build_capacities(*free_masks, per_rack=2):
+    """Return capacities of workers w0, w1, ... with the given free masks."""
     return {
-        f"w{i}": cells.Space(f"w{i}", f"r{i // per_rack}", mask)
-        for i, mask in enumerate(free)
+        f"w{i}": cells.WorkerCapacity(f"w{i}", f"r{i // per_rack}", mask)
+        for i, mask in enumerate(free_masks)
     }
 
 
 def build_template(customer="c", *shapes, **fields):
-    """A template with cells (level, accelerators, count)."""
+    """Return a template with the cells (level, accelerators, count)."""
     guarantee = tuple(
         templates.Cell(DATA_CENTRE, Level(level), size, count)
         for level, size, count in shapes
@@ -35,22 +35,22 @@
     )
 
 
-def build_catalog(*held):
-    """A catalog of templates."""
+def build_catalog(*template_list):
+    """Return a catalog of the templates."""
     catalog = templates.Catalog()
-    for template in held:
+    for template in template_list:
         catalog = templates.replace_template(catalog, template)
     return catalog
 
 
 def build_job(number, customer="c", size=1, level="worker", **fields):
-    """A fresh job."""
+    """Return a queued job that has no attempt yet."""
     spec = jobs.Spec("tag", size, Level(level), 1.0, 100.0, 3, **fields)
     return jobs.Job(f"{DATA_CENTRE}.{number}", customer, spec, float(number))
 
 
 def build_book(catalog, workers=4, accelerators=8, per_rack=2):
-    """A book whose workers have all told that they hold nothing."""
+    """Return a state whose workers have all reported an empty inventory."""
     from crocusrouter.fleet import messages
 
     book = books.Book(DATA_CENTRE)
--- a/crocusrouter/jobs/tests/test_backfill.py
+++ b/crocusrouter/jobs/tests/test_backfill.py
@@ -2,58 +2,66 @@
 
 from crocusrouter import templates
 from crocusrouter.jobs import backfill
-from crocusrouter.jobs import estimates as learned
 from crocusrouter.jobs import placement
 from crocusrouter.jobs import queue
+from crocusrouter.jobs import run_times
 from crocusrouter.jobs.tests import build
 from crocusrouter.jobs.tests import test_book_machine as machines
 from crocusrouter.templates import Level
 
 
 @pytest.mark.parametrize(
-    ("ends", "at", "workers"),
+    ("expected_ends", "starts_at", "workers"),
     [
         ({"w0": [(9.0, 0b1100)]}, 9.0, {"w0", "w1"}),
         ({"w0": [(9.0, 0b1100)], "w2": [(5.0, 0b1111)]}, 5.0, {"w2", "w3"}),
         ({"w0": [(9.0, 0b0100), (12.0, 0b1000)]}, 12.0, {"w0", "w1"}),
-        # What should have ended long ago can end at any moment.
+        # A task that runs longer than expected may end at any moment.
         ({"w0": [(-5.0, 0b1100)]}, 1.0, {"w0", "w1"}),
         ({}, None, None),
     ],
 )
-def test_unit_with_room_first_is_held(ends, at, workers):
-    floor = build.build_floor(0b0011, 0b1111, 0b0000, 0b1111)
-    ask = placement.Ask("dc.1", "a", Level.RACK, 8)
-    held = backfill.reserve_unit(ask, floor, ends, now=1.0)
-    if at is None:
-        assert held is None
+def test_unit_with_the_earliest_room_is_reserved(
+    expected_ends, starts_at, workers
+):
+    capacities = build.build_capacities(0b0011, 0b1111, 0b0000, 0b1111)
+    request = placement.PlacementRequest("dc.1", "a", Level.RACK, 8)
+    reservation = backfill.reserve_unit(
+        request, capacities, expected_ends, now=1.0
+    )
+    if starts_at is None:
+        assert reservation is None
     else:
-        assert (held.at, held.workers) == (at, workers)
+        assert (reservation.starts_at, reservation.workers) == (
+            starts_at,
+            workers,
+        )
 
 
-def test_shorter_jobs_go_first_but_not_for_ever():
+def test_shorter_jobs_overtake_for_a_bounded_time():
     catalog = build.build_catalog(build.build_template("c"))
     long_job = build.build_job(1)
-    estimates = learned.Estimates({("c", "tag"): (100.0,) * 3})
-    for submitted_at, first in ((50.0, 1), (250.0, 0)):
-        short = build.build_job(int(submitted_at))
-        short = _rename(short, "quick")
+    run_time_history = run_times.RunTimeHistory({("c", "tag"): (100.0,) * 3})
+    for submitted_at, long_job_index in ((50.0, 1), (250.0, 0)):
+        short_job = build.build_job(int(submitted_at))
+        short_job = _replace_kind(short_job, "quick")
         ordered = queue.order_queue(
-            [long_job, short], (), {}, catalog, estimates
+            [long_job, short_job], (), {}, catalog, run_time_history
         )
-        assert ordered.index(long_job) == first
+        assert ordered.index(long_job) == long_job_index
 
 
-def _rename(job, kind):
+def _replace_kind(job, kind):
     import dataclasses
 
     spec = dataclasses.replace(job.spec, kind=kind)
     return dataclasses.replace(job, spec=spec)
 
 
-# The customer waits for a large job while small ones keep coming. It starts
-# when enough of the first loans end, although small jobs queue all the time.
-def test_large_job_is_not_starved_by_small_ones():
+# Small jobs are submitted all the time while a large job waits. Without
+# backfill they would take each accelerator that becomes free, and the large job
+# would never start.
+def test_large_job_is_not_starved_by_small_jobs():
     machine = machines.BookMachine()
     machine.book.catalog = build.build_catalog(
         build.build_template("c", weights=templates.Weights(completion=1.0))
@@ -61,10 +69,10 @@
     machine.submit([("c", (1, "worker"), 6.0)] * 24)
     machine.run_on(2)
     machine.submit([("c", (8, "rack"), 2.0)])
-    large = f"dc.{machine.number}"
+    large_job_id = f"dc.{machine.job_number}"
     for _ in range(20):
         machine.submit([("c", (1, "worker"), 6.0)] * 2)
         machine.run_on(2)
-        if machine.book.jobs[large].is_final:
+        if machine.book.jobs[large_job_id].is_final:
             break
-    assert str(machine.book.jobs[large].state) == "done"
+    assert str(machine.book.jobs[large_job_id].state) == "done"
--- a/crocusrouter/jobs/tests/test_cells.py
+++ b/crocusrouter/jobs/tests/test_cells.py
@@ -9,73 +9,79 @@
 from crocusrouter.templates import Level
 
 
-def _need(level, size, customer="c"):
+def _build_demand(level, size, customer="c"):
     return cells.Need(customer, Level(level), size)
 
 
 @pytest.mark.parametrize(
-    ("floor", "needs", "fits"),
+    ("free_masks", "shapes", "fits"),
     [
         ((0xFF, 0xFF), [], True),
         ((0xFF, 0xFF), [("rack", 16)], True),
         ((0xFF, 0x7F), [("rack", 16)], False),
         ((0xFF, 0xFF, 0xFF, 0xFF), [("rack", 16), ("rack", 16)], True),
         ((0xFF, 0xFF, 0xFF, 0xFF), [("rack", 16), ("worker", 8)] * 2, False),
-        # Counts add up, shapes don't: 8 free, at most 4 on a worker.
+        # Enough accelerators in total, but at most 4 on one worker.
         ((0x0F, 0x0F), [("worker", 5)], False),
         ((0x0F, 0x0F), [("rack", 8)], True),
         ((0x0F, 0x0F, 0x0F), [("data-centre", 12)], True),
-        # The tight cell must not take the only worker that holds the wide one.
+        # The small cell must not take the only worker that holds the large
+        # cell.
         ((0x0F, 0xFF), [("worker", 4), ("worker", 8)], True),
-        # A worker cell in the wrong rack would break the rack cell.
+        # A worker cell in the first rack would leave no rack for the rack cell.
         ((0xFF, 0xFF, 0xFF, 0x00), [("worker", 8), ("rack", 16)], True),
     ],
 )
-def test_embed(floor, needs, fits):
-    found = cells.embed(
-        [_need(*need) for need in needs], build.build_floor(*floor)
+def test_embed(free_masks, shapes, fits):
+    result = cells.embed(
+        [_build_demand(*shape) for shape in shapes],
+        build.build_capacities(*free_masks),
     )
-    assert isinstance(found, cells.Embedding) is fits
-
-
-def _is_valid(found, floor):
-    taken = dict.fromkeys(floor, 0)
-    for need, spot in zip(found.needs, found.spots, strict=True):
-        assert sum(m.size for m in spot) == need.accelerators
-        racks = {floor[m.worker].rack for m in spot}
-        assert need.level is Level.DATA_CENTRE or len(racks) == 1
-        assert need.level is not Level.WORKER or len(spot) == 1
-        for member in spot:
-            assert member.mask & ~floor[member.worker].usable == 0
-            assert member.mask & taken[member.worker] == 0
-            taken[member.worker] |= member.mask
+    assert isinstance(result, cells.Embedding) is fits
+
+
+def _is_valid(embedding, capacities):
+    used_masks = dict.fromkeys(capacities, 0)
+    for demand, allocation in zip(
+        embedding.demands, embedding.allocations, strict=True
+    ):
+        assert sum(m.size for m in allocation) == demand.accelerators
+        racks = {capacities[m.worker].rack for m in allocation}
+        assert demand.level is Level.DATA_CENTRE or len(racks) == 1
+        assert demand.level is not Level.WORKER or len(allocation) == 1
+        for member in allocation:
+            assert member.mask & ~capacities[member.worker].usable_mask == 0
+            assert member.mask & used_masks[member.worker] == 0
+            used_masks[member.worker] |= member.mask
     return True
 
 
-def _search_all(needs, counts):
-    """Brute force over counts per worker: exact for small fleets."""
-    if not needs:
+def _search_exhaustively(demands, free_counts):
+    """Tell whether an embedding exists, by brute force over free counts."""
+    if not demands:
         return True
-    need, *rest = needs
+    demand, *rest = demands
     units = {
-        Level.WORKER: [[i] for i in range(len(counts))],
+        Level.WORKER: [[i] for i in range(len(free_counts))],
         Level.RACK: [[0, 1], [2, 3]],
         Level.DATA_CENTRE: [[0, 1, 2, 3]],
-    }[need.level]
+    }[demand.level]
     for unit in units:
-        ranges = [range(min(counts[i], need.accelerators) + 1) for i in unit]
-        for taken in itertools.product(*ranges):
-            if sum(taken) != need.accelerators:
+        ranges = [
+            range(min(free_counts[i], demand.accelerators) + 1) for i in unit
+        ]
+        for used_counts in itertools.product(*ranges):
+            if sum(used_counts) != demand.accelerators:
                 continue
-            left = list(counts)
-            for i, number in zip(unit, taken, strict=True):
-                left[i] -= number
-            if _search_all(rest, left):
+            remaining_counts = list(free_counts)
+            for i, used_count in zip(unit, used_counts, strict=True):
+                remaining_counts[i] -= used_count
+            if _search_exhaustively(rest, remaining_counts):
                 return True
     return False
 
 
-_NEEDS = strategies.lists(
+_DEMANDS = strategies.lists(
     strategies.builds(
         cells.Need,
         strategies.sampled_from("ab"),
@@ -88,23 +94,27 @@
 
 @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
 @hypothesis.given(
-    needs=_NEEDS,
-    masks=strategies.lists(strategies.integers(0, 15), min_size=4, max_size=4),
+    demands=_DEMANDS,
+    free_masks=strategies.lists(
+        strategies.integers(0, 15), min_size=4, max_size=4
+    ),
 )
-def test_embed_agrees_with_brute_force(needs, masks):
-    floor = build.build_floor(*masks)
-    found = cells.embed(needs, floor)
-    exists = _search_all(needs, [mask.bit_count() for mask in masks])
-    if isinstance(found, cells.Embedding):
+def test_embed_agrees_with_brute_force(demands, free_masks):
+    capacities = build.build_capacities(*free_masks)
+    result = cells.embed(demands, capacities)
+    exists = _search_exhaustively(
+        demands, [mask.bit_count() for mask in free_masks]
+    )
+    if isinstance(result, cells.Embedding):
         assert exists
-        assert _is_valid(found, floor)
+        assert _is_valid(result, capacities)
     else:
         # The search is bounded, but at this size it must be complete.
         assert not exists
 
 
-def test_loans_are_broken_last():
-    floor = build.build_floor(0x0F, 0xFF)
-    floor["w0"] = cells.Space("w0", "r0", free=0, lent=0xFF)
-    spot = cells.find_spot(_need("worker", 8), floor)
-    assert [m.worker for m in spot] == ["w1"]
+def test_free_accelerators_are_used_before_lent_accelerators():
+    capacities = build.build_capacities(0x0F, 0xFF)
+    capacities["w0"] = cells.WorkerCapacity("w0", "r0", free_mask=0, lent=0xFF)
+    allocation = cells.find_allocation(_build_demand("worker", 8), capacities)
+    assert [m.worker for m in allocation] == ["w1"]
--- a/crocusrouter/jobs/tests/test_gang.py
+++ b/crocusrouter/jobs/tests/test_gang.py
@@ -1,4 +1,4 @@
-"""Steps of a gang, pure: each table row is a point where things go wrong."""
+"""Transitions of a gang, without I/O: each table row is one history."""
 
 import dataclasses
 
@@ -7,76 +7,82 @@
 from crocusrouter.fleet import messages
 from crocusrouter.jobs import gang as gangs
 from crocusrouter.jobs import model
-from crocusrouter.jobs.gang import End
+from crocusrouter.jobs.gang import EndReason
 from crocusrouter.jobs.gang import Phase
 from crocusrouter.jobs.tests import build
 
 _MEMBERS = (model.Member("w0", 0xFF), model.Member("w1", 0xFF))
 
 
-def _open(victims=()):
+def _create_gang(blocking_job_ids=()):
     job = dataclasses.replace(
         build.build_job(1, size=16, level="rack"), attempt=1, members=_MEMBERS
     )
-    return gangs.open_gang(job, frozenset(victims))
+    return gangs.create_gang(job, frozenset(blocking_job_ids))
 
 
-def _run(*steps):
-    """Apply steps (function, arguments...) and collect all commands."""
-    held, sent = gangs.reserve_all(_open())
-    sent = list(sent)
-    for function, *arguments in steps:
-        held, commands = function(held, *arguments)
-        sent += commands
-    return held, sent
+def _apply_events(*events):
+    """Apply events (function, arguments...) and collect all commands."""
+    gang, sent_commands = gangs.reserve_members(_create_gang())
+    sent_commands = list(sent_commands)
+    for function, *arguments in events:
+        gang, commands = function(gang, *arguments)
+        sent_commands += commands
+    return gang, sent_commands
 
 
-def _count(sent, kind):
-    return sum(isinstance(command.message, kind) for command in sent)
+def _count_commands(commands, message_type):
+    return sum(
+        isinstance(command.message, message_type) for command in commands
+    )
 
 
-_RESERVED = [(gangs.note_reserved, "w0"), (gangs.note_reserved, "w1")]
+_RESERVED = [(gangs.record_reserved, "w0"), (gangs.record_reserved, "w1")]
 _STARTED = [
     *_RESERVED,
-    (gangs.note_started, "w0"),
-    (gangs.note_started, "w1"),
+    (gangs.record_started, "w0"),
+    (gangs.record_started, "w1"),
 ]
-_LOST = (gangs.note_gone, "w0", End.LOST, "gone")
+_LOST = (gangs.record_released, "w0", EndReason.LOST, "gone")
 
 
 @pytest.mark.parametrize(
-    ("steps", "phase", "starts", "stops"),
+    ("events", "phase", "start_count", "stop_count"),
     [
         ([], Phase.RESERVING, 0, 0),
-        # Nothing starts before all hold.
+        # Nothing starts before all members have reserved.
         (_RESERVED[:1], Phase.RESERVING, 0, 0),
         (_RESERVED, Phase.STARTING, 2, 0),
         (_STARTED, Phase.RUNNING, 2, 0),
-        # A repeated answer changes nothing.
+        # A repeated message changes nothing.
         ([*_RESERVED, _RESERVED[0]], Phase.STARTING, 2, 0),
-        # A member lost at any point stops the other one.
+        # The loss of a member at any point stops the other member.
         ([_LOST], Phase.ENDING, 0, 1),
         ([*_RESERVED, _LOST], Phase.ENDING, 2, 1),
         ([*_STARTED, _LOST], Phase.ENDING, 2, 1),
-        # The attempt has ended only when the other has stopped too.
+        # The attempt has ended only when the other member has stopped too.
         (
-            [*_STARTED, _LOST, (gangs.note_gone, "w1", End.LOST, "")],
+            [
+                *_STARTED,
+                _LOST,
+                (gangs.record_released, "w1", EndReason.LOST, ""),
+            ],
             Phase.ENDED,
             2,
             1,
         ),
-        # A late "reserved" while ending is answered by a stop.
-        ([_LOST, (gangs.note_reserved, "w1")], Phase.ENDING, 0, 2),
+        # A late "reserved" message to an ending gang causes a stop.
+        ([_LOST, (gangs.record_reserved, "w1")], Phase.ENDING, 0, 2),
         # One member's failure ends the attempt.
         (
-            [*_STARTED, (gangs.note_finished, "w0", False, "x")],
+            [*_STARTED, (gangs.record_finished, "w0", False, "x")],
             Phase.ENDING,
             2,
             1,
         ),
-        # One member's success does not.
+        # One member's success does not end the attempt.
         (
-            [*_STARTED, (gangs.note_finished, "w0", True, "x")],
+            [*_STARTED, (gangs.record_finished, "w0", True, "x")],
             Phase.RUNNING,
             2,
             0,
@@ -84,20 +90,20 @@
         (
             [
                 *_STARTED,
-                (gangs.note_finished, "w0", True, "x"),
-                (gangs.note_finished, "w1", True, "y"),
+                (gangs.record_finished, "w0", True, "x"),
+                (gangs.record_finished, "w1", True, "y"),
             ],
             Phase.ENDED,
             2,
             0,
         ),
-        # A worker that goes after its task succeeded loses nothing.
+        # The loss of a worker whose task has succeeded does not matter.
         (
             [
                 *_STARTED,
-                (gangs.note_finished, "w0", True, "x"),
+                (gangs.record_finished, "w0", True, "x"),
                 _LOST,
-                (gangs.note_finished, "w1", True, "y"),
+                (gangs.record_finished, "w1", True, "y"),
             ],
             Phase.ENDED,
             2,
@@ -105,33 +111,33 @@
         ),
     ],
 )
-def test_steps(steps, phase, starts, stops):
-    held, sent = _run(*steps)
-    assert held.phase is phase
-    assert _count(sent, messages.Start) == starts
-    assert _count(sent, messages.Stop) == stops
+def test_transitions(events, phase, start_count, stop_count):
+    gang, commands = _apply_events(*events)
+    assert gang.phase is phase
+    assert _count_commands(commands, messages.Start) == start_count
+    assert _count_commands(commands, messages.Stop) == stop_count
 
 
 def test_success_keeps_every_result():
-    held, _ = _run(
+    gang, _ = _apply_events(
         *_STARTED,
-        (gangs.note_finished, "w1", True, "y"),
-        (gangs.note_finished, "w0", True, "x"),
+        (gangs.record_finished, "w1", True, "y"),
+        (gangs.record_finished, "w0", True, "x"),
     )
-    assert held.end is End.SUCCEEDED
-    assert held.results == (("w0", "x"), ("w1", "y"))
+    assert gang.end_reason is EndReason.SUCCEEDED
+    assert gang.results == (("w0", "x"), ("w1", "y"))
 
 
-def test_waits_for_all_loans_before_reserving():
-    held = _open({"dc.8", "dc.9"})
-    held, sent = gangs.release_victim(held, "dc.8")
-    assert (held.phase, sent) == (Phase.WAITING, ())
-    held, sent = gangs.release_victim(held, "dc.9")
-    assert held.phase is Phase.RESERVING
-    assert _count(sent, messages.Reserve) == 2
+def test_reservation_waits_for_all_blocking_jobs():
+    gang = _create_gang({"dc.8", "dc.9"})
+    gang, commands = gangs.record_blocker_ended(gang, "dc.8")
+    assert (gang.phase, commands) == (Phase.WAITING, ())
+    gang, commands = gangs.record_blocker_ended(gang, "dc.9")
+    assert gang.phase is Phase.RESERVING
+    assert _count_commands(commands, messages.Reserve) == 2
 
 
 def test_reclaimed_gang_is_asked_to_checkpoint():
-    held, _ = _run(*_STARTED)
-    _, sent = gangs.end_gang(held, End.RECLAIMED)
-    assert all(command.message.checkpoint for command in sent)
+    gang, _ = _apply_events(*_STARTED)
+    _, commands = gangs.end_gang(gang, EndReason.RECLAIMED)
+    assert all(command.message.checkpoint for command in commands)
--- a/crocusrouter/jobs/workers.py
+++ b/crocusrouter/jobs/workers.py
@@ -1,23 +1,25 @@
-"""Workers as their data centre's owner knows them."""
+"""Workers as the owner of their data centre sees them."""
 
 import dataclasses
 
-from crocusrouter.jobs import blame as blames
+from crocusrouter.jobs import quarantine
 
 
 @dataclasses.dataclass
 class Worker:
-    """A worker as its owner knows it.
+    """State of a worker as its owner knows it.
 
     Attributes:
-        name: Its name.
-        rack: Its rack.
-        accelerators: How many it has.
-        known: Whether it told this owner what it holds. Until then nothing
-            is placed on it: an earlier owner's tasks may still run there.
-        live: Whether the VM list shows it as staying.
-        strays: Tasks that it holds and no gang accounts for.
-        blame: What speaks against it.
+        name: Name of the worker.
+        rack: Rack of the worker.
+        accelerators: Number of its accelerators.
+        known: Whether it has told this owner which tasks it holds. Until then
+            nothing is placed on it, because tasks of an earlier owner may
+            still run there.
+        live: Whether the VM list shows it as live, so it isn't leaving.
+        stray_masks: Accelerators of tasks that it holds but that belong to no
+            gang, by job id and attempt.
+        failure_history: Failures that count against it.
     """
 
     name: str
@@ -25,5 +27,9 @@
     accelerators: int
     known: bool = False
     live: bool = True
-    strays: dict[tuple[str, int], int] = dataclasses.field(default_factory=dict)
-    blame: blames.Blame = dataclasses.field(default_factory=blames.Blame)
+    stray_masks: dict[tuple[str, int], int] = dataclasses.field(
+        default_factory=dict
+    )
+    failure_history: quarantine.FailureHistory = dataclasses.field(
+        default_factory=quarantine.FailureHistory
+    )
