--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -140,7 +140,7 @@
         self._finish_job(job, model.JobState.CANCELLED, now, effects)
         if gang is not None:
             transition = gangs.end_gang(gang, gangs.EndReason.CANCELLED)
-            self.apply_transition(transition, now, effects)
+            self.apply(transition, now, effects)
         return effects
 
     def forget(self, job_id: str) -> None:
@@ -246,7 +246,7 @@
                 transition = gangs.end_gang(
                     gang, gangs.EndReason.LOST, f"worker {name} is silent"
                 )
-                self.apply_transition(transition, now, effects)
+                self.apply(transition, now, effects)
         return effects
 
     def lose_worker(self, name: str, now: float) -> Effects:
@@ -262,7 +262,7 @@
             transition = gangs.record_released(
                 gang, name, gangs.EndReason.LOST, f"worker {name} is lost"
             )
-            self.apply_transition(transition, now, effects)
+            self.apply(transition, now, effects)
         return effects
 
     def find_missing(self) -> frozenset[str]:
@@ -303,7 +303,7 @@
             gang for gang in self.gangs.values() if worker_name in gang.held
         ]
 
-    def apply_transition(
+    def apply(
         self, transition: gangs.Transition, now: float, effects: Effects
     ) -> None:
         """Store a changed gang; update its job if the attempt has ended."""
@@ -389,8 +389,8 @@
         if end_reason is gangs.EndReason.FAILED:
             job = self._record_task_failure(job, gang, now)
         else:
-            run_time_s = now - started_at if started_at is not None else 0.0
-            job = _record_loss(job, gang, end_reason, run_time_s)
+            ran_s = now - started_at if started_at is not None else 0.0
+            job = _record_loss(job, gang, end_reason, ran_s)
         has_no_attempts_left = job.failures >= job.spec.max_attempts
         if has_no_attempts_left or job.early_losses >= _MAX_EARLY_LOSSES:
             self._finish_job(job, model.JobState.FAILED, now, effects)
@@ -473,9 +473,7 @@
             if job_id in gang.blocking_job_ids
         ]
         for gang in blocked_gangs:
-            self.apply_transition(
-                gangs.record_blocker_ended(gang, job_id), now, effects
-            )
+            self.apply(gangs.record_blocker_ended(gang, job_id), now, effects)
 
     def record_event(self, job_id: str, now: float, text: str) -> None:
         """Add an event to the job's history that `explain` returns."""
@@ -489,7 +487,7 @@
     job: model.Job,
     gang: gangs.Gang,
     end_reason: gangs.EndReason,
-    run_time_s: float,
+    ran_s: float,
 ) -> model.Job:
     """Count an attempt that ended without a task failure.
 
@@ -502,14 +500,14 @@
         or gang.reserved_workers != gang.workers
     ):
         return job
-    if run_time_s > _EARLY_LOSS_S:
+    if ran_s > _EARLY_LOSS_S:
         return dataclasses.replace(job, early_losses=0)
     return dataclasses.replace(
         job,
         early_losses=job.early_losses + 1,
         detail=(
-            f"{job.early_losses + 1} attempts lost a worker soon after their "
-            "start; check that the task does not end its worker"
+            f"{job.early_losses + 1} attempts lost a worker soon after they "
+            "started; check that the task does not end its worker"
         ),
     )
 
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -163,9 +163,9 @@
     for allocation in allocations:
         for member in allocation:
             name, rack, free_mask, lent_mask = remaining[member.worker]
-            kept_mask = ~member.mask
-            remaining[member.worker] = WorkerCapacity(
-                name, rack, free_mask & kept_mask, lent_mask & kept_mask
+            keep = ~member.mask
+            remaining[name] = WorkerCapacity(
+                name, rack, free_mask & keep, lent_mask & keep
             )
     return remaining
 
@@ -190,10 +190,10 @@
         self._deepest_index = 0
 
     def run(self) -> Embedding | EmbeddingFailure:
-        allocations = self._place_from(0, self._capacities)
-        if allocations is None:
+        spots = self._place_from(0, self._capacities)
+        if spots is None:
             return EmbeddingFailure(self._demands[self._deepest_index])
-        return Embedding(self._demands, allocations)
+        return Embedding(self._demands, spots)
 
     def _place_from(
         self, index: int, capacities: Floor
@@ -287,9 +287,9 @@
 
 
 def _score_unit(unit: list[WorkerCapacity], size: int) -> tuple[int, int]:
-    """Score a unit: fewest lent accelerators used, then the tightest fit."""
-    reclaimed_count = max(0, size - count_free(unit))
-    return (reclaimed_count, count_usable(unit) - size)
+    """Score a unit: fewest loans to break, then the tightest fit."""
+    broken = max(0, size - count_free(unit))
+    return (broken, count_usable(unit) - size)
 
 
 def _describe_racks(capacities: Floor) -> dict[str, tuple[int, _UnitShape]]:
--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -100,13 +100,12 @@
 
 
 def _is_covered(
-    unclaimed_counts: dict[tuple[str, int], int],
+    room: dict[tuple[str, int], int],
     job_allocation: JobAllocation,
 ) -> bool:
     """Tell whether the guarantee has room for all claims of an allocation."""
     return all(
-        unclaimed_counts.get((job_allocation.customer, claim.cell), 0)
-        >= claim.size
+        room.get((job_allocation.customer, claim.cell), 0) >= claim.size
         for claim in job_allocation.claims
     )
 
--- a/crocusrouter/jobs/gang.py
+++ b/crocusrouter/jobs/gang.py
@@ -156,9 +156,9 @@
     """
     if gang.phase is Phase.ENDING:
         return gang, (build_stop(gang, worker),)
-    reserved_workers = gang.reserved_workers | {worker}
-    gang = dataclasses.replace(gang, reserved_workers=reserved_workers)
-    if gang.phase is not Phase.RESERVING or reserved_workers != gang.workers:
+    reserved = gang.reserved_workers | {worker}
+    gang = dataclasses.replace(gang, reserved_workers=reserved)
+    if gang.phase is not Phase.RESERVING or reserved != gang.workers:
         return gang, ()
     unstarted_workers = sorted(gang.workers - gang.started_workers)
     commands = tuple(
@@ -191,8 +191,8 @@
         return _end_if_released(gang), ()
     if not ok:
         return end_gang(gang, EndReason.FAILED, result, worker)
-    other_results = tuple(pair for pair in gang.results if pair[0] != worker)
-    results = tuple(sorted((*other_results, (worker, result))))
+    others = tuple(pair for pair in gang.results if pair[0] != worker)
+    results = tuple(sorted((*others, (worker, result))))
     gang = dataclasses.replace(gang, results=results)
     if len(results) < len(gang.members):
         # Other members still run; this one counts as reserved and started.
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -65,9 +65,7 @@
             _remove_stray_task(book, worker_name, task, effects)
     for gang in book.list_gangs_on(worker_name):
         reported_task = reported_tasks.get((gang.job_id, gang.attempt))
-        book.apply_transition(
-            _reconcile(gang, worker_name, reported_task), now, effects
-        )
+        book.apply(_reconcile(gang, worker_name, reported_task), now, effects)
 
 
 @_handle.register
@@ -82,9 +80,7 @@
     if gang is None:
         effects.commands.append(_build_stop(worker_name, message))
     else:
-        book.apply_transition(
-            gangs.record_reserved(gang, worker_name), now, effects
-        )
+        book.apply(gangs.record_reserved(gang, worker_name), now, effects)
 
 
 @_handle.register
@@ -99,9 +95,7 @@
     if gang is None:
         effects.commands.append(_build_stop(worker_name, message))
     else:
-        book.apply_transition(
-            gangs.record_started(gang, worker_name), now, effects
-        )
+        book.apply(gangs.record_started(gang, worker_name), now, effects)
 
 
 @_handle.register
@@ -119,7 +113,7 @@
     transition = gangs.record_released(
         gang, worker_name, gangs.EndReason.DECLINED, message.why
     )
-    book.apply_transition(transition, now, effects)
+    book.apply(transition, now, effects)
 
 
 @_handle.register
@@ -141,7 +135,7 @@
             gangs.EndReason.LOST,
             "the worker stopped its task",
         )
-        book.apply_transition(transition, now, effects)
+        book.apply(transition, now, effects)
 
 
 @_handle.register
@@ -161,7 +155,7 @@
     transition = gangs.record_finished(
         gang, worker_name, message.ok, message.result
     )
-    book.apply_transition(transition, now, effects)
+    book.apply(transition, now, effects)
 
 
 def _is_expected(book: Book, key: tuple[str, int], worker_name: str) -> bool:
--- a/crocusrouter/jobs/outbox.py
+++ b/crocusrouter/jobs/outbox.py
@@ -29,14 +29,14 @@
             commands: New commands, in order.
             is_pending: Tells whether a job's last change is not yet durable.
         """
-        ready_commands = []
+        ready = []
         for command in commands:
             job_id = command.message.job_id
             if is_pending(job_id):
                 self._held_commands.setdefault(job_id, []).append(command)
             else:
-                ready_commands.append(command)
-        return ready_commands
+                ready.append(command)
+        return ready
 
     def release(self, job_id: str) -> list[gang.Command]:
         """Return the held commands of a job whose change is now durable."""
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -235,8 +235,9 @@
         return None
     allocation = cells.fill_unit(unit, request.accelerators)
     victims = find_victims(allocation, context.loans)
-    claim = model.CellClaim(demand.index, allocation)
-    return Placed(allocation, (claim,), victims)
+    return Placed(
+        allocation, (model.CellClaim(demand.index, allocation),), victims
+    )
 
 
 def _claim_several_cells(
--- a/crocusrouter/jobs/queue.py
+++ b/crocusrouter/jobs/queue.py
@@ -50,7 +50,7 @@
         job: model.Job,
     ) -> tuple[bool, bool, int, float, str]:
         template = catalog.find(job.customer)
-        fair_share = template.fair_share if template is not None else 1.0
+        share = template.fair_share if template is not None else 1.0
         weights = template.weights if template is not None else Weights()
         expected_s = estimate_job_run_time(run_time_history, job)
         return (
@@ -59,7 +59,7 @@
             int(
                 _BORROWED_SHARE_STEPS
                 * borrowed_shares.get(job.customer, 0.0)
-                / fair_share
+                / share
             ),
             job.submitted_at + weights.completion * expected_s,
             job.id,
--- a/crocusrouter/jobs/run_times.py
+++ b/crocusrouter/jobs/run_times.py
@@ -11,20 +11,20 @@
 _MIN_SAMPLES = 3
 
 # Customer and kind of job.
-JobKindKey = tuple[str, str]
+Key = tuple[str, str]
 
 
 @dataclasses.dataclass(frozen=True)
 class RunTimeHistory:
     """Run times of recent jobs in seconds, newest last."""
 
-    samples_s: dict[JobKindKey, tuple[float, ...]] = dataclasses.field(
+    samples_s: dict[Key, tuple[float, ...]] = dataclasses.field(
         default_factory=dict
     )
 
 
 def record_run_time(
-    history: RunTimeHistory, key: JobKindKey, run_time_s: float
+    history: RunTimeHistory, key: Key, run_time_s: float
 ) -> RunTimeHistory:
     """Add the run time of a job that succeeded."""
     samples_s = (*history.samples_s.get(key, ()), run_time_s)[-_MAX_SAMPLES:]
@@ -32,7 +32,7 @@
 
 
 def estimate_run_time(
-    history: RunTimeHistory, key: JobKindKey, declared_s: float
+    history: RunTimeHistory, key: Key, declared_s: float
 ) -> float:
     """Return the expected run time in seconds.
 
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -58,7 +58,7 @@
     if not ready_jobs:
         return effects
     failed_shapes: set[tuple[str, str, int, tuple[str, ...]]] = set()
-    decision_count = 0
+    decisions = 0
     snapshot = get_snapshot(book, now)
     reservation: backfill.Reservation | None = None
     ordered_jobs = queue.order_queue(
@@ -92,8 +92,8 @@
         assign(book, job, decision, now, effects)
         snapshot = _update_snapshot(book, job, decision, snapshot, now)
         book.cached_snapshot = (book.snapshot_version, snapshot)
-        decision_count += 1
-        if decision_count == _MAX_DECISIONS_PER_PASS:
+        decisions += 1
+        if decisions == _MAX_DECISIONS_PER_PASS:
             break
     return effects
 
@@ -283,7 +283,9 @@
     if book.failed_placements.get(job.id) != no_placement:
         book.failed_placements[job.id] = no_placement
         book.record_event(
-            job.id, now, f"waits: {no_placement.reason}: {no_placement.detail}"
+            job.id,
+            now,
+            f"waits for a place: {no_placement.reason}: {no_placement.detail}",
         )
 
 
@@ -313,13 +315,13 @@
     book.add_gang(job, gangs.create_gang(job, blocking_job_ids))
     for victim in decision.victims:
         detail = f"by job {job.id} under its guarantee"
-        transition = gangs.end_gang(
+        step = gangs.end_gang(
             book.gangs[victim], gangs.EndReason.RECLAIMED, detail
         )
-        book.apply_transition(transition, now, effects)
+        book.apply(step, now, effects)
     gang = book.gangs[job.id]
     if gang.phase is gangs.Phase.WAITING and not gang.blocking_job_ids:
-        book.apply_transition(gangs.reserve_members(gang), now, effects)
+        book.apply(gangs.reserve_members(gang), now, effects)
 
 
 def _find_ending_jobs(book: Book, job: model.Job) -> frozenset[str]:
--- a/crocusrouter/jobs/tests/test_backfill.py
+++ b/crocusrouter/jobs/tests/test_backfill.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("expected_ends", "starts_at", "workers"),
+    ("ends", "starts_at", "workers"),
     [
         ({"w0": [(9.0, 0b1100)]}, 9.0, {"w0", "w1"}),
         ({"w0": [(9.0, 0b1100)], "w2": [(5.0, 0b1111)]}, 5.0, {"w2", "w3"}),
@@ -21,14 +21,10 @@
         ({}, None, None),
     ],
 )
-def test_unit_with_the_earliest_room_is_reserved(
-    expected_ends, starts_at, workers
-):
+def test_unit_with_the_earliest_room_is_reserved(ends, starts_at, workers):
     capacities = build.build_capacities(0b0011, 0b1111, 0b0000, 0b1111)
     request = placement.PlacementRequest("dc.1", "a", Level.RACK, 8)
-    reservation = backfill.reserve_unit(
-        request, capacities, expected_ends, now=1.0
-    )
+    reservation = backfill.reserve_unit(request, capacities, ends, now=1.0)
     if starts_at is None:
         assert reservation is None
     else:
@@ -69,10 +65,10 @@
     machine.submit([("c", (1, "worker"), 6.0)] * 24)
     machine.run_on(2)
     machine.submit([("c", (8, "rack"), 2.0)])
-    large_job_id = f"dc.{machine.job_number}"
+    large = f"dc.{machine.job_number}"
     for _ in range(20):
         machine.submit([("c", (1, "worker"), 6.0)] * 2)
         machine.run_on(2)
-        if machine.book.jobs[large_job_id].is_final:
+        if machine.book.jobs[large].is_final:
             break
-    assert str(machine.book.jobs[large_job_id].state) == "done"
+    assert str(machine.book.jobs[large].state) == "done"
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -63,7 +63,7 @@
     def __init__(self, now):
         self.to_worker = collections.deque()
         self.to_owner = collections.deque()
-        self.is_up = False
+        self.up = False
         self.down_until = now
         self.renewal_in_flight = False
         self.lease = lease.Lease(_LEASE_S, now)
@@ -101,7 +101,7 @@
         self.book.catalog = _CATALOG
         self.book.load(self.durable_jobs.values(), self.now)
         self.outbox = jobs.Outbox()
-        self.pending_jobs = {}
+        self.pending = {}
         self.links = {}
         for name in self.workers:
             self._add_worker(name)
@@ -113,20 +113,20 @@
 
     def _connect(self, name):
         link = self.links[name]
-        link.is_up, link.renewal_in_flight = True, False
+        link.up, link.renewal_in_flight = True, False
         link.to_worker.append(messages.Hello("e", self.epoch, _LEASE_S))
 
     def _apply_effects(self, effects):
         for job in effects.changed:
-            self.pending_jobs[job.id] = job
+            self.pending[job.id] = job
         for command in self.outbox.admit(
-            effects.commands, self.pending_jobs.__contains__
+            effects.commands, self.pending.__contains__
         ):
             self._send(command)
 
     def _send(self, command):
         link = self.links.get(command.worker)
-        if link is not None and link.is_up:
+        if link is not None and link.up:
             link.to_worker.append(command.message)
 
     # Rules: work.
@@ -162,7 +162,7 @@
 
     @stateful.rule()
     def commit(self):
-        committed_jobs, self.pending_jobs = self.pending_jobs, {}
+        committed_jobs, self.pending = self.pending, {}
         self.durable_jobs |= committed_jobs
         self.accepted_job_ids |= committed_jobs.keys()
         for job_id in committed_jobs:
@@ -258,7 +258,7 @@
                 if not self._is_frozen(name):
                     self._advance_worker(name, worker)
             for name, link in self.links.items():
-                if not link.is_up and self.now >= link.down_until:
+                if not link.up and self.now >= link.down_until:
                     self._connect(name)
                 self._send_renewal(link)
                 self._check_lease(name, link)
@@ -281,14 +281,14 @@
                 self._apply_effects(self.book.lose_worker(name, self.now))
 
     def _send_renewal(self, link):
-        if link.is_up and not link.renewal_in_flight:
+        if link.up and not link.renewal_in_flight:
             link.renewal_in_flight = True
             link.to_worker.append(messages.Renew())
 
     def _check_lease(self, name, link):
         if not lease.is_suspect(link.lease, self.now):
             return
-        if self.book.workers[name].known and link.is_up:
+        if self.book.workers[name].known and link.up:
             self._cut_connection(name)
             self._connect(name)
         if lease.has_lapsed(link.lease, self.now):
@@ -327,7 +327,7 @@
         ]
         link.to_worker.clear()
         link.to_owner.clear()
-        link.is_up = False
+        link.up = False
 
     def _deliver_late_message(self):
         if self.late_messages:
@@ -405,10 +405,10 @@
             return
         if self.book.find_missing():
             return
-        cached_snapshot = scheduler.get_snapshot(self.book, self.now)
+        kept = scheduler.get_snapshot(self.book, self.now)
         snapshot = scheduler.observe(self.book, self.now)
-        assert cached_snapshot.floor == snapshot.floor
-        assert set(cached_snapshot.loans) == set(snapshot.loans)
+        assert kept.floor == snapshot.floor
+        assert set(kept.loans) == set(snapshot.loans)
         result = cells.embed(snapshot.needs, snapshot.floor)
         assert isinstance(result, cells.Embedding), (result, snapshot)
         assert len(snapshot.bindings) == len(snapshot.needs), snapshot.bindings
--- a/crocusrouter/jobs/tests/test_cells.py
+++ b/crocusrouter/jobs/tests/test_cells.py
@@ -56,24 +56,22 @@
     return True
 
 
-def _search_exhaustively(demands, free_counts):
-    """Tell whether an embedding exists, by brute force over free counts."""
+def _search_exhaustively(demands, counts):
+    """Tell whether an embedding exists, by brute force over the free counts."""
     if not demands:
         return True
     demand, *rest = demands
     units = {
-        Level.WORKER: [[i] for i in range(len(free_counts))],
+        Level.WORKER: [[i] for i in range(len(counts))],
         Level.RACK: [[0, 1], [2, 3]],
         Level.DATA_CENTRE: [[0, 1, 2, 3]],
     }[demand.level]
     for unit in units:
-        ranges = [
-            range(min(free_counts[i], demand.accelerators) + 1) for i in unit
-        ]
+        ranges = [range(min(counts[i], demand.accelerators) + 1) for i in unit]
         for used_counts in itertools.product(*ranges):
             if sum(used_counts) != demand.accelerators:
                 continue
-            remaining_counts = list(free_counts)
+            remaining_counts = list(counts)
             for i, used_count in zip(unit, used_counts, strict=True):
                 remaining_counts[i] -= used_count
             if _search_exhaustively(rest, remaining_counts):
