--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -36,7 +36,7 @@
 # twelve VMs of 1,400 fail in a day.
 _MAX_EARLY_LOSSES = 4
 # A worker that ends right after a start is known to be lost only when its
-# lease has lapsed.
+# lease has expired.
 _EARLY_LOSS_S = 20.0
 _RETRY_REASONS = {
     gangs.EndReason.FAILED: RetryReason.TASK_FAILED,
@@ -232,7 +232,7 @@
     def suspect_worker(self, name: str, now: float) -> Effects:
         """End the gangs of a worker that stopped answering.
 
-        The worker's own tasks stop when their lease lapses. Other members are
+        The worker's own tasks stop when their lease expires. Other members are
         stopped at once, so that a part of a gang doesn't run alone. A job that
         runs on this worker only goes on, because the worker may come back in
         time.
--- a/crocusrouter/jobs/gang.py
+++ b/crocusrouter/jobs/gang.py
@@ -4,7 +4,7 @@
 every member's worker and starts the tasks only when all reservations hold. If
 a member is lost, the attempt ends and the other members are stopped. The
 attempt counts as ended only when each member has reported its end or its lease
-has lapsed. The next attempt begins after that, so attempts never overlap.
+has expired. The next attempt begins after that, so attempts never overlap.
 
 The functions take a gang and an event; they return the changed gang and the
 commands to send. They use no clock and do no I/O.
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -12,12 +12,12 @@
 
 
 def handle_message(
-    book: Book, worker_name: str, message: object, now: float
+    scheduler_state: Book, worker_name: str, message: object, now: float
 ) -> Effects:
     """Apply a worker's message; ignore messages of unknown workers.
 
     Args:
-        book: The state of the worker's data centre.
+        scheduler_state: The state of the worker's data centre.
         worker_name: The worker that sent the message.
         message: One of `crocusrouter.fleet.messages`.
         now: Unix time in seconds.
@@ -29,15 +29,15 @@
         TypeError: No worker sends such a message.
     """
     effects = Effects()
-    if worker_name in book.workers:
-        _handle(message, book, worker_name, now, effects)
+    if worker_name in scheduler_state.workers:
+        _handle(message, scheduler_state, worker_name, now, effects)
     return effects
 
 
 @functools.singledispatch
 def _handle(
     message: object,
-    book: Book,
+    scheduler_state: Book,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -48,7 +48,7 @@
 @_handle.register
 def _(
     message: messages.Inventory,
-    book: Book,
+    scheduler_state: Book,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -56,78 +56,89 @@
     reported_tasks = {
         (task.job_id, task.attempt): task for task in message.tasks
     }
-    worker = book.workers[worker_name]
+    worker = scheduler_state.workers[worker_name]
     worker.known = True
     worker.stray_masks = {}
-    book.invalidate_snapshot()
+    scheduler_state.invalidate_snapshot()
     for key, task in reported_tasks.items():
-        if not _is_expected(book, key, worker_name):
-            _remove_stray_task(book, worker_name, task, effects)
-    for gang in book.list_gangs_on(worker_name):
+        if not _is_expected(scheduler_state, key, worker_name):
+            _remove_stray_task(scheduler_state, worker_name, task, effects)
+    for gang in scheduler_state.list_gangs_on(worker_name):
         reported_task = reported_tasks.get((gang.job_id, gang.attempt))
-        book.apply(_reconcile(gang, worker_name, reported_task), now, effects)
+        scheduler_state.apply(
+            _reconcile(gang, worker_name, reported_task), now, effects
+        )
 
 
 @_handle.register
 def _(
     message: messages.Reserved,
-    book: Book,
+    scheduler_state: Book,
     worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    gang = book.find_gang(message.job_id, message.attempt)
+    gang = scheduler_state.find_gang(message.job_id, message.attempt)
     if gang is None:
         effects.commands.append(_build_stop(worker_name, message))
     else:
-        book.apply(gangs.record_reserved(gang, worker_name), now, effects)
+        scheduler_state.apply(
+            gangs.record_reserved(gang, worker_name), now, effects
+        )
 
 
 @_handle.register
 def _(
     message: messages.Started,
-    book: Book,
+    scheduler_state: Book,
     worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    gang = book.find_gang(message.job_id, message.attempt)
+    gang = scheduler_state.find_gang(message.job_id, message.attempt)
     if gang is None:
         effects.commands.append(_build_stop(worker_name, message))
     else:
-        book.apply(gangs.record_started(gang, worker_name), now, effects)
+        scheduler_state.apply(
+            gangs.record_started(gang, worker_name), now, effects
+        )
 
 
 @_handle.register
 def _(
     message: messages.Declined,
-    book: Book,
+    scheduler_state: Book,
     worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    gang = book.find_gang(message.job_id, message.attempt)
+    gang = scheduler_state.find_gang(message.job_id, message.attempt)
     if gang is None:
         return
-    book.earliest_retry_at[gang.job_id] = now + _RETRY_DELAY_AFTER_DECLINE_S
+    scheduler_state.earliest_retry_at[gang.job_id] = (
+        now + _RETRY_DELAY_AFTER_DECLINE_S
+    )
     transition = gangs.record_released(
         gang, worker_name, gangs.EndReason.DECLINED, message.why
     )
-    book.apply(transition, now, effects)
+    scheduler_state.apply(transition, now, effects)
 
 
 @_handle.register
 def _(
     message: messages.Stopped,
-    book: Book,
+    scheduler_state: Book,
     worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
     key = (message.job_id, message.attempt)
-    if book.workers[worker_name].stray_masks.pop(key, None) is not None:
-        book.invalidate_snapshot()
-    gang = book.find_gang(*key)
+    if (
+        scheduler_state.workers[worker_name].stray_masks.pop(key, None)
+        is not None
+    ):
+        scheduler_state.invalidate_snapshot()
+    gang = scheduler_state.find_gang(*key)
     if gang is not None and worker_name in gang.held:
         transition = gangs.record_released(
             gang,
@@ -135,18 +146,18 @@
             gangs.EndReason.LOST,
             "the worker stopped its task",
         )
-        book.apply(transition, now, effects)
+        scheduler_state.apply(transition, now, effects)
 
 
 @_handle.register
 def _(
     message: messages.Finished,
-    book: Book,
+    scheduler_state: Book,
     worker_name: str,
     now: float,
     effects: Effects,
 ) -> None:
-    gang = book.find_gang(message.job_id, message.attempt)
+    gang = scheduler_state.find_gang(message.job_id, message.attempt)
     if gang is None or worker_name not in gang.workers:
         # A late result of an attempt that no longer counts. Without an
         # acknowledgement the worker would keep the result for ever.
@@ -155,12 +166,14 @@
     transition = gangs.record_finished(
         gang, worker_name, message.ok, message.result
     )
-    book.apply(transition, now, effects)
+    scheduler_state.apply(transition, now, effects)
 
 
-def _is_expected(book: Book, key: tuple[str, int], worker_name: str) -> bool:
+def _is_expected(
+    scheduler_state: Book, key: tuple[str, int], worker_name: str
+) -> bool:
     """Tell whether a gang accounts for a worker's task."""
-    gang = book.find_gang(*key)
+    gang = scheduler_state.find_gang(*key)
     if gang is None:
         return False
     has_result = any(name == worker_name for name, _ in gang.results)
@@ -168,16 +181,19 @@
 
 
 def _remove_stray_task(
-    book: Book, worker_name: str, task: messages.TaskReport, effects: Effects
+    scheduler_state: Book,
+    worker_name: str,
+    task: messages.TaskReport,
+    effects: Effects,
 ) -> None:
     """Stop or acknowledge a task that belongs to no gang.
 
     Its accelerators count as used until the worker reports that it stopped.
     """
     if task.phase in _HOLDING_PHASES:
-        book.workers[worker_name].stray_masks[(task.job_id, task.attempt)] = (
-            task.mask
-        )
+        scheduler_state.workers[worker_name].stray_masks[
+            (task.job_id, task.attempt)
+        ] = task.mask
         effects.commands.append(_build_stop(worker_name, task))
     else:
         effects.commands.append(_build_acknowledge(worker_name, task))
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -40,33 +40,33 @@
     valid_until: float = math.inf
 
 
-def schedule(book: Book, now: float) -> Effects:
+def schedule(scheduler_state: Book, now: float) -> Effects:
     """Start jobs that can start, a few at most so that the call stays short.
 
     Once a job of some shape finds no place, other jobs of this shape are
     skipped in the same pass, because they would find none either.
 
     Args:
-        book: The state of the data centre; jobs that start change in it.
+        scheduler_state: The state of the data centre, which this changes.
         now: Unix time in seconds.
 
     Returns:
         The effects; without a changed job nothing more can start.
     """
     effects = Effects()
-    ready_jobs = _list_ready_jobs(book, now)
+    ready_jobs = _list_ready_jobs(scheduler_state, now)
     if not ready_jobs:
         return effects
     failed_shapes: set[tuple[str, str, int, tuple[str, ...]]] = set()
     decisions = 0
-    snapshot = get_snapshot(book, now)
+    snapshot = get_snapshot(scheduler_state, now)
     reservation: backfill.Reservation | None = None
     ordered_jobs = queue.order_queue(
         ready_jobs,
         snapshot.needs,
-        _compute_borrowed_shares(book, snapshot),
-        book.catalog,
-        book.run_time_history,
+        _compute_borrowed_shares(scheduler_state, snapshot),
+        scheduler_state.catalog,
+        scheduler_state.run_time_history,
     )
     for job in ordered_jobs:
         shape = (
@@ -77,62 +77,76 @@
         )
         if shape in failed_shapes:
             continue
-        decision = _decide_placement(book, job, snapshot, reservation, now)
+        decision = _decide_placement(
+            scheduler_state, job, snapshot, reservation, now
+        )
         if isinstance(decision, placement.NoPlacement):
             failed_shapes.add(shape)
-            _record_wait(book, job, decision, now)
+            _record_wait(scheduler_state, job, decision, now)
             if reservation is None:
                 reservation = backfill.reserve_unit(
                     build_placement_request(job),
                     snapshot.floor,
-                    _list_expected_ends(book, now),
+                    _list_expected_ends(scheduler_state, now),
                     now,
                 )
             continue
-        assign(book, job, decision, now, effects)
-        snapshot = _update_snapshot(book, job, decision, snapshot, now)
-        book.cached_snapshot = (book.snapshot_version, snapshot)
+        assign(scheduler_state, job, decision, now, effects)
+        snapshot = _update_snapshot(
+            scheduler_state, job, decision, snapshot, now
+        )
+        scheduler_state.cached_snapshot = (
+            scheduler_state.snapshot_version,
+            snapshot,
+        )
         decisions += 1
         if decisions == _MAX_DECISIONS_PER_PASS:
             break
     return effects
 
 
-def get_snapshot(book: Book, now: float) -> Snapshot:
+def get_snapshot(scheduler_state: Book, now: float) -> Snapshot:
     """Return the cached snapshot, or a new one if the cache is out of date."""
-    cache_entry = book.cached_snapshot
+    cache_entry = scheduler_state.cached_snapshot
     if isinstance(cache_entry, tuple) and cache_entry[0] == (
-        book.snapshot_version
+        scheduler_state.snapshot_version
     ):
         snapshot: Snapshot = cache_entry[1]
         if now < snapshot.valid_until:
             return snapshot
-    snapshot = observe(book, now)
-    book.cached_snapshot = (book.snapshot_version, snapshot)
+    snapshot = observe(scheduler_state, now)
+    scheduler_state.cached_snapshot = (
+        scheduler_state.snapshot_version,
+        snapshot,
+    )
     return snapshot
 
 
-def observe(book: Book, now: float) -> Snapshot:
+def observe(scheduler_state: Book, now: float) -> Snapshot:
     """Build a snapshot and bind all cells that lost their binding."""
     demands, loans = claims.assign_claims(
-        claims.list_demands(book.catalog, book.data_centre),
-        book.holdings.values(),
+        claims.list_demands(
+            scheduler_state.catalog, scheduler_state.data_centre
+        ),
+        scheduler_state.holdings.values(),
+    )
+    capacities = build_floor(scheduler_state, now, loans)
+    scheduler_state.bindings = cell_bindings.bind_cells(
+        demands, capacities, scheduler_state.bindings
     )
-    capacities = build_floor(book, now, loans)
-    book.bindings = cell_bindings.bind_cells(demands, capacities, book.bindings)
     quarantine_ends = [
         worker.failure_history.quarantined_until
-        for worker in book.workers.values()
-        if book.is_quarantined(worker.name, now)
+        for worker in scheduler_state.workers.values()
+        if scheduler_state.is_quarantined(worker.name, now)
     ]
     valid_until = min(quarantine_ends, default=math.inf)
     return Snapshot(
-        capacities, demands, book.bindings, tuple(loans), valid_until
+        capacities, demands, scheduler_state.bindings, tuple(loans), valid_until
     )
 
 
 def _update_snapshot(
-    book: Book,
+    scheduler_state: Book,
     job: model.Job,
     decision: placement.Placed,
     snapshot: Snapshot,
@@ -142,16 +156,19 @@
     capacities = cells.remove_spot(snapshot.floor, decision.allocation)
     if decision.new_binding is not None:
         key, binding = decision.new_binding
-        book.bindings = book.bindings | {key: binding}
+        scheduler_state.bindings = scheduler_state.bindings | {key: binding}
     if decision.victims:
         # The victims release their accelerators one after the other.
-        return observe(book, now)
+        return observe(scheduler_state, now)
     if decision.claims:
         demands = snapshot.needs
         for claim in decision.claims:
             demands = claims.add_claim(demands, job.customer, claim)
         return dataclasses.replace(
-            snapshot, floor=capacities, needs=demands, bindings=book.bindings
+            snapshot,
+            floor=capacities,
+            needs=demands,
+            bindings=scheduler_state.bindings,
         )
     for member in decision.allocation:
         capacity = capacities[member.worker]
@@ -165,10 +182,12 @@
 
 
 def _compute_borrowed_shares(
-    book: Book, snapshot: Snapshot
+    scheduler_state: Book, snapshot: Snapshot
 ) -> dict[str, float]:
     """Return the share of the data centre that each customer borrows."""
-    total_count = sum(worker.accelerators for worker in book.workers.values())
+    total_count = sum(
+        worker.accelerators for worker in scheduler_state.workers.values()
+    )
     borrowed_counts: collections.Counter[str] = collections.Counter()
     for loan in snapshot.loans:
         borrowed_counts[loan.customer] += loan.size
@@ -179,7 +198,9 @@
 
 
 def build_floor(
-    book: Book, now: float, loans: Iterable[claims.JobAllocation] = ()
+    scheduler_state: Book,
+    now: float,
+    loans: Iterable[claims.JobAllocation] = (),
 ) -> cells.Floor:
     """Return the capacities of the workers that can be used now.
 
@@ -189,7 +210,7 @@
     active_masks: dict[str, int] = collections.defaultdict(int)
     ending_masks: dict[str, int] = collections.defaultdict(int)
     lent_masks: dict[str, int] = collections.defaultdict(int)
-    for gang in book.gangs.values():
+    for gang in scheduler_state.gangs.values():
         masks = (
             ending_masks if gang.phase is gangs.Phase.ENDING else active_masks
         )
@@ -199,7 +220,7 @@
         for member in loan.allocation:
             lent_masks[member.worker] |= member.mask
     capacities = {}
-    for worker in book.workers.values():
+    for worker in scheduler_state.workers.values():
         if not (worker.known and worker.live):
             continue
         if quarantine.is_quarantined(worker.failure_history, now):
@@ -218,16 +239,18 @@
     return capacities
 
 
-def _list_ready_jobs(book: Book, now: float) -> list[model.Job]:
+def _list_ready_jobs(scheduler_state: Book, now: float) -> list[model.Job]:
     """Return the queued jobs whose retry delay is over."""
     return [
         job
-        for job in book.list_queued()
-        if book.earliest_retry_at.get(job.id, 0.0) <= now
+        for job in scheduler_state.list_queued()
+        if scheduler_state.earliest_retry_at.get(job.id, 0.0) <= now
     ]
 
 
-def _list_expected_ends(book: Book, now: float) -> backfill.ExpectedEnds:
+def _list_expected_ends(
+    scheduler_state: Book, now: float
+) -> backfill.ExpectedEnds:
     """Return the expected end of each task, by worker name.
 
     A task that runs longer than expected may end at any moment, so its
@@ -236,10 +259,12 @@
     expected_ends: dict[str, list[tuple[float, int]]] = collections.defaultdict(
         list
     )
-    for gang in book.gangs.values():
-        job = book.jobs[gang.job_id]
-        expected_s = queue.estimate_job_run_time(book.run_time_history, job)
-        started_at = book.run_started_at.get(gang.job_id, now)
+    for gang in scheduler_state.gangs.values():
+        job = scheduler_state.jobs[gang.job_id]
+        expected_s = queue.estimate_job_run_time(
+            scheduler_state.run_time_history, job
+        )
+        started_at = scheduler_state.run_started_at.get(gang.job_id, now)
         for member in gang.members:
             expected_ends[member.worker].append(
                 (max(now, started_at + expected_s), member.mask)
@@ -248,14 +273,16 @@
 
 
 def _decide_placement(
-    book: Book,
+    scheduler_state: Book,
     job: model.Job,
     snapshot: Snapshot,
     reservation: backfill.Reservation | None,
     now: float,
 ) -> placement.Placed | placement.NoPlacement:
     """Place a job outside the backfill reservation and its failed workers."""
-    expected_s = queue.estimate_job_run_time(book.run_time_history, job)
+    expected_s = queue.estimate_job_run_time(
+        scheduler_state.run_time_history, job
+    )
     capacities = backfill.exclude_reserved_unit(
         reservation, snapshot.floor, now + expected_s
     )
@@ -275,14 +302,14 @@
 
 
 def _record_wait(
-    book: Book,
+    scheduler_state: Book,
     job: model.Job,
     no_placement: placement.NoPlacement,
     now: float,
 ) -> None:
-    if book.failed_placements.get(job.id) != no_placement:
-        book.failed_placements[job.id] = no_placement
-        book.record_event(
+    if scheduler_state.failed_placements.get(job.id) != no_placement:
+        scheduler_state.failed_placements[job.id] = no_placement
+        scheduler_state.record_event(
             job.id,
             now,
             f"waits for a place: {no_placement.reason}: {no_placement.detail}",
@@ -290,7 +317,7 @@
 
 
 def assign(
-    book: Book,
+    scheduler_state: Book,
     job: model.Job,
     decision: placement.Placed,
     now: float,
@@ -304,32 +331,34 @@
         members=decision.allocation,
         claims=decision.claims,
     )
-    book.store_job(job)
-    book.failed_placements.pop(job.id, None)
-    book.earliest_retry_at.pop(job.id, None)
-    book.record_event(job.id, now, _describe_placement(job, decision))
+    scheduler_state.store_job(job)
+    scheduler_state.failed_placements.pop(job.id, None)
+    scheduler_state.earliest_retry_at.pop(job.id, None)
+    scheduler_state.record_event(
+        job.id, now, _describe_placement(job, decision)
+    )
     effects.changed.append(job)
     blocking_job_ids = frozenset(decision.victims) | _find_ending_jobs(
-        book, job
+        scheduler_state, job
     )
-    book.add_gang(job, gangs.create_gang(job, blocking_job_ids))
+    scheduler_state.add_gang(job, gangs.create_gang(job, blocking_job_ids))
     for victim in decision.victims:
         detail = f"by job {job.id} under its guarantee"
         step = gangs.end_gang(
-            book.gangs[victim], gangs.EndReason.RECLAIMED, detail
+            scheduler_state.gangs[victim], gangs.EndReason.RECLAIMED, detail
         )
-        book.apply(step, now, effects)
-    gang = book.gangs[job.id]
+        scheduler_state.apply(step, now, effects)
+    gang = scheduler_state.gangs[job.id]
     if gang.phase is gangs.Phase.WAITING and not gang.blocking_job_ids:
-        book.apply(gangs.reserve_members(gang), now, effects)
+        scheduler_state.apply(gangs.reserve_members(gang), now, effects)
 
 
-def _find_ending_jobs(book: Book, job: model.Job) -> frozenset[str]:
+def _find_ending_jobs(scheduler_state: Book, job: model.Job) -> frozenset[str]:
     """Return jobs whose ending attempts still hold the job's accelerators."""
     masks = {member.worker: member.mask for member in job.members}
     return frozenset(
         gang.job_id
-        for gang in book.gangs.values()
+        for gang in scheduler_state.gangs.values()
         if gang.phase is gangs.Phase.ENDING
         and any(
             masks.get(member.worker, 0) & member.mask for member in gang.members
--- a/crocusrouter/jobs/tests/build.py
+++ b/crocusrouter/jobs/tests/build.py
@@ -49,13 +49,17 @@
     return jobs.Job(f"{DATA_CENTRE}.{number}", customer, spec, float(number))
 
 
-def build_book(catalog, workers=4, accelerators=8, per_rack=2):
+def build_scheduler_state(catalog, workers=4, accelerators=8, per_rack=2):
     """Return a state whose workers have all reported an empty inventory."""
     from crocusrouter.fleet import messages
 
-    book = books.Book(DATA_CENTRE)
-    book.catalog = catalog
+    scheduler_state = books.Book(DATA_CENTRE)
+    scheduler_state.catalog = catalog
     for i in range(workers):
-        book.set_worker(f"w{i}", f"r{i // per_rack}", accelerators, True)
-        jobs.handle_message(book, f"w{i}", messages.Inventory(()), 0.0)
-    return book
+        scheduler_state.set_worker(
+            f"w{i}", f"r{i // per_rack}", accelerators, True
+        )
+        jobs.handle_message(
+            scheduler_state, f"w{i}", messages.Inventory(()), 0.0
+        )
+    return scheduler_state
--- a/crocusrouter/jobs/tests/test_backfill.py
+++ b/crocusrouter/jobs/tests/test_backfill.py
@@ -59,7 +59,7 @@
 # would never start.
 def test_large_job_is_not_starved_by_small_jobs():
     machine = machines.BookMachine()
-    machine.book.catalog = build.build_catalog(
+    machine.scheduler_state.catalog = build.build_catalog(
         build.build_template("c", weights=templates.Weights(completion=1.0))
     )
     machine.submit([("c", (1, "worker"), 6.0)] * 24)
@@ -69,6 +69,6 @@
     for _ in range(20):
         machine.submit([("c", (1, "worker"), 6.0)] * 2)
         machine.run_on(2)
-        if machine.book.jobs[large].is_final:
+        if machine.scheduler_state.jobs[large].is_final:
             break
-    assert str(machine.book.jobs[large].state) == "done"
+    assert str(machine.scheduler_state.jobs[large].state) == "done"
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -97,9 +97,9 @@
         """Start a new owner, which knows only the journal."""
         self.epoch += 1
         self.owner_lease = lease.Lease(_LEASE_S, self.now)
-        self.book = books.Book(build.DATA_CENTRE)
-        self.book.catalog = _CATALOG
-        self.book.load(self.durable_jobs.values(), self.now)
+        self.scheduler_state = books.Book(build.DATA_CENTRE)
+        self.scheduler_state.catalog = _CATALOG
+        self.scheduler_state.load(self.durable_jobs.values(), self.now)
         self.outbox = jobs.Outbox()
         self.pending = {}
         self.links = {}
@@ -107,7 +107,9 @@
             self._add_worker(name)
 
     def _add_worker(self, name):
-        self.book.set_worker(name, self.racks[name], _ACCELERATORS, True)
+        self.scheduler_state.set_worker(
+            name, self.racks[name], _ACCELERATORS, True
+        )
         self.links[name] = _Link(self.now)
         self._connect(name)
 
@@ -147,18 +149,20 @@
             job = build.build_job(self.job_number, customer, size, level)
             spec = dataclasses.replace(job.spec, run_time_s=run_time_s)
             job = dataclasses.replace(job, spec=spec)
-            outcome = self.book.submit(job, self.now)
+            outcome = self.scheduler_state.submit(job, self.now)
             if not isinstance(outcome, Refusal):
                 self._apply_effects(outcome)
 
     def cancel(self, index):
-        if self.book.jobs:
-            job_id = sorted(self.book.jobs)[index % len(self.book.jobs)]
-            self._apply_effects(self.book.cancel(job_id, self.now))
+        if self.scheduler_state.jobs:
+            job_id = sorted(self.scheduler_state.jobs)[
+                index % len(self.scheduler_state.jobs)
+            ]
+            self._apply_effects(self.scheduler_state.cancel(job_id, self.now))
 
     @stateful.rule()
     def schedule(self):
-        self._apply_effects(jobs.schedule(self.book, self.now))
+        self._apply_effects(jobs.schedule(self.scheduler_state, self.now))
 
     @stateful.rule()
     def commit(self):
@@ -247,7 +251,9 @@
             if isinstance(message, messages.Inventory):
                 link.lease = lease.Lease(_LEASE_S, self.now)
             self._apply_effects(
-                jobs.handle_message(self.book, name, message, self.now)
+                jobs.handle_message(
+                    self.scheduler_state, name, message, self.now
+                )
             )
 
     @stateful.rule(steps=strategies.sampled_from([1, 4, 16]))
@@ -263,7 +269,7 @@
                 self._send_renewal(link)
                 self._check_lease(name, link)
             self._mark_missing_workers_lost()
-            self._apply_effects(self.book.press_stops(self.now))
+            self._apply_effects(self.scheduler_state.press_stops(self.now))
             self.check_no_attempt_overlaps()
 
     def _advance_worker(self, name, worker):
@@ -277,8 +283,10 @@
 
     def _mark_missing_workers_lost(self):
         if lease.has_lapsed(self.owner_lease, self.now):
-            for name in self.book.find_missing():
-                self._apply_effects(self.book.lose_worker(name, self.now))
+            for name in self.scheduler_state.find_missing():
+                self._apply_effects(
+                    self.scheduler_state.lose_worker(name, self.now)
+                )
 
     def _send_renewal(self, link):
         if link.up and not link.renewal_in_flight:
@@ -288,13 +296,17 @@
     def _check_lease(self, name, link):
         if not lease.is_suspect(link.lease, self.now):
             return
-        if self.book.workers[name].known and link.up:
+        if self.scheduler_state.workers[name].known and link.up:
             self._cut_connection(name)
             self._connect(name)
         if lease.has_lapsed(link.lease, self.now):
-            self._apply_effects(self.book.lose_worker(name, self.now))
+            self._apply_effects(
+                self.scheduler_state.lose_worker(name, self.now)
+            )
         else:
-            self._apply_effects(self.book.suspect_worker(name, self.now))
+            self._apply_effects(
+                self.scheduler_state.suspect_worker(name, self.now)
+            )
 
     # Rules: failures.
 
@@ -341,8 +353,8 @@
         old_worker = self.workers.pop(name)
         self.old_records = [*self.old_records, *old_worker.records]
         del self.links[name]
-        self._apply_effects(self.book.lose_worker(name, self.now))
-        self.book.remove_worker(name)
+        self._apply_effects(self.scheduler_state.lose_worker(name, self.now))
+        self.scheduler_state.remove_worker(name)
         new_name = f"{name.split('-')[0]}-{len(self.replaced_at)}"
         self.racks[new_name] = self.racks[name]
         self.workers[new_name] = worker_standin.Worker(new_name, _ACCELERATORS)
@@ -377,13 +389,13 @@
                         task.report.mask.bit_count()
                     )
         for job_id, count in running_counts.items():
-            job = self.book.jobs.get(job_id)
+            job = self.scheduler_state.jobs.get(job_id)
             if job is not None:
                 assert count <= job.spec.accelerators, (job_id, running_counts)
 
     @stateful.invariant()
     def check_no_accepted_job_is_lost(self):
-        assert self.accepted_job_ids <= self.book.jobs.keys()
+        assert self.accepted_job_ids <= self.scheduler_state.jobs.keys()
 
     @stateful.invariant()
     def check_each_job_ends_once(self):
@@ -398,15 +410,15 @@
     @stateful.invariant()
     def check_guarantees_embed(self):
         """Check that all cells embed, unless a worker is missing."""
-        workers = self.book.workers.values()
+        workers = self.scheduler_state.workers.values()
         if not all(
             worker.known and not worker.stray_masks for worker in workers
         ):
             return
-        if self.book.find_missing():
+        if self.scheduler_state.find_missing():
             return
-        kept = scheduler.get_snapshot(self.book, self.now)
-        snapshot = scheduler.observe(self.book, self.now)
+        kept = scheduler.get_snapshot(self.scheduler_state, self.now)
+        snapshot = scheduler.observe(self.scheduler_state, self.now)
         assert kept.floor == snapshot.floor
         assert set(kept.loans) == set(snapshot.loans)
         result = cells.embed(snapshot.needs, snapshot.floor)
@@ -416,7 +428,7 @@
     @stateful.invariant()
     def check_attempts_hold_disjoint_accelerators(self):
         used_masks = collections.Counter()
-        for gang in self.book.gangs.values():
+        for gang in self.scheduler_state.gangs.values():
             # A new owner knows an attempt from the journal before it knows
             # whether the attempt got its accelerators.
             if gang.phase not in ("starting", "running"):
@@ -435,18 +447,22 @@
             self._exchange_messages(stalled_name=None)
             self.commit()
             self.advance(1)
-            if all(job.is_final for job in self.book.jobs.values()):
+            if all(job.is_final for job in self.scheduler_state.jobs.values()):
                 break
-        unfinished_jobs = [j for j in self.book.jobs.values() if not j.is_final]
-        explanations = [self.book.explain(job.id) for job in unfinished_jobs]
+        unfinished_jobs = [
+            j for j in self.scheduler_state.jobs.values() if not j.is_final
+        ]
+        explanations = [
+            self.scheduler_state.explain(job.id) for job in unfinished_jobs
+        ]
         assert not explanations, "\n".join(
             [
                 *(
                     f"{e.job.id} {e.phase} {e.waiting_for}"
                     for e in explanations
                 ),
-                *map(str, self.book.workers.values()),
-                *map(str, self.book.gangs.values()),
+                *map(str, self.scheduler_state.workers.values()),
+                *map(str, self.scheduler_state.gangs.values()),
                 *(f"{n} {w.tasks}" for n, w in self.workers.items()),
                 *(f"{n} {vars(link)}" for n, link in self.links.items()),
             ]
@@ -458,7 +474,10 @@
         records = [*self.old_records]
         for worker in self.workers.values():
             records += worker.records
-        sizes = {j.id: j.spec.accelerators for j in self.book.jobs.values()}
+        sizes = {
+            j.id: j.spec.accelerators
+            for j in self.scheduler_state.jobs.values()
+        }
         record_fields = [
             dataclasses.asdict(record)
             for record in records
--- a/crocusrouter/jobs/tests/test_book_scenarios.py
+++ b/crocusrouter/jobs/tests/test_book_scenarios.py
@@ -6,7 +6,7 @@
 from crocusrouter.jobs.tests import test_book_machine as machines
 
 
-def _submit_job(size=1, level="worker", run_time_s=30.0):
+def _build_machine_with_job(size=1, level="worker", run_time_s=30.0):
     machine = machines.BookMachine()
     machine.submit([("c", (size, level), run_time_s)])
     return machine
@@ -25,7 +25,7 @@
 # successor doesn't know the attempt. If the reservation had been sent already,
 # two attempts with the same number would run.
 def test_commands_are_sent_after_the_commit_only():
-    machine = _submit_job()
+    machine = _build_machine_with_job()
     machine.commit()
     machine.schedule()
     machine._exchange_messages(stalled_name=None)
@@ -38,30 +38,30 @@
 # A worker is paused for longer than its lease while a renewal waits unread. The
 # owner counts the task as lost and starts it elsewhere. If the worker applied
 # the renewal before it checked the lease, the old task would run on.
-def test_late_renewal_does_not_revive_a_lapsed_task():
-    machine = _submit_job()
+def test_late_renewal_does_not_revive_an_expired_task():
+    machine = _build_machine_with_job()
     machine.run_on(1)
     name, _ = _find_task(machine)
     machine.fail("freeze", sorted(machine.links).index(name))
     machine.run_on(60)
     busy_names = [n for n, w in machine.workers.items() if w.tasks]
-    assert machine.book.jobs["dc.1"].attempt == 2
+    assert machine.scheduler_state.jobs["dc.1"].attempt == 2
     assert len(busy_names) == 1 and busy_names != [name]
 
 
 # The connection to a live worker is cut for four leases. The worker's task runs
-# until its lease lapses, so an earlier start of the next attempt would let two
+# until its lease expires, so an earlier start of the next attempt would let two
 # attempts run at once. The oracle checks this after every half second.
 @pytest.mark.parametrize("cut_after", range(1, 14))
-def test_next_attempt_waits_until_the_lease_lapses(cut_after):
-    machine = _submit_job()
+def test_next_attempt_waits_until_the_lease_expires(cut_after):
+    machine = _build_machine_with_job()
     machine.run_on(cut_after)
     name, _ = _find_task(machine)
     machine.fail("cut-long", sorted(machine.links).index(name))
     for _ in range(40):
         machine.run_on(1)
         machine.check_no_attempt_overlaps()
-    assert machine.book.jobs["dc.1"].attempt == 2
+    assert machine.scheduler_state.jobs["dc.1"].attempt == 2
 
 
 # The stop command of a cancelled job is lost with the connection or with the
@@ -69,7 +69,7 @@
 # the task would run to its end on accelerators that count as free.
 @pytest.mark.parametrize("failure", ["cut", "kill-owner"])
 def test_task_of_a_cancelled_job_is_stopped(failure):
-    machine = _submit_job()
+    machine = _build_machine_with_job()
     machine.run_on(1)
     name, _ = _find_task(machine)
     machine.cancel(0)
@@ -82,7 +82,7 @@
 # The owner dies, and a worker of a gang is replaced before the successor takes
 # over. No event reports the loss of the worker, so the attempt would never end.
 def test_worker_lost_while_there_is_no_owner():
-    machine = _submit_job(6, "rack", 4.0)
+    machine = _build_machine_with_job(6, "rack", 4.0)
     machine.run_on(1)
     name, _ = _find_task(machine)
     new_name = f"{name}-new"
@@ -91,7 +91,7 @@
     machine.workers[new_name] = machines.worker_standin.Worker(new_name, 4)
     machine.fail("kill-owner", 0)
     machine.run_on(60)
-    job = machine.book.jobs["dc.1"]
+    job = machine.scheduler_state.jobs["dc.1"]
     assert (str(job.state), job.attempt) == ("done", 2)
 
 
@@ -103,11 +103,15 @@
     machine.run_on(2)
     machine.submit([("a", (8, "rack"), 4.0)])
     machine.run_on(4)
-    assert machine.book.gangs["dc.4"].phase == "running"
-    jobs_with_losses = [job for job in machine.book.jobs.values() if job.losses]
+    assert machine.scheduler_state.gangs["dc.4"].phase == "running"
+    jobs_with_losses = [
+        job for job in machine.scheduler_state.jobs.values() if job.losses
+    ]
     assert [job.failures for job in jobs_with_losses] == [0]
     machine.run_on(90)
-    assert {str(j.state) for j in machine.book.jobs.values()} == {"done"}
+    assert {str(j.state) for j in machine.scheduler_state.jobs.values()} == {
+        "done"
+    }
 
 
 # A claim reclaims loans whose checkpoint takes ten seconds. After 1.5 s they
@@ -121,7 +125,10 @@
     machine.run_on(2)
     machine.submit([("a", (8, "rack"), 4.0)])
     claimed_at = machine.now
-    while machine.book.jobs["dc.4"].id not in machine.book.run_started_at:
+    while (
+        machine.scheduler_state.jobs["dc.4"].id
+        not in machine.scheduler_state.run_started_at
+    ):
         machine.run_on(1)
         assert machine.now - claimed_at <= 2.8
 
@@ -139,7 +146,9 @@
     machine.check_guarantees_embed()
     machine.submit([("a", (8, "rack"), 4.0), ("a", (8, "rack"), 4.0)])
     machine.run_on(4)
-    assert {machine.book.gangs[f"dc.{n}"].phase for n in (5, 6)} == {"running"}
+    assert {machine.scheduler_state.gangs[f"dc.{n}"].phase for n in (5, 6)} == {
+        "running"
+    }
 
 
 # One worker after the other is lost right after it has started the job. Lost
@@ -151,11 +160,14 @@
 def test_job_fails_when_its_start_repeatedly_loses_the_worker(
     steps_between, state
 ):
-    machine = _submit_job(run_time_s=300.0)
+    machine = _build_machine_with_job(run_time_s=300.0)
     for _ in range(8):
         for _ in range(40):
             name, _ = _find_task(machine)
-            if name is not None or machine.book.jobs["dc.1"].is_final:
+            if (
+                name is not None
+                or machine.scheduler_state.jobs["dc.1"].is_final
+            ):
                 break
             machine.run_on(1)
         if name is None:
@@ -163,4 +175,4 @@
         machine.run_on(steps_between)
         machine.fail("replace", sorted(machine.links).index(name))
     machine.commit()
-    assert machine.book.jobs["dc.1"].state == state
+    assert machine.scheduler_state.jobs["dc.1"].state == state
--- a/crocusrouter/jobs/tests/test_quarantine.py
+++ b/crocusrouter/jobs/tests/test_quarantine.py
@@ -49,15 +49,17 @@
         machine.submit([("c", (1, "worker"), 0.5)] * 6)
         machine.run_on(6)
     machine.run_on(40)
-    jobs = machine.book.jobs.values()
+    jobs = machine.scheduler_state.jobs.values()
     assert {str(job.state) for job in jobs} == {"done"}
     failed_job_ids = [job.id for job in jobs if failing_worker in job.failed_on]
     assert len(failed_job_ids) <= 8
     assert quarantine.is_quarantined(
-        machine.book.workers[failing_worker].failure_history, machine.now
+        machine.scheduler_state.workers[failing_worker].failure_history,
+        machine.now,
     )
     assert (
-        failing_worker not in scheduler.observe(machine.book, machine.now).floor
+        failing_worker
+        not in scheduler.observe(machine.scheduler_state, machine.now).floor
     )
 
 
@@ -69,9 +71,9 @@
         worker.fault = worker_standin.Fault.FAIL_TASKS
     machine.submit([("c", (1, "worker"), 0.5)])
     machine.run_on(40)
-    job = machine.book.jobs["dc.1"]
+    job = machine.scheduler_state.jobs["dc.1"]
     assert (str(job.state), len(set(job.failed_on))) == ("failed", 3)
-    workers = machine.book.workers.values()
+    workers = machine.scheduler_state.workers.values()
     assert not any(
         quarantine.is_quarantined(worker.failure_history, machine.now)
         for worker in workers
@@ -80,10 +82,12 @@
 
 
 def test_message_of_an_unknown_worker_is_ignored():
-    book = build.build_book(build.build_catalog(build.build_template("c")))
+    scheduler_state = build.build_scheduler_state(
+        build.build_catalog(build.build_template("c"))
+    )
     from crocusrouter.fleet import messages
 
     effects = handlers.handle_message(
-        book, "nobody", messages.Reserved("dc.1", 1), 0.0
+        scheduler_state, "nobody", messages.Reserved("dc.1", 1), 0.0
     )
     assert not effects.commands
