--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -6,10 +6,10 @@
 one rack or one data centre; these are the topology units.
 
 A guarantee holds as long as all cells embed together. The unclaimed part of a
-cell must fit in free or lent accelerators, in the same unit as its claimed
-part. Without this condition, the rest of the rack of a partly claimed cell
-could be given to another claim, and the whole cell would have no place once
-the first claim ends.
+cell must fit in free or reclaimable accelerators, in the same unit as its
+claimed part. Without this condition, the rest of the rack of a partly claimed
+cell could be given to another claim, and the whole cell would have no place
+once the first claim ends.
 
 References:
     H. Zhao et al., "HiveD: Sharing a GPU Cluster for Deep Learning with
@@ -40,7 +40,7 @@
         worker: The worker's name.
         rack: The rack of the worker.
         free_mask: Accelerators that nobody uses.
-        lent: Accelerators used beyond a guarantee, which can be reclaimed.
+        lent: Accelerators used beyond a guarantee; a claim can take them back.
     """
 
     worker: str
@@ -50,7 +50,7 @@
 
     @property
     def usable_mask(self) -> int:
-        """Accelerators that a guarantee can count on: free or lent."""
+        """Accelerators that a guarantee can count on: free or reclaimable."""
         return self.free_mask | self.lent
 
 
@@ -69,7 +69,7 @@
         level: Kind of unit that must hold the whole cell.
         accelerators: Size of the whole cell.
         index: Index of the cell among the customer's cells.
-        pinned: Claimed part of the cell; in use, so neither free nor lent.
+        pinned: Claimed part of the cell; it is in use and not reclaimable.
     """
 
     customer: str
@@ -114,7 +114,7 @@
 def embed(
     demands: Iterable[Need], capacities: Floor
 ) -> Embedding | EmbeddingFailure:
-    """Find disjoint allocations for all cells in free or lent accelerators.
+    """Find disjoint allocations for all cells in usable accelerators.
 
     Cells of narrow levels and large cells are placed first. Each cell takes
     the tightest unit that holds it, so that whole units stay available. If a
@@ -162,10 +162,10 @@
     remaining = dict(capacities)
     for allocation in allocations:
         for member in allocation:
-            name, rack, free_mask, lent_mask = remaining[member.worker]
+            name, rack, free_mask, reclaimable_mask = remaining[member.worker]
             keep = ~member.mask
             remaining[name] = WorkerCapacity(
-                name, rack, free_mask & keep, lent_mask & keep
+                name, rack, free_mask & keep, reclaimable_mask & keep
             )
     return remaining
 
@@ -277,7 +277,7 @@
 
 
 def count_usable(unit: Sequence[WorkerCapacity]) -> int:
-    """Count the free and lent accelerators of a unit."""
+    """Count the free and reclaimable accelerators of a unit."""
     return sum(capacity.usable_mask.bit_count() for capacity in unit)
 
 
@@ -318,7 +318,7 @@
 
     Workers that are used completely come first, the largest first. The rest
     comes from the worker with the tightest fit. Free accelerators are used
-    before lent ones.
+    before reclaimable ones.
 
     >>> small_worker = WorkerCapacity("w1", "r", 0b11)
     >>> large_worker = WorkerCapacity("w2", "r", 0b1111)
@@ -369,7 +369,7 @@
 def select_accelerators(capacity: WorkerCapacity, size: int) -> int:
     """Return a mask of at most `size` accelerators, free ones first.
 
-    >>> capacity = WorkerCapacity("w", "r", free_mask=0b0100, lent=0b0011)
+    >>> capacity = WorkerCapacity("w", "r", 0b0100, 0b0011)
     >>> bin(select_accelerators(capacity, 2))
     '0b101'
     """
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -1,8 +1,8 @@
 """Placement: chooses where a job starts, or says why it has to wait.
 
 `place_job` is a pure function. It keeps one invariant: after every decision
-the unclaimed parts of all cells embed together in free or lent accelerators.
-A guaranteed shape can therefore always be reclaimed.
+the unclaimed parts of all cells embed together in free or reclaimable
+accelerators. A guaranteed shape can therefore always be reclaimed.
 """
 
 from collections.abc import Iterable
@@ -70,7 +70,7 @@
     """The state of a data centre on which a placement depends.
 
     Attributes:
-        capacities: Free and lent accelerators of each worker.
+        capacities: Free and reclaimable accelerators of each worker.
         demands: Every guaranteed cell, with its claimed part.
         bindings: The allocation to which each cell is bound.
         loans: Allocations of jobs that run beyond a guarantee.
@@ -135,7 +135,7 @@
 
     A loan inside a binding would have to stop when the cell is claimed.
     """
-    free_capacities = _exclude_lent(context.capacities)
+    free_capacities = _exclude_reclaimable(context.capacities)
     unbound_capacities = cell_bindings.subtract_unclaimed(
         free_capacities, context.demands, context.bindings
     )
@@ -181,7 +181,9 @@
     request: PlacementRequest, context: PlacementContext, demand: cells.Need
 ) -> Placed | None:
     """Claim free accelerators to which the cell is bound."""
-    unit = _list_unclaimed_capacities(context, demand, include_lent=False)
+    unit = _list_unclaimed_capacities(
+        context, demand, include_reclaimable=False
+    )
     if cells.count_free(unit) < request.accelerators:
         return None
     allocation = cells.fill_unit(unit, request.accelerators)
@@ -194,7 +196,7 @@
     """Bind an unclaimed cell to a free place outside all bindings."""
     if demand.pinned:
         return None
-    free_capacities = _exclude_lent(context.capacities)
+    free_capacities = _exclude_reclaimable(context.capacities)
     unbound_capacities = cell_bindings.subtract_unclaimed(
         free_capacities, context.demands, context.bindings
     )
@@ -230,7 +232,7 @@
     request: PlacementRequest, context: PlacementContext, demand: cells.Need
 ) -> Placed | None:
     """Claim accelerators of the cell's binding and reclaim loans on them."""
-    unit = _list_unclaimed_capacities(context, demand, include_lent=True)
+    unit = _list_unclaimed_capacities(context, demand, include_reclaimable=True)
     if cells.count_usable(unit) < request.accelerators:
         return None
     allocation = cells.fill_unit(unit, request.accelerators)
@@ -257,7 +259,9 @@
         demand = demands_by_index[index]
         if cell_bindings.get_cell_key(demand) not in context.bindings:
             return _report_unbound_cell(request)
-        unit = _list_unclaimed_capacities(context, demand, include_lent=True)
+        unit = _list_unclaimed_capacities(
+            context, demand, include_reclaimable=True
+        )
         new_claims.append(model.CellClaim(index, cells.fill_unit(unit, size)))
     allocation = cell_bindings.merge_allocations(
         [claim.spot for claim in new_claims]
@@ -275,14 +279,14 @@
 
 
 def _list_unclaimed_capacities(
-    context: PlacementContext, demand: cells.Need, *, include_lent: bool
+    context: PlacementContext, demand: cells.Need, *, include_reclaimable: bool
 ) -> list[cells.WorkerCapacity]:
     """Return the capacity of the unclaimed part of a cell's binding."""
     binding = context.bindings[cell_bindings.get_cell_key(demand)]
     capacities = (
         context.capacities
-        if include_lent
-        else _exclude_lent(context.capacities)
+        if include_reclaimable
+        else _exclude_reclaimable(context.capacities)
     )
     return _restrict_to_allocation(
         cell_bindings.find_unclaimed_part(demand, binding), capacities
@@ -319,7 +323,7 @@
     )
 
 
-def _exclude_lent(capacities: cells.Floor) -> cells.Floor:
+def _exclude_reclaimable(capacities: cells.Floor) -> cells.Floor:
     """Return the capacities with their free accelerators only."""
     return {
         name: cells.WorkerCapacity(name, capacity.rack, capacity.free_mask)
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -204,8 +204,9 @@
 ) -> cells.Floor:
     """Return the capacities of the workers that can be used now.
 
-    Accelerators that only ending attempts hold count as lent: a claim may take
-    them at once, and its reservation waits until these attempts have ended.
+    Accelerators that only ending attempts hold count as reclaimable: a claim
+    may take them at once, and its reservation waits until these attempts have
+    ended.
     """
     active_masks: dict[str, int] = collections.defaultdict(int)
     ending_masks: dict[str, int] = collections.defaultdict(int)
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -166,10 +166,10 @@
 
     @stateful.rule()
     def commit(self):
-        committed_jobs, self.pending = self.pending, {}
-        self.durable_jobs |= committed_jobs
-        self.accepted_job_ids |= committed_jobs.keys()
-        for job_id in committed_jobs:
+        changed, self.pending = self.pending, {}
+        self.durable_jobs |= changed
+        self.accepted_job_ids |= changed.keys()
+        for job_id in changed:
             for command in self.outbox.release(job_id):
                 self._send(command)
 
--- a/crocusrouter/jobs/tests/test_cells.py
+++ b/crocusrouter/jobs/tests/test_cells.py
@@ -111,7 +111,7 @@
         assert not exists
 
 
-def test_free_accelerators_are_used_before_lent_accelerators():
+def test_free_accelerators_are_used_before_reclaimable_ones():
     capacities = build.build_capacities(0x0F, 0xFF)
     capacities["w0"] = cells.WorkerCapacity("w0", "r0", free_mask=0, lent=0xFF)
     allocation = cells.find_allocation(_build_demand("worker", 8), capacities)
