--- a/crocusrouter/jobs/cell_bindings.py
+++ b/crocusrouter/jobs/cell_bindings.py
@@ -85,7 +85,7 @@
     """Return the accelerators of a binding that are not claimed.
 
     >>> claimed = (model.Member("w", 0b01),)
-    >>> demand = cells.Need("a", cells.Level.RACK, 2, pinned=claimed)
+    >>> demand = cells.Need("a", cells.Level.RACK, 2, 0, claimed)
     >>> find_unclaimed_part(demand, (model.Member("w", 0b11),))
     (Member(worker='w', mask=2),)
     """
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -40,7 +40,8 @@
         worker: The worker's name.
         rack: The rack of the worker.
         free_mask: Accelerators that nobody uses.
-        lent: Accelerators used beyond a guarantee; a claim can take them back.
+        lent: Accelerators used beyond a guarantee; claims can
+            take them back.
     """
 
     worker: str
@@ -69,7 +70,7 @@
         level: Kind of unit that must hold the whole cell.
         accelerators: Size of the whole cell.
         index: Index of the cell among the customer's cells.
-        pinned: Claimed part of the cell; it is in use and not reclaimable.
+        pinned: Claimed part of the cell, which is not reclaimable.
     """
 
     customer: str
