--- a/crocusrouter/mesh/__init__.py
+++ b/crocusrouter/mesh/__init__.py
@@ -1,4 +1,4 @@
-"""Entries among themselves: calls, heartbeats and membership."""
+"""Communication between entries: calls, heartbeats and failure suspicion."""
 
 from crocusrouter.mesh.link import PeerLink
 from crocusrouter.mesh.link import PeerUnreachableError
--- a/crocusrouter/mesh/membership.py
+++ b/crocusrouter/mesh/membership.py
@@ -1,4 +1,4 @@
-"""Which entries are alive, as one entry sees it."""
+"""Tracks from heartbeats which other entries are alive."""
 
 import dataclasses
 
@@ -14,8 +14,9 @@
     Attributes:
         name: Its name in the VM list.
         address: "IP:port" of its mesh listener.
-        heard_at: When it last answered, on our own clock; None if never.
-        heartbeat: What it said then.
+        heard_at: When its last heartbeat arrived, on our own clock; None if
+            never.
+        heartbeat: Its last heartbeat.
     """
 
     name: str
@@ -27,41 +28,42 @@
 Peers = dict[str, Peer]
 
 
-def update_peers(peers: Peers, listed: dict[str, str]) -> Peers:
-    """Bring the peers in line with the VM list.
+def update_peers(peers: Peers, addresses: dict[str, str]) -> Peers:
+    """Return the peers that the VM list names, with what is known of them.
 
     >>> update_peers({"a": Peer("a", "1.1.1.1:1")}, {"b": "1.1.1.1:2"})
     {'b': Peer(name='b', address='1.1.1.1:2', heard_at=None, heartbeat=None)}
 
     Args:
-        peers: The peers so far.
-        listed: Mesh addresses of the other entries by name.
+        peers: The current peers.
+        addresses: Mesh addresses of the other entries by name.
     """
-    updated = {}
-    for name, address in listed.items():
-        held = peers.get(name)
-        if held is None or held.address != address:
-            held = Peer(name, address)
-        updated[name] = held
-    return updated
+    updated_peers = {}
+    for name, address in addresses.items():
+        peer = peers.get(name)
+        if peer is None or peer.address != address:
+            peer = Peer(name, address)
+        updated_peers[name] = peer
+    return updated_peers
 
 
 def note_heartbeat(
     peers: Peers, heartbeat: messages.Heartbeat, now: float
 ) -> Peers:
-    """Note that a peer was heard."""
-    held = peers.get(heartbeat.name)
-    if held is None:
+    """Return the peers with a heartbeat recorded, if its sender is a peer."""
+    peer = peers.get(heartbeat.name)
+    if peer is None:
         return peers
-    heard = dataclasses.replace(held, heard_at=now, heartbeat=heartbeat)
-    return peers | {held.name: heard}
+    updated_peer = dataclasses.replace(peer, heard_at=now, heartbeat=heartbeat)
+    return peers | {peer.name: updated_peer}
 
 
 def is_suspected(peer: Peer, interval_s: float, now: float) -> bool:
     """Tell whether a peer has been silent for several heartbeats.
 
-    One lost heartbeat is no news; a suspected peer is only asked less, never
-    declared dead, so a wrong suspicion costs a detour and no safety.
+    A single lost heartbeat is no reason for suspicion. A suspected peer is
+    asked less often but never declared dead, so a wrong suspicion costs a
+    detour at worst and makes no decision unsafe.
 
     >>> is_suspected(Peer("a", "1.1.1.1:1", heard_at=0.0), 1.0, now=2.9)
     False
--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -1,4 +1,8 @@
-"""Messages between entries."""
+"""Messages between entries.
+
+`Heartbeat` up to `AnswerReply` are exchanged by entries of `controllers`, the
+others by entries of `pools`.
+"""
 
 import dataclasses
 
@@ -7,13 +11,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Heartbeat:
-    """Tells a peer that the sender lives, and what it knows.
+    """Tells a peer that the sender is alive, and the sender's state.
 
     Attributes:
-        name: The sender.
+        name: The sender's name.
         revision: Catalog revision in force at the sender.
-        ready: Whether the sender takes work.
-        owned: Data centres that it owns, each with its epoch.
+        ready: Whether the sender accepts jobs and requests.
+        owned: Data centres that the sender owns, each with its epoch.
     """
 
     name: str
@@ -36,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SubmitJob:
-    """Hands a job to the owner of its data centre."""
+    """Submits a packed job to the owner of its data centre."""
 
     job: bytes
 
@@ -51,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class FindJob:
-    """Asks the owner what it knows of a customer's job."""
+    """Asks the owner for the state of a customer's job."""
 
     customer: str
     job_id: str
@@ -67,7 +71,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobView:
-    """A job as shown to its customer."""
+    """A job as shown to its customer.
+
+    Attributes:
+        job: The packed job.
+        phase: Phase of the job's gang; empty if there is none.
+        waiting_for: Why the job waits; empty if it doesn't.
+        events: What happened to the job, each with its Unix time.
+    """
 
     job: bytes
     phase: str
@@ -77,14 +88,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobViews:
-    """Several jobs."""
+    """Answers `ListJobs`."""
 
     jobs: tuple[JobView, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class RefusalReply:
-    """The peer refuses."""
+    """Answers a call that the peer refuses."""
 
     reason: str
     detail: str
@@ -93,20 +104,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class AskAnswer:
-    """Asks for the answer that the peer gave under a claim."""
+    """Asks for the answer to the request whose claim the peer holds."""
 
     claim: str
 
 
 @dataclasses.dataclass(frozen=True)
 class AnswerReply:
-    """What the peer remembers of a claim.
+    """What the peer remembers of a claimed request.
 
     Attributes:
         state: "done", "running", "not-run" or "unknown".
-        status: HTTP status of the endpoint's answer if done.
-        body: Its body.
-        content_type: Its media type.
+        status: HTTP status of the endpoint's answer; 0 unless done.
+        body: The answer's body.
+        content_type: The answer's media type.
     """
 
     state: str
@@ -117,17 +128,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Beat:
-    """Tells a peer what the sender knows of the pools' configuration.
+    """The heartbeat of the pools: configuration, owners and store access.
 
     Attributes:
-        name: The sender.
+        name: The sender's name.
         version: Version of the configuration in force at the sender.
-        vouched_age_s: Seconds since the key-value service or a peer said
-            that this is the newest one; None if never.
+        vouched_age_s: Seconds since the key-value service or a peer confirmed
+            that this version is the newest; None if never.
         owners: Pool, epoch and owner's name, as the sender knows them.
-        is_served: Whether the key-value service serves the sender.
+        is_served: Whether the key-value service answers the sender's calls.
         last_event: Revision of the latest change of members or owners that
-            the sender has heard of.
+            the sender has seen.
     """
 
     name: str
@@ -145,7 +156,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigReply:
-    """The configuration as the operators wrote it; empty if none."""
+    """The configuration document of the operators; empty if there is none."""
 
     document: bytes
 
@@ -160,14 +171,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StateReply:
-    """A job's state; None if the sender does not know the job."""
+    """A job's state; None if the answering entry does not know the job."""
 
     state: str | None
 
 
 @dataclasses.dataclass(frozen=True)
 class CountPending:
-    """Asks a pool's owner how many jobs of a queue have not begun."""
+    """Asks a pool's owner how many jobs of a queue have not started."""
 
     pool: str
     queue: str
@@ -175,26 +186,29 @@
 
 @dataclasses.dataclass(frozen=True)
 class PendingReply:
-    """The number; None if the sender is not the owner."""
+    """The number of jobs; None if the answering entry is not the owner."""
 
     count: int | None
 
 
 @dataclasses.dataclass(frozen=True)
 class RelayRead:
-    """Asks a peer to read a key for an entry that the store turns away."""
+    """Asks a peer to read a key that the sender can't read itself.
+
+    The key-value service may refuse calls of one entry and answer others.
+    """
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True)
 class RelayRecord:
-    """What the peer read.
+    """The record that a peer read for the sender of `RelayRead`.
 
     Attributes:
-        known: Whether the store answered the peer.
+        known: Whether the key-value service answered the peer.
         value: The record's body.
-        revision: Its revision; 0 if there is no such key.
+        revision: The record's revision; 0 if the key doesn't exist.
     """
 
     known: bool
@@ -204,11 +218,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class RelayWrite:
-    """Asks a peer to write a key whose revision is as given.
+    """Asks a peer to write a key by compare-and-swap.
 
     Attributes:
         key: The key.
-        revision: Its present revision; 0 if it must not exist.
+        revision: The revision that the key must have; 0 if it must not exist.
         value: The new body.
     """
 
@@ -219,12 +233,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class RelayOutcome:
-    """How the peer's write went.
+    """The outcome of a peer's write for the sender of `RelayWrite`.
 
     Attributes:
         outcome: "written", "mismatched", "not-written" or "unknown".
-        revision: The new revision, or the present one after a mismatch.
-        value: The present body after a mismatch.
+        revision: The new revision, or the current one after a mismatch.
+        value: The current body after a mismatch.
     """
 
     outcome: str
