--- a/crocusrouter/controllers/__init__.py
+++ b/crocusrouter/controllers/__init__.py
@@ -1,7 +1,11 @@
-"""Controllers: loops that keep shared state in line."""
+"""Controllers of a `serve` entry: the loops that keep its state up to date.
+
+They watch the configuration, read the VM list, exchange heartbeats with the
+other entries, and acquire and run the ownership of data centres.
+"""
 
 from crocusrouter.controllers.configuration import Configuration
-from crocusrouter.controllers.edits import Edited
+from crocusrouter.controllers.edits import AppliedEdit
 from crocusrouter.controllers.edits import apply_edit
 from crocusrouter.controllers.edits import check_edit
 from crocusrouter.controllers.edits import list_versions
@@ -10,7 +14,7 @@
 
 __all__ = [
     "Configuration",
-    "Edited",
+    "AppliedEdit",
     "Entry",
     "apply_edit",
     "check_edit",
--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -1,8 +1,9 @@
-"""The configuration in force, and who owns which data centre.
+"""The catalog in force and the owners of data centres, as watched in the store.
 
-One watch on the control keys carries both. A revision only rises: an older
-catalog, as a store that was repaired from a backup would serve, is refused,
-counted and logged, and the newer one stays in force.
+One watch on the control keys delivers both. The revision in force never
+decreases: a key-value service that was restored from a backup may serve an
+older catalog. The entry then counts and logs the older revision, and the newer
+one stays in force.
 """
 
 from collections.abc import Callable
@@ -19,17 +20,17 @@
 from crocusrouter.templates import InvalidTemplateError
 from crocusrouter.templates import parse_catalog
 
-_LONGEST_PAUSE_S = 1.0
+_MAX_RETRY_DELAY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class OwnerRecord:
-    """Who decides on a data centre.
+    """Which entry owns a data centre, as the key-value service stores it.
 
     Attributes:
-        owner: Name of the entry; empty once it was released.
-        epoch: Rises with each takeover and fences earlier owners.
-        renewals: Rises with each renewal, so that a change can be seen.
+        owner: Name of the entry; empty if it released the data centre.
+        epoch: Incremented by each takeover; it fences earlier owners.
+        renewals: Incremented by each renewal, so that watches see a change.
     """
 
     owner: str
@@ -38,12 +39,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Observation:
-    """An ownership record and when it was first seen like this.
+class OwnerObservation:
+    """An owner record, and when this process first saw this version of it.
 
     Attributes:
-        record: The raw record, which a takeover must replace.
-        owner: What it says.
+        record: The stored record, which a takeover must replace.
+        owner: The decoded record.
         seen_at: Seconds on our own clock.
     """
 
@@ -53,30 +54,45 @@
 
 
 class Configuration:
-    """The catalog and the owners, as this entry knows them."""
+    """The catalog and the owners, as this entry knows them.
+
+    Attributes:
+        catalog: The catalog in force.
+        catalog_record: The stored record of the latest catalog read.
+        is_vouched: Whether the key-value service or a ready peer has told
+            this entry the catalog in force.
+        alarm: What is wrong with the stored catalog; empty if nothing is.
+        owners: The observed owner records, by data centre.
+        listeners: Called after each change of the catalog.
+    """
 
     def __init__(self, prefix: str, metrics: Metrics) -> None:
         """Start with nothing in force.
 
         Args:
             prefix: Prefix of all keys, ending in "/".
-            metrics: Counts what is refused.
+            metrics: Counts catalogs and records that are out of date.
         """
         self.control_prefix = f"{prefix}control/"
         self.catalog_key = f"{self.control_prefix}catalog"
         self.owners_prefix = f"{self.control_prefix}owners/"
-        # Outside the watched prefix: nobody needs old versions at once.
+        # Outside the watched prefix, since no entry needs to be told of old
+        # versions.
         self.history_prefix = f"{prefix}history/"
         self.catalog = Catalog()
         self.catalog_record: store.Record | None = None
         self.is_vouched = False
         self.alarm = ""
-        self.owners: dict[str, Observation] = {}
+        self.owners: dict[str, OwnerObservation] = {}
         self.listeners: list[Callable[[], None]] = []
         self._metrics = metrics
 
-    def take_catalog(self, catalog: Catalog) -> bool:
-        """Put a catalog in force unless it is older than the present one."""
+    def adopt_catalog(self, catalog: Catalog) -> bool:
+        """Put a catalog in force unless it is older than the current one.
+
+        Returns:
+            False if the catalog is older, else True.
+        """
         if catalog.revision < self.catalog.revision:
             self._metrics.count_event("older-revision-refused")
             self.alarm = (
@@ -95,25 +111,25 @@
                 listener()
         return True
 
-    def take_snapshot(self, snapshot: store.Snapshot, now: float) -> None:
-        """Take all control records as read at once."""
+    def apply_snapshot(self, snapshot: store.Snapshot, now: float) -> None:
+        """Apply all control records, as read in one snapshot."""
         for record in snapshot.records:
-            self.take_record(record, now)
-        # An absent catalog is vouched for as well: the store was asked.
+            self.apply_record(record, now)
+        # A missing catalog is confirmed as well, since the store was read.
         self.is_vouched = True
 
-    def take_record(self, record: store.Record, now: float) -> None:
-        """Take one control record, as read or watched."""
+    def apply_record(self, record: store.Record, now: float) -> None:
+        """Apply one control record that was read or watched."""
         if record.key == self.catalog_key:
-            self._take_catalog_record(record)
+            self._apply_catalog_record(record)
         elif record.key.startswith(self.owners_prefix):
-            self._take_owner(record, now)
+            self._apply_owner_record(record, now)
 
-    def _take_catalog_record(self, record: store.Record) -> None:
-        held = self.catalog_record
-        if held is not None and record.revision < held.revision:
-            # A late event of a watch, or a store that went back; the catalog
-            # itself tells which.
+    def _apply_catalog_record(self, record: store.Record) -> None:
+        current = self.catalog_record
+        if current is not None and record.revision < current.revision:
+            # This is a delayed watch event, or the store was restored from a
+            # backup. The catalog's own revision tells which.
             self._metrics.count_event("older-record-seen")
         try:
             catalog = parse_catalog(record.value)
@@ -121,60 +137,64 @@
             self.alarm = f"the catalog in the store is damaged: {error}"
             log("configuration:damaged", alarm=self.alarm)
             return
-        if self.take_catalog(catalog):
+        if self.adopt_catalog(catalog):
             self.catalog_record = record
 
-    def _take_owner(self, record: store.Record, now: float) -> None:
+    def _apply_owner_record(self, record: store.Record, now: float) -> None:
+        """Apply an owner record, unless a version as recent is known."""
         data_centre = record.key.removeprefix(self.owners_prefix)
-        held = self.owners.get(data_centre)
-        if held is not None and record.revision <= held.record.revision:
+        observation = self.owners.get(data_centre)
+        if (
+            observation is not None
+            and record.revision <= observation.record.revision
+        ):
             return
-        owner = codec.unpack(OwnerRecord, record.value)
-        self.owners[data_centre] = Observation(record, owner, now)
+        owner_record = codec.unpack(OwnerRecord, record.value)
+        self.owners[data_centre] = OwnerObservation(record, owner_record, now)
 
     def find_owner(self, data_centre: str) -> str:
-        """Return the owner's name, or "" if none is known."""
-        held = self.owners.get(data_centre)
-        return held.owner.owner if held is not None else ""
+        """Return the name of the owning entry, or "" if none is known."""
+        observation = self.owners.get(data_centre)
+        return observation.owner.owner if observation is not None else ""
 
 
 async def watch_configuration(
     configuration: Configuration,
-    client: store.StoreClient,
+    store_client: store.StoreClient,
     silence_limit_s: float,
     rng: random.Random,
 ) -> None:
-    """Follow the control keys until cancelled.
+    """Keep a configuration up to date from a watch until cancelled.
 
-    After a broken or silent watch everything is read again, so that no
-    change is missed. The pause before that is random: when the service comes
-    back, entries don't all read at once.
+    When a watch breaks or goes silent, all control keys are read again, so
+    that no change is missed. The delay before that is random, so that the
+    entries don't all read at the same time when the service recovers.
 
     Args:
-        configuration: What to keep up to date.
-        client: The key-value service.
-        silence_limit_s: How long a watch may say nothing.
-        rng: Source of randomness.
+        configuration: The configuration to keep up to date.
+        store_client: Client of the key-value service.
+        silence_limit_s: Seconds without an event after which a watch ends.
+        rng: Source of the random delays.
     """
     prefix = configuration.control_prefix
     while True:
         try:
-            snapshot = await client.read_prefix(prefix)
-            configuration.take_snapshot(snapshot, trio.current_time())
-            async for events in client.watch(
+            snapshot = await store_client.read_prefix(prefix)
+            configuration.apply_snapshot(snapshot, trio.current_time())
+            async for events in store_client.watch(
                 prefix, snapshot.revision + 1, silence_limit_s=silence_limit_s
             ):
-                _take_events(configuration, events, trio.current_time())
+                _apply_events(configuration, events, trio.current_time())
         except store.StoreUnavailableError as error:
             log("configuration:watch-lost", error=str(error))
         except ValueError as error:
             log("configuration:damaged-record", error=str(error))
-        await trio.sleep(rng.uniform(0.0, _LONGEST_PAUSE_S))
+        await trio.sleep(rng.uniform(0.0, _MAX_RETRY_DELAY_S))
 
 
-def _take_events(
+def _apply_events(
     configuration: Configuration, events: tuple[store.Event, ...], now: float
 ) -> None:
     for event in events:
         if isinstance(event, store.Changed):
-            configuration.take_record(event.record, now)
+            configuration.apply_record(event.record, now)
--- a/crocusrouter/controllers/edits.py
+++ b/crocusrouter/controllers/edits.py
@@ -1,4 +1,4 @@
-"""Edits of templates by operators."""
+"""Changes of customers' templates by operators: checks, writes, history."""
 
 import dataclasses
 
@@ -19,17 +19,17 @@
 from crocusrouter.templates import parse_version
 from crocusrouter.templates import replace_template
 
-_TRIES = 5
-_RETRY_S = 1.0
+_MAX_ATTEMPTS = 5
+_RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Edited:
-    """The edit is in the store.
+class AppliedEdit:
+    """An edit that the key-value service has stored.
 
     Attributes:
-        revision: Catalog revision that holds it.
-        catalog: The catalog after it.
+        revision: Catalog revision that contains the edit.
+        catalog: The catalog after the edit.
     """
 
     revision: int
@@ -40,22 +40,22 @@
     catalog: Catalog,
     template: Template,
     expected_revision: int | None,
-    machines: fleet.Fleet,
+    current_fleet: fleet.Fleet,
 ) -> Refusal | None:
-    """Tell what speaks against an edit, or None.
+    """Return the reason to refuse an edit, or None if it is valid.
 
     Args:
         catalog: The catalog that the edit would change.
         template: The new template.
         expected_revision: Revision of the customer's template that the
-            operator read; 0 if there was none; None to edit regardless.
-        machines: The fleet in which all guarantees must embed.
+            operator read; 0 if there was none; None to skip this check.
+        current_fleet: The fleet in which all guarantees must fit together.
     """
-    current = catalog.revision_of(template.customer)
-    if expected_revision is not None and expected_revision != current:
-        return _describe_conflict(catalog, template, expected_revision)
+    current_revision = catalog.revision_of(template.customer)
+    if expected_revision is not None and expected_revision != current_revision:
+        return _build_conflict_refusal(catalog, template, expected_revision)
     misfit = jobs.check_guarantees(
-        replace_template(catalog, template), machines
+        replace_template(catalog, template), current_fleet
     )
     if misfit is not None:
         return Refusal(RefusalReason.GUARANTEES_DO_NOT_FIT, str(misfit))
@@ -64,90 +64,110 @@
 
 async def apply_edit(
     configuration: configurations.Configuration,
-    client: store.StoreClient,
+    store_client: store.StoreClient,
     template: Template,
     expected_revision: int | None,
-    machines: fleet.Fleet,
+    current_fleet: fleet.Fleet,
     now: float,
-) -> Edited | Refusal:
+) -> AppliedEdit | Refusal:
     """Write a template by compare-and-swap on the whole catalog.
 
-    The catalog is read afresh, so that an entry which lags behind can't
-    replace what it has not seen. An edit of another customer that comes
-    between is no conflict: the edit is checked again on top of it.
+    The catalog is read again from the key-value service, so that an entry
+    whose watch lags behind can't overwrite changes that it has not seen. If
+    another edit was stored in the meantime, this edit is checked again against
+    the new catalog. A change of another customer's template is no conflict.
+
+    Args:
+        configuration: Gives the keys and the catalog in force.
+        store_client: Client of the key-value service.
+        template: The new template.
+        expected_revision: As in `check_edit`.
+        current_fleet: As in `check_edit`.
+        now: Unix time of the edit.
     """
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         try:
-            record = await client.read(configuration.catalog_key)
+            record = await store_client.read(configuration.catalog_key)
         except store.StoreUnavailableError as error:
             return Refusal(
-                RefusalReason.STORE_UNAVAILABLE, str(error), _RETRY_S
+                RefusalReason.STORE_UNAVAILABLE, str(error), _RETRY_AFTER_S
             )
         catalog = parse_catalog(record.value) if record else Catalog()
         if catalog.revision < configuration.catalog.revision:
-            # The store has gone back. Edit what is in force, so that what it
-            # lost is written again and no revision is used twice.
+            # The store lost recent writes, for example when it was restored
+            # from a backup. Base the edit on the catalog in force, so that
+            # the lost edits are written again and no revision is used twice.
             catalog = configuration.catalog
-        refusal = check_edit(catalog, template, expected_revision, machines)
+        refusal = check_edit(
+            catalog, template, expected_revision, current_fleet
+        )
         if refusal is not None:
             return refusal
-        version = await _keep_version(
-            configuration, client, catalog, template, now
+        version_name = await _store_version(
+            configuration, store_client, catalog, template, now
         )
-        if isinstance(version, Refusal):
-            return version
-        after = replace_template(catalog, template, version)
-        outcome = await client.swap(
-            configuration.catalog_key, record, dump_catalog(after)
+        if isinstance(version_name, Refusal):
+            return version_name
+        new_catalog = replace_template(catalog, template, version_name)
+        outcome = await store_client.swap(
+            configuration.catalog_key, record, dump_catalog(new_catalog)
         )
         if isinstance(outcome, store.Committed):
-            configuration.take_catalog(after)
-            return Edited(after.revision, after)
+            configuration.adopt_catalog(new_catalog)
+            return AppliedEdit(new_catalog.revision, new_catalog)
         if isinstance(outcome, store.Superseded):
-            return Edited(after.revision, after)
+            return AppliedEdit(new_catalog.revision, new_catalog)
         if isinstance(outcome, store.Unavailable):
-            return _refuse_unavailable(outcome)
+            return _build_unavailable_refusal(outcome)
     return Refusal(
-        RefusalReason.REVISION_CONFLICT, "many edits at once", _RETRY_S
+        RefusalReason.REVISION_CONFLICT,
+        "too many concurrent edits",
+        _RETRY_AFTER_S,
     )
 
 
-async def _keep_version(
+async def _store_version(
     configuration: configurations.Configuration,
-    client: store.StoreClient,
+    store_client: store.StoreClient,
     catalog: Catalog,
     template: Template,
     now: float,
 ) -> str | Refusal:
-    """Write the record of a version before the catalog that names it."""
-    held = catalog.templates.get(template.customer)
-    previous = held.version if held is not None else ""
-    version = Version(catalog.revision + 1, now, previous, template)
+    """Store a new version, before the catalog that refers to it.
+
+    Returns:
+        The version's name, or a refusal if the service is unavailable.
+    """
+    versioned = catalog.templates.get(template.customer)
+    previous_name = versioned.version if versioned is not None else ""
+    version = Version(catalog.revision + 1, now, previous_name, template)
     name = name_version(version)
-    outcome = await client.swap(
+    outcome = await store_client.swap(
         configuration.history_prefix + name, None, dump_version(version)
     )
     if isinstance(outcome, store.Unavailable):
-        return Refusal(RefusalReason.STORE_UNAVAILABLE, outcome.cause, _RETRY_S)
+        return Refusal(
+            RefusalReason.STORE_UNAVAILABLE, outcome.cause, _RETRY_AFTER_S
+        )
     return name
 
 
 async def list_versions(
     configuration: configurations.Configuration,
-    client: store.StoreClient,
+    store_client: store.StoreClient,
     customer: str,
     limit: int,
 ) -> list[Version]:
-    """Return a template's versions, the one in force first.
+    """Return a template's versions, starting with the one in force.
 
     Raises:
         StoreUnavailableError: The key-value service gave no answer.
     """
-    held = configuration.catalog.templates.get(customer)
-    name = held.version if held is not None else ""
+    versioned = configuration.catalog.templates.get(customer)
+    name = versioned.version if versioned is not None else ""
     versions: list[Version] = []
     while name and len(versions) < limit:
-        record = await client.read(configuration.history_prefix + name)
+        record = await store_client.read(configuration.history_prefix + name)
         if record is None:
             break
         versions.append(parse_version(record.value))
@@ -155,21 +175,28 @@
     return versions
 
 
-def _refuse_unavailable(outcome: store.Unavailable) -> Refusal:
+def _build_unavailable_refusal(outcome: store.Unavailable) -> Refusal:
     if outcome.maybe_written:
         detail = f"{outcome.cause}; read the template to see if it changed"
-        return Refusal(RefusalReason.COMMIT_UNKNOWN, detail, _RETRY_S)
-    return Refusal(RefusalReason.STORE_UNAVAILABLE, outcome.cause, _RETRY_S)
+        return Refusal(RefusalReason.COMMIT_UNKNOWN, detail, _RETRY_AFTER_S)
+    return Refusal(
+        RefusalReason.STORE_UNAVAILABLE, outcome.cause, _RETRY_AFTER_S
+    )
 
 
-def _describe_conflict(
+def _build_conflict_refusal(
     catalog: Catalog, template: Template, expected_revision: int
 ) -> Refusal:
-    current = catalog.revision_of(template.customer)
-    held = catalog.find(template.customer)
-    paths = [d.path for d in compare_templates(held, template)]
+    """Refuse an edit and name the fields that differ from the current ones."""
+    current_revision = catalog.revision_of(template.customer)
+    current_template = catalog.find(template.customer)
+    changed_paths = [
+        difference.path
+        for difference in compare_templates(current_template, template)
+    ]
     detail = (
-        f"it is at revision {current}, not {expected_revision}; it differs "
-        f"from yours in: {', '.join(paths) or 'nothing'}"
+        f"the template is at revision {current_revision}, not "
+        f"{expected_revision}; it differs from yours in: "
+        f"{', '.join(changed_paths) or 'nothing'}"
     )
     return Refusal(RefusalReason.REVISION_CONFLICT, detail)
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -1,4 +1,4 @@
-"""One entry: joins the filter chain and the controllers."""
+"""One entry: connects the request filter chain with the controllers."""
 
 from collections.abc import Callable
 import dataclasses
@@ -29,15 +29,21 @@
 from crocusrouter.telemetry import log
 from crocusrouter.templates import dump_catalog
 
-_OWNERSHIP_TICK_S = 0.05
-_CLAIM_LEASE_S = 86400
-_CLAIM_LEASE_RENEWAL_S = 3600.0
+_OWNERSHIP_CHECK_INTERVAL_S = 0.05
+_CLAIM_LEASE_TTL_S = 86400
+_CLAIM_LEASE_REUSE_S = 3600.0
 _PEER_ANSWER_TIMEOUT_S = 1.0
-_SILENCE_PER_TTL = 3.0
+_WATCH_SILENCE_LIMIT_TTLS = 3.0
 
 
 class Entry:
-    """Everything that one `serve` process runs, except its listeners."""
+    """Everything that one `serve` process runs, except its listeners.
+
+    Attributes:
+        is_stopping: Whether a planned stop has begun.
+        owned: The owners that run in this process, by data centre.
+        peers: Keeps the links to the other entries.
+    """
 
     def __init__(
         self,
@@ -61,25 +67,25 @@
         self.configuration = configurations.Configuration(
             settings.store_prefix, metrics
         )
-        self.machines = machines.MachineList(
+        self.machines = machines.VmListReader(
             settings.vms_url, settings.vms_poll_s, metrics, self.random
         )
-        self.owned: dict[str, owners.Owner] = {}
+        self.owned: dict[str, owners.DataCentreOwner] = {}
         self.peers = peers.PeerController(
             settings.name,
             settings.mesh_secret,
             settings.heartbeat_s,
             self.configuration,
-            self.describe,
-            self._take_heartbeat,
+            self.build_heartbeat,
+            self._stop_replaced_owners,
         )
         self.runners = pool.RunnerPool(self.random)
         self.claims = requests.Claims(
             settings.name,
             self.store,
             f"{settings.store_prefix}claims/",
-            self._ask_answer,
-            self._find_claim_lease,
+            self._fetch_peer_answer,
+            self._get_claim_lease,
         )
         self.desk = desk.JobDesk(
             self.configuration,
@@ -87,28 +93,30 @@
             self.peers.find_link,
             lambda: self.machines.fleet,
         )
-        self._records = ownership.OwnerRecords(
+        self._ownership_records = ownership.OwnershipRecords(
             settings.name,
             self.store,
             self.configuration,
             settings.owner_ttl_s,
             trio.current_time,
         )
-        self._chain = requests.build_chain(
+        self._filter_chain = requests.build_chain(
             [requests.ClaimFilter(self.claims), requests.LimitFilter()],
             requests.Retrier(
                 requests.Dispatcher(self.runners), metrics, self.random
             ).run,
         )
         self._read_wall_clock = read_wall_clock
-        self._taking: set[str] = set()
+        # Data centres that a task of this entry is acquiring or serving.
+        self._data_centres_with_task: set[str] = set()
+        # The lease's id and the time from which a new lease is opened.
         self._claim_lease: tuple[int, float] | None = None
-        self._owner_scopes: dict[str, trio.CancelScope] = {}
-        self._watch_gauges()
-        self.configuration.listeners.append(self._spread_catalog)
-        self.machines.listeners.append(self._spread_fleet)
+        self._owner_cancel_scopes: dict[str, trio.CancelScope] = {}
+        self._register_gauges()
+        self.configuration.listeners.append(self._distribute_catalog)
+        self.machines.listeners.append(self._distribute_fleet)
 
-    def _watch_gauges(self) -> None:
+    def _register_gauges(self) -> None:
         gauges: dict[str, Callable[[], float]] = {
             "crocusrouter_catalog_revision": lambda: (
                 self.configuration.catalog.revision
@@ -116,8 +124,8 @@
             "crocusrouter_owned_data_centres": lambda: len(self.owned),
             "crocusrouter_ready": lambda: float(self.is_ready),
         }
-        for name, read in gauges.items():
-            self.metrics.watch_gauge(name, read)
+        for name, read_gauge in gauges.items():
+            self.metrics.watch_gauge(name, read_gauge)
 
     async def run(self) -> None:
         """Run all controllers until cancelled."""
@@ -128,35 +136,39 @@
                 configurations.watch_configuration,
                 self.configuration,
                 self.store,
-                _SILENCE_PER_TTL * self.settings.owner_ttl_s,
+                _WATCH_SILENCE_LIMIT_TTLS * self.settings.owner_ttl_s,
                 self.random,
             )
-            nursery.start_soon(self._run_ownership)
+            nursery.start_soon(self._run_takeovers)
 
     @property
     def is_ready(self) -> bool:
-        """Whether this entry may take work."""
+        """Whether this entry may accept jobs and requests."""
         return (
             self.configuration.is_vouched
             and self.machines.fleet.read_at is not None
             and not self.is_stopping
         )
 
-    def describe(self) -> messages.Heartbeat:
-        """Return our heartbeat."""
+    def build_heartbeat(self) -> messages.Heartbeat:
+        """Return this entry's heartbeat."""
         return messages.Heartbeat(
             self.settings.name,
             self.configuration.catalog.revision,
             self.is_ready,
-            tuple((name, held.epoch) for name, held in self.owned.items()),
+            tuple((name, owner.epoch) for name, owner in self.owned.items()),
         )
 
     async def answer(self, call: requests.Call) -> Answer:
-        """Pass a small request through the filter chain."""
-        return await self._chain(call)
+        """Answer a small request by passing it through the filter chain."""
+        return await self._filter_chain(call)
 
     def identify(self, incoming: requests.Incoming) -> requests.Call:
-        """Check a small request; raises RefusedError."""
+        """Check a small request and look up its customer and kind.
+
+        Raises:
+            RefusedError: The request isn't valid.
+        """
         return requests.identify(
             incoming,
             self.configuration.catalog,
@@ -165,19 +177,19 @@
         )
 
     async def answer_peer(self, message: object) -> object:
-        """Answer another entry."""
+        """Return the answer to a message from another entry."""
         match message:
             case messages.Heartbeat():
-                self.peers.note(message, trio.current_time())
-                return self.describe()
+                self.peers.record_heartbeat(message, trio.current_time())
+                return self.build_heartbeat()
             case messages.AskCatalog():
                 return messages.CatalogReply(
                     dump_catalog(self.configuration.catalog)
                 )
-            case messages.AskAnswer(claim):
-                return self.claims.recall(claim)
-            case messages.SubmitJob(data):
-                job = codec.unpack(jobs.Job, data)
+            case messages.AskAnswer(claim_name):
+                return self.claims.recall(claim_name)
+            case messages.SubmitJob(packed_job):
+                job = codec.unpack(jobs.Job, packed_job)
                 return await self.desk.answer_peer(job.data_centre, message)
             case messages.CancelJob(_, job_id) | messages.FindJob(_, job_id):
                 data_centre = jobs.parse_data_centre(job_id)
@@ -185,111 +197,123 @@
             case messages.ListJobs(_, data_centre):
                 return await self.desk.answer_peer(data_centre, message)
             case _:
-                raise TypeError(f"no answer to {type(message).__name__}")
+                raise TypeError(
+                    f"no handler for message {type(message).__name__}"
+                )
 
-    def _take_heartbeat(self, heard: messages.Heartbeat) -> None:
-        """Stop deciding where a peer decides under a higher epoch.
+    def _stop_replaced_owners(self, heartbeat: messages.Heartbeat) -> None:
+        """Stop each owner that a peer has replaced under a higher epoch.
 
         An owner that is cut off from the key-value service can't see that it
-        has been replaced, and would go on renewing leases of tasks that its
-        successor counts as lost.
+        has been replaced. It would go on renewing the leases of tasks that
+        its successor counts as lost.
         """
-        for data_centre, epoch in heard.owned:
-            held = self.owned.get(data_centre)
-            if held is not None and held.epoch < epoch:
+        for data_centre, epoch in heartbeat.owned:
+            owner = self.owned.get(data_centre)
+            if owner is not None and owner.epoch < epoch:
                 self.metrics.count_event("owner-fenced")
-                log("owner:fenced", data_centre=data_centre, by=heard.name)
-                self._owner_scopes[data_centre].cancel()
+                log("owner:fenced", data_centre=data_centre, by=heartbeat.name)
+                self._owner_cancel_scopes[data_centre].cancel()
 
     async def release_all(self) -> None:
-        """Give up every data centre; part of a planned stop."""
+        """Give up the ownership of every data centre, in a planned stop."""
         self.is_stopping = True
         async with trio.open_nursery() as nursery:
-            for held in list(self.owned.values()):
-                nursery.start_soon(held.drain)
-        for scope in list(self._owner_scopes.values()):
+            for owner in list(self.owned.values()):
+                nursery.start_soon(owner.drain)
+        for scope in list(self._owner_cancel_scopes.values()):
             scope.cancel()
-        while self._owner_scopes:
-            await trio.sleep(_OWNERSHIP_TICK_S / 10)
+        while self._owner_cancel_scopes:
+            await trio.sleep(_OWNERSHIP_CHECK_INTERVAL_S / 10)
 
-    def _spread_catalog(self) -> None:
-        for held in self.owned.values():
-            held.set_catalog(self.configuration.catalog)
+    def _distribute_catalog(self) -> None:
+        for owner in self.owned.values():
+            owner.set_catalog(self.configuration.catalog)
 
-    def _spread_fleet(self, known: fleet.Fleet) -> None:
-        self.peers.set_fleet(known)
-        self.runners.set_runners(fleet.select_vms(known, fleet.Role.RUNNER))
-        for held in self.owned.values():
-            held.set_fleet(known)
+    def _distribute_fleet(self, current_fleet: fleet.Fleet) -> None:
+        self.peers.set_fleet(current_fleet)
+        self.runners.set_runners(
+            fleet.select_vms(current_fleet, fleet.Role.RUNNER)
+        )
+        for owner in self.owned.values():
+            owner.set_fleet(current_fleet)
 
-    # Claims.
+    # Claims on idempotency keys.
 
-    async def _ask_answer(
-        self, entry: str, claim: str
+    async def _fetch_peer_answer(
+        self, entry_name: str, claim_name: str
     ) -> messages.AnswerReply | None:
-        link = self.peers.find_link(entry)
+        """Ask a peer what it answered under a claim; None if unreachable."""
+        link = self.peers.find_link(entry_name)
         if link is None:
             return None
         try:
             reply = await link.call(
-                messages.AskAnswer(claim), _PEER_ANSWER_TIMEOUT_S
+                messages.AskAnswer(claim_name), _PEER_ANSWER_TIMEOUT_S
             )
         except mesh.PeerUnreachableError:
             return None
         return reply if isinstance(reply, messages.AnswerReply) else None
 
-    async def _find_claim_lease(self) -> int:
-        """Return a lease for claims; a fresh one every hour."""
+    async def _get_claim_lease(self) -> int:
+        """Return the store lease for new claims; a new lease every hour."""
         now = trio.current_time()
         if self._claim_lease is None or self._claim_lease[1] < now:
-            lease = await self.store.grant(_CLAIM_LEASE_S)
-            self._claim_lease = (lease, now + _CLAIM_LEASE_RENEWAL_S)
+            lease_id = await self.store.grant(_CLAIM_LEASE_TTL_S)
+            self._claim_lease = (lease_id, now + _CLAIM_LEASE_REUSE_S)
         return self._claim_lease[0]
 
-    # Ownership.
+    # Ownership of data centres.
 
-    async def _run_ownership(self) -> None:
-        """Take over data centres whose owner is gone."""
-        started_at = trio.current_time()
+    async def _run_takeovers(self) -> None:
+        """Take over data centres that have no live owner, until cancelled."""
+        watch_started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(_OWNERSHIP_TICK_S)
+                await trio.sleep(_OWNERSHIP_CHECK_INTERVAL_S)
                 if not self.is_ready:
                     continue
-                known = fleet.list_data_centres(self.machines.fleet)
-                for data_centre in known:
-                    if self._may_take(data_centre, started_at):
-                        self._taking.add(data_centre)
-                        nursery.start_soon(self._own, data_centre)
-
-    def _may_take(self, data_centre: str, started_at: float) -> bool:
-        if data_centre in self._taking:
+                data_centres = fleet.list_data_centres(self.machines.fleet)
+                for data_centre in data_centres:
+                    if self._may_take_over(data_centre, watch_started_at):
+                        self._data_centres_with_task.add(data_centre)
+                        nursery.start_soon(
+                            self._acquire_and_run_owner, data_centre
+                        )
+
+    def _may_take_over(self, data_centre: str, watch_started_at: float) -> bool:
+        """Tell whether this entry may try to take over a data centre now."""
+        if data_centre in self._data_centres_with_task:
             return False
         candidates = tuple(
             ownership.Candidate(vm.name, vm.data_centre)
             for vm in fleet.select_vms(self.machines.fleet, fleet.Role.ENTRY)
         )
-        ranked = ownership.rank_candidates(candidates, data_centre)
-        name = self.settings.name
-        rank = ranked.index(name) if name in ranked else len(ranked)
-        at = ownership.find_takeover_time(
+        ranked_names = ownership.rank_candidates(candidates, data_centre)
+        own_name = self.settings.name
+        rank = (
+            ranked_names.index(own_name)
+            if own_name in ranked_names
+            else len(ranked_names)
+        )
+        takeover_time = ownership.find_takeover_time(
             self.configuration.owners.get(data_centre),
             rank,
             self.settings.owner_ttl_s,
-            started_at,
+            watch_started_at,
         )
-        return trio.current_time() >= at
+        return trio.current_time() >= takeover_time
 
-    async def _own(self, data_centre: str) -> None:
-        """Own a data centre until it is lost, fenced or released."""
+    async def _acquire_and_run_owner(self, data_centre: str) -> None:
+        """Acquire a data centre and own it until it is lost or released."""
         try:
-            held = await self._records.take(data_centre)
-            if held is not None:
-                await self._serve_owner(held)
+            term = await self._ownership_records.acquire(data_centre)
+            if term is not None:
+                await self._run_owner(term)
         except* Exception as errors:
-            # A fault in one data centre's decisions must not end the entry,
-            # which also routes requests and owns others. Another entry takes
-            # over after the TTL.
+            # An error in scheduling one data centre must not end the entry,
+            # which also routes requests and owns other data centres. Another
+            # entry takes this one over after the TTL.
             self.metrics.count_event("owner-failed")
             log(
                 "owner:failed",
@@ -298,13 +322,14 @@
             )
             await trio.sleep(self.settings.owner_ttl_s)
         finally:
-            self._taking.discard(data_centre)
+            self._data_centres_with_task.discard(data_centre)
 
-    async def _serve_owner(self, held: ownership.Held) -> None:
-        opened = owners.Owner(
+    async def _run_owner(self, term: ownership.OwnershipTerm) -> None:
+        """Run the owner of a data centre until it is fenced or cancelled."""
+        owner = owners.DataCentreOwner(
             self.settings.name,
-            held.data_centre,
-            held.epoch,
+            term.data_centre,
+            term.epoch,
             self.store,
             self.settings.store_prefix,
             self.metrics,
@@ -312,37 +337,44 @@
             self.settings.keep_jobs_s,
             self._read_wall_clock,
         )
-        opened.set_catalog(self.configuration.catalog)
-        opened.set_fleet(self.machines.fleet)
-        self.owned[held.data_centre] = opened
+        owner.set_catalog(self.configuration.catalog)
+        owner.set_fleet(self.machines.fleet)
+        self.owned[term.data_centre] = owner
         self.metrics.count_event("owner-took-over")
         scope = trio.CancelScope()
-        self._owner_scopes[held.data_centre] = scope
-        latest = _Latest(held)
+        self._owner_cancel_scopes[term.data_centre] = scope
+        renewal = _TermRenewal(term)
         try:
             with scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._renew, latest, scope)
-                    await opened.run()
+                    nursery.start_soon(self._renew_term, renewal, scope)
+                    await owner.run()
                     scope.cancel()
         finally:
-            del self.owned[held.data_centre]
+            del self.owned[term.data_centre]
             with trio.move_on_after(1.0, shield=True):
-                if self.is_stopping and latest.held is not None:
-                    await self._records.release(latest.held)
-            del self._owner_scopes[held.data_centre]
+                if self.is_stopping and renewal.term is not None:
+                    await self._ownership_records.release(renewal.term)
+            del self._owner_cancel_scopes[term.data_centre]
 
-    async def _renew(self, latest: "_Latest", scope: trio.CancelScope) -> None:
+    async def _renew_term(
+        self, renewal: "_TermRenewal", scope: trio.CancelScope
+    ) -> None:
+        """Renew an ownership term; cancel its owner once the term is lost."""
         interval_s = self.settings.owner_ttl_s / ownership.RENEWALS_PER_TTL
-        while latest.held is not None:
+        while renewal.term is not None:
             await trio.sleep(interval_s)
-            latest.held = await self._records.renew(latest.held)
+            renewal.term = await self._ownership_records.renew(renewal.term)
         log("owner:lost")
         scope.cancel()
 
 
 @dataclasses.dataclass
-class _Latest:
-    """The latest form of an ownership record that is being renewed."""
+class _TermRenewal:
+    """An ownership term that a task renews while its owner runs.
+
+    Attributes:
+        term: The term with its latest record; None once it is lost.
+    """
 
-    held: ownership.Held | None
+    term: ownership.OwnershipTerm | None
--- a/crocusrouter/controllers/machines.py
+++ b/crocusrouter/controllers/machines.py
@@ -1,4 +1,4 @@
-"""Reading of the VM list."""
+"""Reads the list of VMs from the platform at regular intervals."""
 
 from collections.abc import Callable
 import random
@@ -10,40 +10,44 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
-_OK = 200
-_NOT_MODIFIED = 304
-_TIMEOUT_S = 2.0
-_JITTER = 0.2
+_STATUS_OK = 200
+_STATUS_NOT_MODIFIED = 304
+_READ_TIMEOUT_S = 2.0
+_POLL_JITTER = 0.2
 
 
-class MachineList:
-    """The fleet as the VM list showed it last.
+class VmListReader:
+    """Polls the VM list and keeps the latest fleet.
 
-    The list is large and changes seldom, so each reading names the version
-    that is known (ETag) and gets the list only if it changed.
+    The list is large and seldom changes, so each request names the version
+    that was read last (ETag). The service sends the list only if it changed.
+
+    Attributes:
+        fleet: The fleet as last read.
+        listeners: Called with the fleet after each change.
     """
 
     def __init__(
         self,
         url: str,
-        poll_s: float,
+        poll_interval_s: float,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
         self.fleet = fleet.Fleet()
         self.listeners: list[Callable[[fleet.Fleet], None]] = []
         self._url = url.rstrip("/") + "/v1/vms"
-        self._poll_s = poll_s
+        self._poll_interval_s = poll_interval_s
         self._metrics = metrics
         self._random = rng
         self._etag = b""
-        self._pool = httpcore.AsyncConnectionPool()
+        self._connection_pool = httpcore.AsyncConnectionPool()
 
     async def run(self) -> None:
         """Read the list until cancelled."""
         while True:
             try:
-                await self._read()
+                await self._read_list()
             except (
                 httpcore.NetworkError,
                 httpcore.ProtocolError,
@@ -52,21 +56,23 @@
             ) as error:
                 self._metrics.count_event("vms-unread")
                 log("vms:unread", error=f"{type(error).__name__}: {error}")
-            spread = 1.0 + _JITTER * (self._random.random() - 0.5)
-            await trio.sleep(self._poll_s * spread)
+            jitter_factor = 1.0 + _POLL_JITTER * (self._random.random() - 0.5)
+            await trio.sleep(self._poll_interval_s * jitter_factor)
 
-    async def _read(self) -> None:
-        names = ("connect", "read", "write", "pool")
-        response = await self._pool.request(
+    async def _read_list(self) -> None:
+        timeout_names = ("connect", "read", "write", "pool")
+        response = await self._connection_pool.request(
             "GET",
             self._url,
             headers=[("If-None-Match", self._etag)] if self._etag else [],
-            extensions={"timeout": dict.fromkeys(names, _TIMEOUT_S)},
+            extensions={
+                "timeout": dict.fromkeys(timeout_names, _READ_TIMEOUT_S)
+            },
         )
-        if response.status == _NOT_MODIFIED:
+        if response.status == _STATUS_NOT_MODIFIED:
             return
-        if response.status != _OK:
-            raise ValueError(f"status {response.status}")
+        if response.status != _STATUS_OK:
+            raise ValueError(f"unexpected status {response.status}")
         vms = fleet.parse_vms(response.content)
         headers = {name.lower(): value for name, value in response.headers}
         self._etag = headers.get(b"etag", b"")
--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -1,4 +1,8 @@
-"""The owner of one data centre: its book, journal and worker links."""
+"""The owner of one data centre, which schedules the data centre's jobs.
+
+It connects the book (the jobs' state in memory), the journal (their durable
+state in the key-value service) and the links to the workers.
+"""
 
 from collections.abc import Callable
 import dataclasses
@@ -22,24 +26,29 @@
 from crocusrouter.templates import Catalog
 
 _CHECK_INTERVAL_S = 0.25
-_COMMIT_PATIENCE_S = 3.0
-_STORE_RETRY_S = 1.0
-_DRAIN_S = 1.0
+_COMMIT_TIMEOUT_S = 3.0
+_STORE_RETRY_AFTER_S = 1.0
+_DRAIN_TIMEOUT_S = 1.0
+
 
+class DataCentreOwner:
+    """Schedules the jobs of one data centre under one epoch.
 
-class Owner:
-    """Decides on the jobs of one data centre under one epoch.
+    Each change is written to the journal before any worker or caller is told
+    of it. A successor, which reads the journal, thus never knows less than
+    they do.
 
-    What is decided is journaled before it is told to anyone, worker or
-    caller, so that a successor never knows less than they do.
+    Attributes:
+        book: State of the data centre's jobs, gangs and workers.
+        is_ready: Whether the journal is loaded and the owner takes calls.
     """
 
     def __init__(
         self,
-        entry: str,
+        entry_name: str,
         data_centre: str,
         epoch: int,
-        client: store.StoreClient,
+        store_client: store.StoreClient,
         store_prefix: str,
         metrics: Metrics,
         task_lease_s: float,
@@ -49,166 +58,182 @@
         self.data_centre = data_centre
         self.epoch = epoch
         self.book = jobs.Book(data_centre)
-        self._client = client
+        self._store_client = store_client
         self._metrics = metrics
         self._keep_jobs_s = keep_jobs_s
         self._read_wall_clock = read_wall_clock
-        self._hello = messages.Hello(entry, epoch, task_lease_s)
-        prefix = f"{store_prefix}jobs/{data_centre}/"
+        self._hello = messages.Hello(entry_name, epoch, task_lease_s)
+        journal_prefix = f"{store_prefix}jobs/{data_centre}/"
         self._journal = jobs.Journal(
-            client, prefix, epoch, self._note_committed
+            store_client, journal_prefix, epoch, self._on_committed
         )
-        self._links: dict[str, tuple[fleet.Vm, link.WorkerLink]] = {}
-        self._scopes: dict[str, trio.CancelScope] = {}
-        self._committed: dict[str, jobs.Job] = {}
-        self._outbox = jobs.Outbox()
-        self._wake = trio.Event()
+        self._worker_links: dict[str, tuple[fleet.Vm, link.WorkerLink]] = {}
+        self._link_scopes: dict[str, trio.CancelScope] = {}
+        self._committed_jobs: dict[str, jobs.Job] = {}
+        self._command_outbox = jobs.Outbox()
+        self._schedule_needed = trio.Event()
         self._fleet = fleet.Fleet()
         self._nursery: trio.Nursery | None = None
         self.is_ready = False
 
     async def run(self) -> None:
-        """Take over, then decide until cancelled or fenced."""
+        """Load the journal, then schedule jobs until cancelled or fenced."""
         try:
-            loaded = await self._journal.take_over()
+            loaded_jobs = await self._journal.take_over()
             now = self._read_wall_clock()
-            self.book.load(loaded, now)
-            self._committed = {job.id: job for job in loaded}
+            self.book.load(loaded_jobs, now)
+            self._committed_jobs = {job.id: job for job in loaded_jobs}
             log(
                 "owner:took-over",
                 data_centre=self.data_centre,
                 epoch=self.epoch,
-                jobs=len(loaded),
+                jobs=len(loaded_jobs),
             )
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 self.set_fleet(self._fleet)
                 self.is_ready = True
                 nursery.start_soon(self._journal.run)
-                nursery.start_soon(self._schedule)
+                nursery.start_soon(self._schedule_jobs)
                 nursery.start_soon(self._check_leases)
         except* jobs.FencedError as errors:
-            self._note_fenced(str(errors.exceptions[0]))
+            self._report_fenced(str(errors.exceptions[0]))
         finally:
             self.is_ready = False
             self._nursery = None
 
-    def _note_fenced(self, why: str) -> None:
+    def _report_fenced(self, cause: str) -> None:
         self._metrics.count_event("owner-fenced")
         log(
             "owner:fenced",
             data_centre=self.data_centre,
             epoch=self.epoch,
-            why=why,
+            why=cause,
         )
 
     async def drain(self) -> None:
-        """Refuse new jobs and wait until the journal is written."""
+        """Take no more calls and wait until the journal is written."""
         self.is_ready = False
-        with trio.move_on_after(_DRAIN_S):
+        with trio.move_on_after(_DRAIN_TIMEOUT_S):
             await self._journal.wait_until(self._journal.is_idle)
 
-    # What the entry tells the owner.
+    # Updates from the entry.
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Decide by this catalog from now on."""
+        """Schedule by this catalog from now on."""
         self.book.catalog = catalog
-        self._wake.set()
+        self._schedule_needed.set()
 
-    def set_fleet(self, machines: fleet.Fleet) -> None:
-        """Bring workers and links in line with the VM list."""
-        self._fleet = machines
+    def set_fleet(self, current_fleet: fleet.Fleet) -> None:
+        """Update the workers and the links to them from the VM list."""
+        self._fleet = current_fleet
         if self._nursery is None:
             return
-        listed = fleet.select_vms(machines, fleet.Role.WORKER, self.data_centre)
-        for vm in listed:
-            live = vm.state is fleet.VmState.LIVE
-            self.book.set_worker(vm.name, vm.rack, vm.accelerators, live)
-            if vm.name not in self._links:
+        worker_vms = fleet.select_vms(
+            current_fleet, fleet.Role.WORKER, self.data_centre
+        )
+        for vm in worker_vms:
+            is_live = vm.state is fleet.VmState.LIVE
+            self.book.set_worker(vm.name, vm.rack, vm.accelerators, is_live)
+            if vm.name not in self._worker_links:
                 self._open_link(vm)
-        for name in self._links.keys() - {vm.name for vm in listed}:
-            self._drop_worker(name)
-        self._wake.set()
+        for name in self._worker_links.keys() - {vm.name for vm in worker_vms}:
+            self._remove_worker(name)
+        self._schedule_needed.set()
 
-    # What callers ask.
+    # Calls of customers.
 
     async def submit(self, job: jobs.Job) -> jobs.Job | Refusal:
-        """Accept a job once it is durable.
+        """Accept a job, and wait until it is durable.
 
         Returns:
-            The job as it stands, also for a repeated submission.
+            The job as last committed, also for a repeated submission; or the
+            reason why it was refused.
         """
-        refusal = self._check_store()
-        if refusal is not None and job.id not in self._committed:
+        refusal = self._refuse_if_store_fails()
+        if refusal is not None and job.id not in self._committed_jobs:
             return refusal
         outcome = self.book.submit(job, self._read_wall_clock())
         if isinstance(outcome, Refusal):
             return outcome
-        self._apply(outcome)
-        with trio.move_on_after(_COMMIT_PATIENCE_S):
-            await self._journal.wait_until(lambda: job.id in self._committed)
-            return self._committed[job.id]
+        self._apply_effects(outcome)
+        with trio.move_on_after(_COMMIT_TIMEOUT_S):
+            await self._journal.wait_until(
+                lambda: job.id in self._committed_jobs
+            )
+            return self._committed_jobs[job.id]
         detail = "the job may have been accepted"
-        return Refusal(RefusalReason.COMMIT_UNKNOWN, detail, _STORE_RETRY_S)
+        return Refusal(
+            RefusalReason.COMMIT_UNKNOWN, detail, _STORE_RETRY_AFTER_S
+        )
 
     async def cancel(self, customer: str, job_id: str) -> jobs.Job | Refusal:
-        """Cancel a customer's job and wait until that is durable."""
-        if self._find(customer, job_id) is None:
+        """Cancel a customer's job, and wait until the change is durable."""
+        if self._find_committed(customer, job_id) is None:
             return Refusal(RefusalReason.UNKNOWN_JOB, f"job {job_id}")
         outcome = self.book.cancel(job_id, self._read_wall_clock())
         if isinstance(outcome, Refusal):
             return outcome
-        self._apply(outcome)
-        with trio.move_on_after(_COMMIT_PATIENCE_S):
+        self._apply_effects(outcome)
+        with trio.move_on_after(_COMMIT_TIMEOUT_S):
             await self._journal.wait_until(
-                lambda: self._committed[job_id].is_final
+                lambda: self._committed_jobs[job_id].is_final
             )
-            return self._committed[job_id]
+            return self._committed_jobs[job_id]
         detail = "the job may have been cancelled"
-        return Refusal(RefusalReason.COMMIT_UNKNOWN, detail, _STORE_RETRY_S)
+        return Refusal(
+            RefusalReason.COMMIT_UNKNOWN, detail, _STORE_RETRY_AFTER_S
+        )
 
-    def show(
+    def find_view(
         self, customer: str, job_id: str
     ) -> mesh_messages.JobView | Refusal:
-        """Show a customer's job; only what is durable is told."""
-        job = self._find(customer, job_id)
+        """Return the view of a customer's job, as last committed."""
+        job = self._find_committed(customer, job_id)
         if job is None:
             return Refusal(RefusalReason.UNKNOWN_JOB, f"job {job_id}")
-        return self._view(job)
+        return self._build_view(job)
 
     def list_views(self, customer: str) -> tuple[mesh_messages.JobView, ...]:
-        """Show all jobs of a customer, the oldest first."""
-        mine = [j for j in self._committed.values() if j.customer == customer]
-        mine.sort(key=lambda job: (job.submitted_at, job.id))
-        return tuple(map(self._view, mine))
-
-    def _view(self, job: jobs.Job) -> mesh_messages.JobView:
-        explained = self.book.explain(job.id)
-        if explained is None or job.is_final:
+        """Return the views of a customer's jobs, the oldest first."""
+        customer_jobs = [
+            job
+            for job in self._committed_jobs.values()
+            if job.customer == customer
+        ]
+        customer_jobs.sort(key=lambda job: (job.submitted_at, job.id))
+        return tuple(map(self._build_view, customer_jobs))
+
+    def _build_view(self, job: jobs.Job) -> mesh_messages.JobView:
+        explanation = self.book.explain(job.id)
+        if explanation is None or job.is_final:
             phase, waiting_for = "", ""
         else:
-            phase, waiting_for = explained.phase, explained.waiting_for
-        events = explained.events if explained is not None else ()
-        data = codec.pack(job)
-        return mesh_messages.JobView(data, phase, waiting_for, events)
-
-    def _find(self, customer: str, job_id: str) -> jobs.Job | None:
-        job = self._committed.get(job_id)
+            phase, waiting_for = explanation.phase, explanation.waiting_for
+        events = explanation.events if explanation is not None else ()
+        packed_job = codec.pack(job)
+        return mesh_messages.JobView(packed_job, phase, waiting_for, events)
+
+    def _find_committed(self, customer: str, job_id: str) -> jobs.Job | None:
+        """Return a job as last committed, if it belongs to the customer."""
+        job = self._committed_jobs.get(job_id)
         if job is None or job.customer != customer:
             return None
         return job
 
-    def _check_store(self) -> Refusal | None:
-        """Refuse at once while the service is known to be down."""
-        if self._client.failing_since is None:
+    def _refuse_if_store_fails(self) -> Refusal | None:
+        """Return a refusal while calls to the key-value service fail."""
+        if self._store_client.failing_since is None:
             return None
         detail = "the job was not accepted"
-        return Refusal(RefusalReason.STORE_UNAVAILABLE, detail, _STORE_RETRY_S)
+        return Refusal(
+            RefusalReason.STORE_UNAVAILABLE, detail, _STORE_RETRY_AFTER_S
+        )
 
-    # Effects.
+    # Effects of scheduling decisions.
 
-    def _apply(self, effects: jobs.Effects) -> None:
-        """Journal what changed; hold commands back until it is durable."""
+    def _apply_effects(self, effects: jobs.Effects) -> None:
+        """Journal changed jobs; hold their commands until they are durable."""
         for job in effects.changed:
             self._metrics.count_job(str(job.state))
             log(
@@ -221,115 +246,128 @@
         for reason in effects.retries:
             self._metrics.count_retry(reason)
         self._journal.stage(effects.changed)
-        ready = self._outbox.admit(effects.commands, self._journal.is_pending)
-        for command in ready:
-            self._transmit(command)
+        sendable_commands = self._command_outbox.admit(
+            effects.commands, self._journal.is_pending
+        )
+        for command in sendable_commands:
+            self._send_command(command)
         if effects.changed:
-            self._wake.set()
+            self._schedule_needed.set()
 
-    def _transmit(self, command: gang.Command) -> None:
-        held = self._links.get(command.worker)
-        if held is not None:
-            held[1].send(command.message)
+    def _send_command(self, command: gang.Command) -> None:
+        vm_and_link = self._worker_links.get(command.worker)
+        if vm_and_link is not None:
+            vm_and_link[1].send(command.message)
 
-    def _note_committed(self, job: jobs.Job) -> None:
-        """Publish a durable change and send what waited for it."""
-        self._committed[job.id] = job
+    def _on_committed(self, job: jobs.Job) -> None:
+        """Publish a committed job and send the commands that waited for it."""
+        self._committed_jobs[job.id] = job
         if not self._journal.is_pending(job.id):
-            for command in self._outbox.release(job.id):
-                self._transmit(command)
+            for command in self._command_outbox.release(job.id):
+                self._send_command(command)
 
     # Workers.
 
     def _open_link(self, vm: fleet.Vm) -> None:
         assert self._nursery is not None
-        opened = link.WorkerLink(
+        worker_link = link.WorkerLink(
             vm.name,
             vm.address,
             self._hello,
-            self._receive,
+            self._handle_worker_message,
             trio.current_time(),
         )
-        self._links[vm.name] = (vm, opened)
-        self._scopes[vm.name] = trio.CancelScope()
-        self._nursery.start_soon(self._run_link, vm.name, opened)
+        self._worker_links[vm.name] = (vm, worker_link)
+        self._link_scopes[vm.name] = trio.CancelScope()
+        self._nursery.start_soon(self._run_link, vm.name, worker_link)
 
-    async def _run_link(self, name: str, opened: link.WorkerLink) -> None:
-        with self._scopes[name]:
-            await opened.run()
+    async def _run_link(
+        self, worker: str, worker_link: link.WorkerLink
+    ) -> None:
+        with self._link_scopes[worker]:
+            await worker_link.run()
 
-    def _drop_worker(self, name: str) -> None:
-        """Forget a worker that the VM list no longer shows.
+    def _remove_worker(self, worker: str) -> None:
+        """Remove a worker that the VM list no longer contains.
 
-        The list shows a VM until it is certainly gone, so its tasks need no
-        lease to lapse.
+        The list contains a VM until it has certainly ended, so the worker's
+        tasks count as ended without waiting for their lease to expire.
         """
-        self._scopes.pop(name).cancel()
-        del self._links[name]
+        self._link_scopes.pop(worker).cancel()
+        del self._worker_links[worker]
         now = self._read_wall_clock()
-        self._apply(self.book.lose_worker(name, now))
-        self.book.remove_worker(name)
+        self._apply_effects(self.book.lose_worker(worker, now))
+        self.book.remove_worker(worker)
 
-    def _receive(self, worker: str, message: object) -> None:
+    def _handle_worker_message(self, worker: str, message: object) -> None:
         if isinstance(message, messages.Fenced):
-            self._note_fenced(f"{worker} has seen epoch {message.epoch}")
+            self._report_fenced(f"{worker} has seen epoch {message.epoch}")
             assert self._nursery is not None
             self._nursery.cancel_scope.cancel()
             return
         now = self._read_wall_clock()
-        self._apply(jobs.handle_message(self.book, worker, message, now))
-        self._wake.set()
+        self._apply_effects(
+            jobs.handle_message(self.book, worker, message, now)
+        )
+        self._schedule_needed.set()
 
     async def _check_leases(self) -> None:
-        """End attempts on workers that stopped answering."""
-        own = lease.Lease(self._hello.lease_s, trio.current_time())
+        """End attempts on workers that stopped answering, until cancelled."""
+        # Tasks that an earlier owner started may run until this lease lapses.
+        takeover_lease = lease.Lease(self._hello.lease_s, trio.current_time())
         while True:
             await trio.sleep(_CHECK_INTERVAL_S)
             now = trio.current_time()
-            wall = self._read_wall_clock()
-            self._apply(self.book.press_stops(wall))
-            if lease.has_lapsed(own, now):
-                for name in self.book.find_missing():
-                    self._apply(self.book.lose_worker(name, wall))
-            for name, (_, opened) in self._links.items():
-                if not lease.is_suspect(opened.lease, now):
+            wall_now = self._read_wall_clock()
+            self._apply_effects(self.book.press_stops(wall_now))
+            if lease.has_lapsed(takeover_lease, now):
+                for worker in self.book.find_missing():
+                    self._apply_effects(self.book.lose_worker(worker, wall_now))
+            for worker, (_, worker_link) in self._worker_links.items():
+                if not lease.is_suspect(worker_link.lease, now):
                     continue
-                if self.book.workers[name].known:
-                    # After a pause of our own, answers may still come over
-                    # this connection, but only a new one brings the
-                    # inventory that makes the worker known again.
-                    opened.retire()
-                if lease.has_lapsed(opened.lease, now):
-                    self._apply(self.book.lose_worker(name, wall))
+                if self.book.workers[worker].known:
+                    # If this process was suspended, answers may still arrive
+                    # over the current connection. Only a new connection
+                    # brings the inventory that makes the worker known again.
+                    worker_link.reconnect()
+                if lease.has_lapsed(worker_link.lease, now):
+                    self._apply_effects(self.book.lose_worker(worker, wall_now))
                 else:
-                    self._apply(self.book.suspect_worker(name, wall))
-            self._drop_old(wall)
-
-    def _drop_old(self, now: float) -> None:
-        for job in list(self._committed.values()):
+                    self._apply_effects(
+                        self.book.suspect_worker(worker, wall_now)
+                    )
+            self._forget_old_jobs(wall_now)
+
+    def _forget_old_jobs(self, now: float) -> None:
+        """Forget finished jobs that have been kept long enough."""
+        for job in list(self._committed_jobs.values()):
             if job.finished_at is None:
                 continue
             if now - job.finished_at > self._keep_jobs_s:
                 self.book.forget(job.id)
-                del self._committed[job.id]
+                del self._committed_jobs[job.id]
                 self._journal.drop(job.id)
 
-    # Decisions.
+    # Scheduling.
+
+    async def _schedule_jobs(self) -> None:
+        """Schedule a few jobs at a time, until cancelled.
 
-    async def _schedule(self) -> None:
-        """Decide whenever something changed, a few decisions at a time."""
+        A pass follows each change, and each interval without a change.
+        """
         while True:
             with trio.move_on_after(_CHECK_INTERVAL_S):
-                await self._wake.wait()
-            self._wake = trio.Event()
+                await self._schedule_needed.wait()
+            self._schedule_needed = trio.Event()
             effects = jobs.schedule(self.book, self._read_wall_clock())
-            self._apply(effects)
+            self._apply_effects(effects)
             await trio.sleep(0)
 
 
 @dataclasses.dataclass(frozen=True)
 class OwnerStatus:
-    """An owner as `status` shows it."""
+    """What the status endpoint shows of an owner."""
 
     data_centre: str
     epoch: int
@@ -337,10 +375,14 @@
     workers: int
 
 
-def describe_owner(owner: Owner) -> OwnerStatus:
-    """Summarise an owner."""
-    unfinished = [j for j in owner.book.jobs.values() if not j.is_final]
-    known = [w for w in owner.book.workers.values() if w.known]
+def describe_owner(owner: DataCentreOwner) -> OwnerStatus:
+    """Return the status of an owner."""
+    unfinished_jobs = [
+        job for job in owner.book.jobs.values() if not job.is_final
+    ]
+    known_workers = [
+        worker for worker in owner.book.workers.values() if worker.known
+    ]
     return OwnerStatus(
-        owner.data_centre, owner.epoch, len(unfinished), len(known)
+        owner.data_centre, owner.epoch, len(unfinished_jobs), len(known_workers)
     )
--- a/crocusrouter/controllers/ownership.py
+++ b/crocusrouter/controllers/ownership.py
@@ -1,4 +1,8 @@
-"""Ownership of data centres: exactly one decider, fenced by its epoch."""
+"""Ownership of data centres: which entry schedules the jobs of each one.
+
+Each data centre has at most one owner record in the key-value service. Every
+takeover raises the record's epoch, which fences the earlier owners.
+"""
 
 from collections.abc import Callable
 import dataclasses
@@ -9,8 +13,8 @@
 from crocusrouter.controllers import configuration as configurations
 
 RENEWALS_PER_TTL = 3
-_STAGGER_SHARE = 0.15
-_RELEASED_STAGGER_S = 0.03
+_RANK_STAGGER_TTLS = 0.15
+_RELEASED_RANK_STAGGER_S = 0.03
 
 
 @dataclasses.dataclass(frozen=True)
@@ -24,147 +28,187 @@
 def rank_candidates(
     candidates: tuple[Candidate, ...], data_centre: str
 ) -> tuple[str, ...]:
-    """Order candidates: entries of the data centre first, then by hash.
+    """Return candidates' names, local entries first, then by hash.
 
-    Hashing spreads the data centres over the entries.
+    Hashing distributes the data centres over the entries.
 
-    >>> near, far = Candidate("e1", "liege"), Candidate("e2", "namur")
-    >>> rank_candidates((far, near), "liege")
+    >>> local, remote = Candidate("e1", "liege"), Candidate("e2", "namur")
+    >>> rank_candidates((remote, local), "liege")
     ('e1', 'e2')
     """
 
-    def weigh(candidate: Candidate) -> tuple[bool, bytes]:
-        text = f"{candidate.name}\0{data_centre}".encode()
-        digest = hashlib.blake2b(text, digest_size=8).digest()
+    def build_sort_key(candidate: Candidate) -> tuple[bool, bytes]:
+        hash_input = f"{candidate.name}\0{data_centre}".encode()
+        digest = hashlib.blake2b(hash_input, digest_size=8).digest()
         return (candidate.data_centre != data_centre, digest)
 
-    return tuple(c.name for c in sorted(candidates, key=weigh))
+    return tuple(
+        candidate.name for candidate in sorted(candidates, key=build_sort_key)
+    )
 
 
 def find_takeover_time(
-    observation: configurations.Observation | None,
+    observation: configurations.OwnerObservation | None,
     rank: int,
     ttl_s: float,
-    started_at: float,
+    watch_started_at: float,
 ) -> float:
-    """Return when a candidate may take a data centre over, on its own clock.
+    """Return when a candidate may take over a data centre, on its own clock.
 
-    A record must have stayed unchanged for a whole TTL as watched here; no
-    clock is compared between VMs. Ranks stagger the candidates so that they
-    don't all write at once. A released record can be taken nearly at once.
+    The watch of this process must have seen no change of the record for a
+    whole TTL, so clocks of different VMs are never compared. The delay grows
+    with the rank, so that candidates don't all write at the same time. A
+    released record can be taken over almost immediately.
 
     Args:
-        observation: The record as first seen, or None if there is none.
-        rank: Our place among the candidates, from 0.
+        observation: The owner record as first seen, or None if there is none.
+        rank: Our rank among the candidates, from 0.
         ttl_s: Seconds without renewal until a takeover.
-        started_at: When this process began to watch.
+        watch_started_at: When this process began to watch.
     """
-    stagger_s = rank * ttl_s * _STAGGER_SHARE
+    stagger_s = rank * ttl_s * _RANK_STAGGER_TTLS
     if observation is None:
-        return started_at + stagger_s
+        return watch_started_at + stagger_s
     if not observation.owner.owner:
-        return observation.seen_at + rank * _RELEASED_STAGGER_S
+        return observation.seen_at + rank * _RELEASED_RANK_STAGGER_S
     return observation.seen_at + ttl_s + stagger_s
 
 
 @dataclasses.dataclass(frozen=True)
-class Held:
-    """A data centre that this entry owns."""
+class OwnershipTerm:
+    """This entry's ownership of a data centre under one epoch.
+
+    Attributes:
+        data_centre: The data centre that it owns.
+        epoch: The epoch under which it owns it.
+        record: The latest owner record that it wrote.
+    """
 
     data_centre: str
     epoch: int
     record: store.Record
 
 
-class OwnerRecords:
-    """Takes, renews and releases ownership records by compare-and-swap."""
+class OwnershipRecords:
+    """Acquires, renews and releases owner records by compare-and-swap."""
 
     def __init__(
         self,
-        entry: str,
-        client: store.StoreClient,
+        entry_name: str,
+        store_client: store.StoreClient,
         configuration: configurations.Configuration,
         ttl_s: float,
         read_clock: Callable[[], float],
     ) -> None:
-        self._entry = entry
-        self._client = client
+        self._entry_name = entry_name
+        self._store_client = store_client
         self._configuration = configuration
         self._ttl_s = ttl_s
         self._read_clock = read_clock
 
-    async def take(self, data_centre: str) -> Held | None:
-        """Take a data centre over with the next epoch, if nobody was faster.
+    async def acquire(self, data_centre: str) -> OwnershipTerm | None:
+        """Take over a data centre under the next epoch.
+
+        The compare-and-swap expects the record that our watch saw last. It
+        fails if the owner has renewed the record since, even if our watch
+        lags behind.
 
-        Compare-and-swap against the record that was watched makes sure that
-        its owner has not renewed since, even if our watch lags.
+        Returns:
+            The new term, or None if the record has changed or the write was
+            not confirmed.
         """
-        seen = self._configuration.owners.get(data_centre)
-        epoch = seen.owner.epoch + 1 if seen is not None else 1
-        owner = configurations.OwnerRecord(self._entry, epoch, 0)
-        record = seen.record if seen is not None else None
-        return await self._swap(data_centre, record, owner)
-
-    async def renew(self, held: Held) -> Held | None:
-        """Renew; None if another entry has taken over.
-
-        If the service can't be reached, the same `held` is returned: a
-        takeover needs the service too, and if it does happen, the epoch
-        fences everything that this entry still sends.
+        observation = self._configuration.owners.get(data_centre)
+        epoch = observation.owner.epoch + 1 if observation is not None else 1
+        new_owner_record = configurations.OwnerRecord(
+            self._entry_name, epoch, 0
+        )
+        expected = observation.record if observation is not None else None
+        return await self._replace_record(
+            data_centre, expected, new_owner_record
+        )
+
+    async def renew(self, term: OwnershipTerm) -> OwnershipTerm | None:
+        """Renew a term; return None if another entry has taken over.
+
+        If the key-value service can't be reached, the same term is returned.
+        A takeover needs the service too; if one happens all the same, its
+        epoch fences everything that this entry still sends.
         """
-        current = codec.unpack(configurations.OwnerRecord, held.record.value)
-        renewed = dataclasses.replace(current, renewals=current.renewals + 1)
-        outcome = await self._client.swap(
-            self._key(held.data_centre),
-            held.record,
-            codec.pack(renewed),
+        owner_record = codec.unpack(
+            configurations.OwnerRecord, term.record.value
+        )
+        renewed_owner_record = dataclasses.replace(
+            owner_record, renewals=owner_record.renewals + 1
+        )
+        outcome = await self._store_client.swap(
+            self._build_key(term.data_centre),
+            term.record,
+            codec.pack(renewed_owner_record),
             patience_s=self._ttl_s / RENEWALS_PER_TTL,
         )
         if isinstance(outcome, store.Committed):
-            self._configuration.take_record(outcome.record, self._read_clock())
-            return dataclasses.replace(held, record=outcome.record)
+            self._configuration.apply_record(outcome.record, self._read_clock())
+            return dataclasses.replace(term, record=outcome.record)
         if isinstance(outcome, store.Unavailable):
-            return held
-        return self._find_own(held, outcome.current)
-
-    async def release(self, held: Held) -> None:
-        """Give a data centre up, so that nobody has to wait for the TTL."""
-        released = codec.pack(configurations.OwnerRecord("", held.epoch, 0))
-        key = self._key(held.data_centre)
-        outcome = await self._client.swap(key, held.record, released)
+            return term
+        return self._find_own_renewal(term, outcome.current)
+
+    async def release(self, term: OwnershipTerm) -> None:
+        """Release a data centre, so that no successor waits for the TTL."""
+        released_value = codec.pack(
+            configurations.OwnerRecord("", term.epoch, 0)
+        )
+        key = self._build_key(term.data_centre)
+        outcome = await self._store_client.swap(
+            key, term.record, released_value
+        )
         if isinstance(outcome, store.Conflict):
-            # A renewal was cut off by the stop after it took effect.
-            latest = self._find_own(held, outcome.current)
-            if latest is not None:
-                await self._client.swap(key, latest.record, released)
-
-    def _find_own(
-        self, held: Held, current: store.Record | None
-    ) -> Held | None:
-        """Adopt our own renewal that was given up on as uncertain."""
+            # The stop may have cancelled a renewal that the service applied.
+            latest_term = self._find_own_renewal(term, outcome.current)
+            if latest_term is not None:
+                await self._store_client.swap(
+                    key, latest_term.record, released_value
+                )
+
+    def _find_own_renewal(
+        self, term: OwnershipTerm, current: store.Record | None
+    ) -> OwnershipTerm | None:
+        """Return our term if the current record is a renewal of our own.
+
+        The write of that renewal was abandoned without a known outcome, but
+        the service applied it.
+        """
         if current is None:
             return None
-        owner = codec.unpack(configurations.OwnerRecord, current.value)
-        if (owner.owner, owner.epoch) != (self._entry, held.epoch):
-            self._configuration.take_record(current, self._read_clock())
+        owner_record = codec.unpack(configurations.OwnerRecord, current.value)
+        if (owner_record.owner, owner_record.epoch) != (
+            self._entry_name,
+            term.epoch,
+        ):
+            self._configuration.apply_record(current, self._read_clock())
             return None
-        return dataclasses.replace(held, record=current)
+        return dataclasses.replace(term, record=current)
 
-    async def _swap(
+    async def _replace_record(
         self,
         data_centre: str,
-        record: store.Record | None,
-        owner: configurations.OwnerRecord,
-    ) -> Held | None:
-        outcome = await self._client.swap(
-            self._key(data_centre), record, codec.pack(owner)
+        expected: store.Record | None,
+        new_owner_record: configurations.OwnerRecord,
+    ) -> OwnershipTerm | None:
+        """Replace the expected owner record by a new one."""
+        outcome = await self._store_client.swap(
+            self._build_key(data_centre), expected, codec.pack(new_owner_record)
         )
         if isinstance(outcome, store.Committed):
-            self._configuration.take_record(outcome.record, self._read_clock())
-            return Held(data_centre, owner.epoch, outcome.record)
+            self._configuration.apply_record(outcome.record, self._read_clock())
+            return OwnershipTerm(
+                data_centre, new_owner_record.epoch, outcome.record
+            )
         if isinstance(outcome, store.Conflict) and outcome.current is not None:
-            self._configuration.take_record(outcome.current, self._read_clock())
+            self._configuration.apply_record(
+                outcome.current, self._read_clock()
+            )
         return None
 
-    def _key(self, data_centre: str) -> str:
+    def _build_key(self, data_centre: str) -> str:
         return self._configuration.owners_prefix + data_centre
--- a/crocusrouter/fleet/__init__.py
+++ b/crocusrouter/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""VM list, workers and runners."""
+"""The VM list, and the protocol between a data centre's owner and workers."""
 
 from crocusrouter.fleet.model import Fleet
 from crocusrouter.fleet.model import Role
--- a/crocusrouter/fleet/link.py
+++ b/crocusrouter/fleet/link.py
@@ -1,4 +1,4 @@
-"""The owner's connection to one worker."""
+"""The connection from a data centre's owner to one worker."""
 
 from collections.abc import Callable
 import dataclasses
@@ -12,17 +12,21 @@
 from crocusrouter.fleet import messages
 from crocusrouter.telemetry import log
 
-_MAX_MESSAGE = 1 << 20
-_OUTBOX = 10_000
+_MAX_MESSAGE_BYTES = 1 << 20
+_MAX_QUEUED_MESSAGES = 10_000
 
-Receive = Callable[[str, object], None]
+MessageHandler = Callable[[str, object], None]
 
 
 class WorkerLink:
-    """Sends commands to a worker, renews its leases, delivers its messages.
+    """Sends commands to a worker, renews its lease and receives its messages.
 
-    One connection a worker; it carries an epoch, so that a worker that knows
-    a later owner refuses everything that comes over it.
+    There is one connection at a time, and it starts with the owner's epoch. A
+    worker that has seen a higher epoch refuses all commands on it.
+
+    Attributes:
+        worker: The worker's name.
+        lease: The lease of the worker's tasks.
     """
 
     def __init__(
@@ -30,108 +34,115 @@
         worker: str,
         address: str,
         hello: messages.Hello,
-        receive: Receive,
+        handle_message: MessageHandler,
         now: float,
     ) -> None:
-        """Prepare a link.
+        """Create a link without a connection.
 
         Args:
             worker: The worker's name.
             address: "IP:port" of the worker.
-            hello: Opens each connection.
-            receive: Called with the worker's name and each message.
+            hello: The first message on each connection.
+            handle_message: Called with the worker's name and each message.
             now: Seconds on the process's own clock.
         """
         self.worker = worker
         self.lease = lease.Lease(hello.lease_s, now)
         self._url = f"ws://{address}/link"
         self._hello = hello
-        self._receive = receive
-        self._outbox: trio.MemorySendChannel[object] | None = None
-        self._renewal_open = False
-        self._scope: trio.CancelScope | None = None
+        self._handle_message = handle_message
+        self._send_channel: trio.MemorySendChannel[object] | None = None
+        self._is_renewal_unanswered = False
+        self._connection_scope: trio.CancelScope | None = None
 
     def send(self, message: object) -> None:
-        """Queue a command; dropped if there is no connection.
+        """Queue a command, or drop it if there is no connection.
 
-        A dropped command is made good by the inventory that opens the next
-        connection.
+        The worker starts the next connection with its inventory, from which
+        the owner derives the commands that are still needed.
         """
-        if self._outbox is not None:
-            self._outbox.send_nowait(message)
+        if self._send_channel is not None:
+            self._send_channel.send_nowait(message)
 
-    def retire(self) -> None:
-        """Give the present connection up and open a new one."""
-        if self._scope is not None:
-            self._scope.cancel()
+    def reconnect(self) -> None:
+        """Close the current connection, so that `run` opens a new one."""
+        if self._connection_scope is not None:
+            self._connection_scope.cancel()
 
     async def run(self) -> None:
         """Keep a connection open until cancelled."""
         await codec.keep_connected(self._serve_connection)
 
     async def _serve_connection(self) -> None:
-        async with codec.dial(self._url, _MAX_MESSAGE) as connection:
+        async with codec.dial(self._url, _MAX_MESSAGE_BYTES) as connection:
             await connection.send(messages.REGISTRY.encode(self._hello))
-            send, outbox = trio.open_memory_channel[object](_OUTBOX)
-            self._outbox = send
-            self._renewal_open = False
+            send_channel, receive_channel = trio.open_memory_channel[object](
+                _MAX_QUEUED_MESSAGES
+            )
+            self._send_channel = send_channel
+            self._is_renewal_unanswered = False
             try:
                 async with trio.open_nursery() as nursery:
-                    self._scope = nursery.cancel_scope
-                    nursery.start_soon(self._send_queued, connection, outbox)
-                    nursery.start_soon(self._renew)
-                    await self._take_messages(connection)
-                    self.retire()
+                    self._connection_scope = nursery.cancel_scope
+                    nursery.start_soon(
+                        self._send_queued, connection, receive_channel
+                    )
+                    nursery.start_soon(self._renew_lease)
+                    await self._receive_messages(connection)
+                    self.reconnect()
             finally:
-                self._outbox = None
-                self._scope = None
+                self._send_channel = None
+                self._connection_scope = None
 
     async def _send_queued(
-        self, connection: Any, outbox: trio.MemoryReceiveChannel[object]
+        self,
+        connection: Any,
+        receive_channel: trio.MemoryReceiveChannel[object],
     ) -> None:
         try:
-            async for message in outbox:
+            async for message in receive_channel:
                 await connection.send(messages.REGISTRY.encode(message))
         except websockets.ConnectionClosed:
             return
 
-    async def _renew(self) -> None:
-        """Renew at a third of the lease; retire a silent connection.
+    async def _renew_lease(self) -> None:
+        """Renew the lease every third of its duration.
 
-        The worker may be alive behind a connection that something in between
-        has forgotten. A renewal unanswered when the next one is due ends the
-        connection, and a new one tells the two cases apart.
+        If a renewal is still unanswered when the next one is due, the
+        connection is replaced. Either the worker is down, or it is alive and
+        a device between the two ends has dropped the connection's state; the
+        new connection shows which.
         """
         interval_s = self.lease.lease_s / lease.RENEWALS_PER_LEASE
         while True:
-            if self._renewal_open:
+            if self._is_renewal_unanswered:
                 log("worker:connection-silent", worker=self.worker)
-                self.retire()
+                self.reconnect()
                 return
-            self._renewal_open = True
+            self._is_renewal_unanswered = True
             self.send(messages.Renew())
             await trio.sleep(interval_s)
 
-    async def _take_messages(self, connection: Any) -> None:
+    async def _receive_messages(self, connection: Any) -> None:
         try:
             async for frame in connection:
-                self._take(messages.REGISTRY.decode(frame))
+                self._dispatch_message(messages.REGISTRY.decode(frame))
         except websockets.ConnectionClosed:
             return
         except codec.BadMessageError as error:
             log("worker:bad-message", worker=self.worker, error=str(error))
 
-    def _take(self, message: object) -> None:
+    def _dispatch_message(self, message: object) -> None:
         if isinstance(message, messages.Renewed):
-            self._renewal_open = False
-            self._note_answer(trio.current_time())
+            self._is_renewal_unanswered = False
+            self._record_renewal_answer(trio.current_time())
             return
         if isinstance(message, messages.Inventory):
-            # Without this a lease that lapsed before the reconnection would
-            # declare the worker lost again, right after it told what it
-            # holds, and nothing would be placed on it any more.
-            self._note_answer(trio.current_time())
-        self._receive(self.worker, message)
+            # Otherwise, a lease that lapsed before the reconnection would
+            # declare the worker lost again right after its inventory arrived,
+            # and no job would be placed on it any more.
+            self._record_renewal_answer(trio.current_time())
+        self._handle_message(self.worker, message)
 
-    def _note_answer(self, now: float) -> None:
+    def _record_renewal_answer(self, now: float) -> None:
         self.lease = dataclasses.replace(self.lease, answered_at=now)
--- a/crocusrouter/fleet/messages.py
+++ b/crocusrouter/fleet/messages.py
@@ -1,8 +1,9 @@
 """Messages between a data centre's owner and a worker.
 
-They are CBOR arrays over one websocket a worker, opened by the owner. Every
-command names the owner's epoch once, in `Hello`; a worker that has seen a
-higher epoch answers `Fenced` and takes no command from this connection.
+The owner opens one websocket to each worker and sends messages as CBOR arrays.
+`Hello`, the first message, gives the owner's epoch for all commands on the
+connection. A worker that has seen a higher epoch answers `Fenced` and ignores
+all commands on the connection.
 """
 
 import dataclasses
@@ -12,7 +13,7 @@
 
 
 class TaskPhase(enum.StrEnum):
-    """Where a task stands on its worker."""
+    """The phase of a task on its worker."""
 
     RESERVED = "reserved"
     RUNNING = "running"
@@ -22,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Hello:
-    """Opens a link for an owner's epoch.
+    """Opens a connection under an owner's epoch.
 
     Attributes:
-        owner: Name of the entry.
-        epoch: Its epoch for the data centre.
-        lease_s: How long tasks live after the last renewal.
+        owner: Name of the entry that owns the data centre.
+        epoch: The owner's epoch for the data centre.
+        lease_s: How long tasks run on after the last renewal.
     """
 
     owner: str
@@ -37,21 +38,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fenced:
-    """The worker has seen a higher epoch."""
+    """Refuses a connection: the worker has seen a higher epoch."""
 
     epoch: int
 
 
 @dataclasses.dataclass(frozen=True)
 class TaskReport:
-    """One task as the worker holds it.
+    """The state of one task on the worker.
 
     Attributes:
         job_id: The job.
         attempt: The attempt's number.
-        phase: Where it stands.
-        mask: Accelerators that it holds, as a bit mask.
-        result: JSON text, once it ended.
+        phase: The task's phase.
+        mask: Accelerators that the task holds, as a bit mask.
+        result: JSON text; None until the task has ended.
     """
 
     job_id: str
@@ -63,14 +64,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Inventory:
-    """All tasks that the worker holds; answers `Hello`."""
+    """Answers `Hello` with all tasks on the worker."""
 
     tasks: tuple[TaskReport, ...]
 
 
 @dataclasses.dataclass(frozen=True)
 class Reserve:
-    """Hold accelerators for a task, under the lease."""
+    """Asks the worker to reserve accelerators for a task, under the lease."""
 
     job_id: str
     attempt: int
@@ -79,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reserved:
-    """The accelerators are held."""
+    """Answers `Reserve`: the accelerators are reserved."""
 
     job_id: str
     attempt: int
@@ -87,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Declined:
-    """The accelerators can't be held, or the task can't start."""
+    """Says that accelerators can't be reserved or that a task can't start."""
 
     job_id: str
     attempt: int
@@ -96,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Start:
-    """Run a reserved task."""
+    """Asks the worker to run a reserved task."""
 
     job_id: str
     attempt: int
@@ -107,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Started:
-    """The task runs."""
+    """Answers `Start`: the task runs."""
 
     job_id: str
     attempt: int
@@ -115,20 +116,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Renew:
-    """Renew the lease of all tasks that the worker holds."""
+    """Renews the lease of all tasks on the worker."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Renewed:
-    """The leases are renewed."""
+    """Answers `Renew`: the lease is renewed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Stop:
-    """Stop a task, or release its reservation.
+    """Asks the worker to stop a task or to release its reservation.
 
     Attributes:
-        checkpoint: Whether to checkpoint first.
+        checkpoint: Whether the task writes a checkpoint before it stops.
     """
 
     job_id: str
@@ -138,7 +139,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Stopped:
-    """The worker no longer holds the task."""
+    """Says that the worker no longer runs or reserves for the task."""
 
     job_id: str
     attempt: int
@@ -146,7 +147,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finished:
-    """The task ended by itself; sent again until acknowledged."""
+    """Says that the task ended by itself; sent again until acknowledged."""
 
     job_id: str
     attempt: int
@@ -156,7 +157,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Acknowledge:
-    """The result is durable; the worker may forget the task."""
+    """Says that the result is durable and the worker may forget the task."""
 
     job_id: str
     attempt: int
--- a/crocusrouter/fleet/model.py
+++ b/crocusrouter/fleet/model.py
@@ -1,4 +1,4 @@
-"""Machines as the VM list shows them."""
+"""The VMs in the platform's VM list."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a VM is for."""
+    """What a VM is used for."""
 
     ENTRY = "entry"
     WORKER = "worker"
@@ -15,7 +15,7 @@
 
 
 class VmState(enum.StrEnum):
-    """Whether a VM stays."""
+    """Whether a VM is about to be removed."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -27,14 +27,14 @@
 
     Attributes:
         name: Unique name; a replacement gets a new one.
-        role: What it is for.
-        state: Whether it stays.
+        role: What it is used for.
         address: "host:port" of its service.
-        data_centre: Where it is.
+        data_centre: The data centre in which it runs.
+        state: Whether it is about to be removed.
         rack: Its rack, for workers.
-        accelerators: How many it has, for workers.
+        accelerators: Number of its accelerators, for workers.
         service: The service that it runs, for runners.
-        slots: Requests that it runs at once, for runners.
+        slots: Number of requests that it runs at once, for runners.
     """
 
     name: str
@@ -54,33 +54,33 @@
 
     Attributes:
         vms: VMs by name.
-        read_at: When it was read, in seconds on the process's own clock;
-            None if it never was.
+        read_at: When the list was read, in seconds on the process's own
+            clock; None if it has never been read.
     """
 
     vms: dict[str, Vm] = dataclasses.field(default_factory=dict)
     read_at: float | None = None
 
 
-_ADAPTER = pydantic.TypeAdapter(dict[str, list[Vm]])
+_VM_LIST_ADAPTER = pydantic.TypeAdapter(dict[str, list[Vm]])
 
 
 def parse_vms(data: bytes) -> list[Vm]:
-    """Check and return the VMs in the list's JSON answer.
+    """Return the VMs in a JSON document of the VM list service.
 
     >>> parse_vms(b'{"vms": []}')
     []
 
     Raises:
-        ValueError: The answer isn't a VM list.
+        ValueError: The document isn't a VM list.
     """
-    return _ADAPTER.validate_json(data)["vms"]
+    return _VM_LIST_ADAPTER.validate_json(data)["vms"]
 
 
 def select_vms(
     fleet: Fleet, role: Role, data_centre: str | None = None
 ) -> list[Vm]:
-    """Return the VMs of one role, leaving ones included, ordered by name."""
+    """Return the VMs of a role, ordered by name, including leaving ones."""
     return sorted(
         (
             vm
