--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -40,12 +40,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class OwnerObservation:
-    """An owner record, and when this process first saw this version of it.
+    """One version of an owner record, and when this process first saw it.
 
-    Attributes:
-        record: The stored record, which a takeover must replace.
-        owner: The decoded record.
-        seen_at: Seconds on our own clock.
+    It has the record as stored, which a takeover must replace, the decoded
+    record, and the time in seconds on our own clock.
     """
 
     record: store.Record
@@ -62,7 +60,6 @@
         is_vouched: Whether the key-value service or a ready peer has told
             this entry the catalog in force.
         alarm: What is wrong with the stored catalog; empty if nothing is.
-        owners: The observed owner records, by data centre.
         listeners: Called after each change of the catalog.
     """
 
--- a/crocusrouter/controllers/desk.py
+++ b/crocusrouter/controllers/desk.py
@@ -32,7 +32,7 @@
         find_link: Callable[[str], mesh.PeerLink | None],
         get_fleet: Callable[[], fleet.Fleet],
     ) -> None:
-        """Create a desk.
+        """Create a router without state of its own.
 
         Args:
             configuration: Tells which entry owns which data centre.
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -42,7 +42,6 @@
     Attributes:
         is_stopping: Whether a planned stop has begun.
         owned: The owners that run in this process, by data centre.
-        peers: Keeps the links to the other entries.
     """
 
     def __init__(
--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -13,11 +13,9 @@
 class Heartbeat:
     """Tells a peer that the sender is alive, and the sender's state.
 
-    Attributes:
-        name: The sender's name.
-        revision: Catalog revision in force at the sender.
-        ready: Whether the sender accepts jobs and requests.
-        owned: Data centres that the sender owns, each with its epoch.
+    The state is the revision of the catalog in force at the sender, whether
+    the sender accepts jobs and requests, and the data centres that it owns,
+    each with its epoch.
     """
 
     name: str
@@ -133,12 +131,12 @@
     Attributes:
         name: The sender's name.
         version: Version of the configuration in force at the sender.
-        vouched_age_s: Seconds since the key-value service or a peer confirmed
-            that this version is the newest; None if never.
+        vouched_age_s: Seconds since the key-value service or a peer
+            confirmed that this is the newest one; None if never.
         owners: Pool, epoch and owner's name, as the sender knows them.
-        is_served: Whether the key-value service answers the sender's calls.
-        last_event: Revision of the latest change of members or owners that
-            the sender has seen.
+        is_served: Whether the key-value service answers the sender.
+        last_event: Revision of the latest change of members or
+            owners that the sender has seen.
     """
 
     name: str
@@ -220,10 +218,7 @@
 class RelayWrite:
     """Asks a peer to write a key by compare-and-swap.
 
-    Attributes:
-        key: The key.
-        revision: The revision that the key must have; 0 if it must not exist.
-        value: The new body.
+    The key must have the given revision; 0 means that it must not exist.
     """
 
     key: str
