--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Small requests: identification, limits, claims, choice and retries."""
+"""Small requests: validation, limits, claims, load balancing and retries."""
 
 from crocusrouter.requests.chain import ClaimFilter
 from crocusrouter.requests.chain import LimitFilter
--- a/crocusrouter/requests/chain.py
+++ b/crocusrouter/requests/chain.py
@@ -17,93 +17,102 @@
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.outcomes import RetryReason
 from crocusrouter.outcomes import Unknown
-from crocusrouter.requests import budget
 from crocusrouter.requests import claims
 from crocusrouter.requests import dispatch
 from crocusrouter.requests import model
+from crocusrouter.requests import retry_budget
 from crocusrouter.telemetry import Metrics
 
-Next = Callable[[model.Call], Awaitable[Answer]]
+Handler = Callable[[model.Call], Awaitable[Answer]]
 
-_FIRST_PAUSE_S = 0.01
-_LONGEST_PAUSE_S = 0.5
-_LIMIT_RETRY_S = 0.2
-# Endpoints that may break off under one request. It may be what ends them, and
-# each further try would take along whatever runs on one more.
-_MOST_LOST = 3
+_INITIAL_BACKOFF_S = 0.01
+_MAX_BACKOFF_S = 0.5
+_LIMIT_RETRY_AFTER_S = 0.2
+# The request itself may crash the endpoints that lose its answer, and each
+# further attempt would interrupt all other requests on another endpoint.
+_MAX_LOST_ANSWERS = 3
 
-# A retry of one of these can't run the request a second time.
-_SURELY_NOT_RUN = frozenset(
+# After a failure for one of these reasons, a retry can't run the request a
+# second time.
+_NOT_RUN_REASONS = frozenset(
     {RetryReason.ENDPOINT_UNREACHABLE, RetryReason.ENDPOINT_REFUSED}
 )
 
 
 class Filter(Protocol):
-    """One step of the chain: answers itself or asks the next."""
+    """One step of the chain: answers or passes the request on."""
 
-    async def __call__(self, call: model.Call, ask_next: Next) -> Answer:
+    async def __call__(
+        self, request: model.Call, next_handler: Handler
+    ) -> Answer:
         """Handle a request."""
         ...
 
 
-def build_chain(filters: Sequence[Filter], last: Next) -> Next:
-    """Connect filters in order, `last` at the end."""
-    chained = last
-    for one in reversed(filters):
-        chained = functools.partial(one, ask_next=chained)
-    return chained
+def build_chain(filters: Sequence[Filter], final_handler: Handler) -> Handler:
+    """Connect filters in order, with `final_handler` at the end."""
+    handler = final_handler
+    for request_filter in reversed(filters):
+        handler = functools.partial(request_filter, next_handler=handler)
+    return handler
 
 
 class LimitFilter:
-    """Bounds each customer's requests in flight at this entry."""
+    """Limits each customer's requests in flight at this entry."""
 
     def __init__(self) -> None:
         self._in_flight: collections.Counter[str] = collections.Counter()
 
-    async def __call__(self, call: model.Call, ask_next: Next) -> Answer:
-        """Refuse at once what goes beyond the customer's share."""
-        customer = call.customer
-        limit = call.template.max_in_flight
+    async def __call__(
+        self, request: model.Call, next_handler: Handler
+    ) -> Answer:
+        """Refuse a request at once if the customer is at its limit."""
+        customer = request.customer
+        limit = request.template.max_in_flight
         if self._in_flight[customer] >= limit:
             detail = f"{limit} requests of {customer} in flight"
             return NotRun(
-                Refusal(RefusalReason.CUSTOMER_LIMIT, detail, _LIMIT_RETRY_S)
+                Refusal(
+                    RefusalReason.CUSTOMER_LIMIT, detail, _LIMIT_RETRY_AFTER_S
+                )
             )
         self._in_flight[customer] += 1
         try:
-            return await ask_next(call)
+            return await next_handler(request)
         finally:
             self._in_flight[customer] -= 1
 
 
 class ClaimFilter:
-    """Lets a non-idempotent request with a key run at most once."""
-
-    def __init__(self, held: claims.Claims) -> None:
-        self._claims = held
-
-    async def __call__(self, call: model.Call, ask_next: Next) -> Answer:
-        """Take the claim, run, and remember what came of it."""
-        if call.rules.idempotent or call.key is None:
-            return await ask_next(call)
-        granted = await self._claims.take(call)
-        if not isinstance(granted, claims.Granted):
-            return granted
-        # A request that is cancelled here may have been dispatched; nobody
-        # may take it for one that did not run.
+    """Runs a non-idempotent request with a key at most once."""
+
+    def __init__(self, claim_registry: claims.Claims) -> None:
+        self._claims = claim_registry
+
+    async def __call__(
+        self, request: model.Call, next_handler: Handler
+    ) -> Answer:
+        """Claim the key, run the request and record its outcome."""
+        if request.request_kind.idempotent or request.idempotency_key is None:
+            return await next_handler(request)
+        grant = await self._claims.acquire(request)
+        if not isinstance(grant, claims.ClaimGrant):
+            return grant
+        # If this task is cancelled, the request may have been dispatched, so
+        # the outcome recorded then must not be "not run".
         answer: Answer = Unknown(Refusal(RefusalReason.ANSWER_LOST))
         try:
-            answer = await ask_next(call)
+            answer = await next_handler(request)
             return answer
         finally:
-            self._claims.settle(granted, answer)
+            self._claims.record_outcome(grant, answer)
 
 
 class Retrier:
-    """Ends the chain: dispatches, within deadline and retry budget.
+    """Ends the chain: dispatches within the deadline and the retry budget.
 
-    A non-idempotent request is tried again only while it certainly has not
-    run anywhere.
+    A non-idempotent request is retried only while it certainly has not run
+    anywhere.
     """
 
     def __init__(
@@ -115,56 +124,64 @@
         self._dispatcher = dispatcher
         self._metrics = metrics
         self._rng = rng
-        self._budgets: dict[str, budget.RetryBudget] = {}
-
-    async def run(self, call: model.Call) -> Answer:
-        """Dispatch until there is an answer to give."""
-        self._earn(call)
-        avoided: frozenset[str] = frozenset()
-        pause_s = _FIRST_PAUSE_S
-        lost = 0
+        self._budgets: dict[str, retry_budget.RetryBudget] = {}
+
+    async def run(self, request: model.Call) -> Answer:
+        """Dispatch a request, with retries, until there is a final answer."""
+        self._deposit(request)
+        tried_runners: frozenset[str] = frozenset()
+        backoff_s = _INITIAL_BACKOFF_S
+        lost_answers = 0
         while True:
-            tried = await self._dispatcher.dispatch(call, avoided)
-            if tried.retry is None or isinstance(tried.answer, Done):
-                return tried.answer
-            lost += tried.retry is RetryReason.ANSWER_LOST
-            if lost >= _MOST_LOST or not _may_retry(call, tried.retry):
-                return tried.answer
-            pause_s = min(_LONGEST_PAUSE_S, pause_s * 2)
-            delay_s = self._rng.uniform(0.0, pause_s)
-            if trio.current_time() + delay_s >= call.deadline:
-                return tried.answer
-            if not self._spend(call):
-                return _refuse_spent(tried.answer)
-            self._metrics.count_retry(tried.retry)
-            avoided |= {tried.endpoint}
+            attempt = await self._dispatcher.dispatch(request, tried_runners)
+            if attempt.retry_reason is None or isinstance(attempt.answer, Done):
+                return attempt.answer
+            lost_answers += attempt.retry_reason is RetryReason.ANSWER_LOST
+            if lost_answers >= _MAX_LOST_ANSWERS or not _may_retry(
+                request, attempt.retry_reason
+            ):
+                return attempt.answer
+            backoff_s = min(_MAX_BACKOFF_S, backoff_s * 2)
+            delay_s = self._rng.uniform(0.0, backoff_s)
+            if trio.current_time() + delay_s >= request.deadline:
+                return attempt.answer
+            if not self._withdraw(request):
+                return _refuse_budget_spent(attempt.answer)
+            self._metrics.count_retry(attempt.retry_reason)
+            tried_runners |= {attempt.endpoint}
             await trio.sleep(delay_s)
 
-    def _earn(self, call: model.Call) -> None:
-        share = call.template.retry_share
-        held = self._budgets.get(call.customer) or budget.open_budget(share)
-        self._budgets[call.customer] = budget.earn(held, share)
+    def _deposit(self, request: model.Call) -> None:
+        """Credit a request to its customer's retry budget."""
+        retry_share = request.template.retry_share
+        budget = self._budgets.get(
+            request.customer
+        ) or retry_budget.open_budget(retry_share)
+        self._budgets[request.customer] = retry_budget.deposit(
+            budget, retry_share
+        )
 
-    def _spend(self, call: model.Call) -> bool:
-        paid = budget.spend(self._budgets[call.customer])
-        if paid is not None:
-            self._budgets[call.customer] = paid
-        return paid is not None
+    def _withdraw(self, request: model.Call) -> bool:
+        """Pay for a retry; return False if the customer's budget is spent."""
+        budget = retry_budget.withdraw(self._budgets[request.customer])
+        if budget is not None:
+            self._budgets[request.customer] = budget
+        return budget is not None
 
 
-def _may_retry(call: model.Call, reason: RetryReason) -> bool:
-    return call.rules.idempotent or reason in _SURELY_NOT_RUN
+def _may_retry(request: model.Call, reason: RetryReason) -> bool:
+    return request.request_kind.idempotent or reason in _NOT_RUN_REASONS
 
 
-def _refuse_spent(answer: Answer) -> Answer:
-    """Say that the budget is spent, unless the request may have run."""
+def _refuse_budget_spent(answer: Answer) -> Answer:
+    """Report that the budget is spent, unless the request may have run."""
     if not isinstance(answer, NotRun):
         return answer
     cause = answer.refusal
     return NotRun(
         Refusal(
             RefusalReason.RETRY_BUDGET_SPENT,
-            f"last: {cause.reason} {cause.detail}",
+            f"last attempt: {cause.reason} {cause.detail}",
             cause.retry_after_s,
         )
     )
--- a/crocusrouter/requests/dispatch.py
+++ b/crocusrouter/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: one try of a request at one runner."""
+"""Dispatch: one attempt to run a request at one runner."""
 
 import dataclasses
 import uuid
@@ -14,23 +14,23 @@
 from crocusrouter.outcomes import RefusedError
 from crocusrouter.outcomes import RetryReason
 from crocusrouter.outcomes import Unknown
-from crocusrouter.requests import choice
+from crocusrouter.requests import load_balancing
 from crocusrouter.requests import model
 from crocusrouter.requests import pool
 from crocusrouter.telemetry import log
 
-_MAX_ANSWER = 8 << 20
-_BUSY_RETRY_S = 0.5
-_OUTCOME = b"crocusrouter-outcome"
-_REQUEST_ID = b"request-id"
+_MAX_ANSWER_BYTES = 8 << 20
+_BUSY_RETRY_AFTER_S = 0.5
+_OUTCOME_HEADER = b"crocusrouter-outcome"
+_REQUEST_ID_HEADER = b"request-id"
 
-# No byte of the request has left when one of these is raised.
-_NOT_SENT = (
+# Errors raised before any byte of the request was sent.
+_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
 )
-_LOST = (
+_ANSWER_LOST_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -38,138 +38,158 @@
 
 
 class Dispatcher:
-    """Sends a request to a runner and judges what comes back."""
+    """Sends a request to a runner and classifies the response."""
 
     def __init__(self, runners: pool.RunnerPool) -> None:
         self._runners = runners
 
     async def dispatch(
-        self, call: model.Call, avoided: frozenset[str]
-    ) -> model.Tried:
-        """Try a request once.
+        self, request: model.Call, tried_runners: frozenset[str]
+    ) -> model.AttemptResult:
+        """Make one attempt to run a request.
 
-        Only a whole answer that names this very request counts as one. A
-        "not run" is said only if no byte left, or the endpoint itself said
-        that it refused the request unread.
+        A response counts as an answer only if it is complete and names this
+        attempt. The outcome is "not run" only if no byte was sent, or if the
+        endpoint itself reported that it refused the request unread.
         """
         try:
-            slot = await self._runners.acquire(
-                call.rules.service, avoided, call.deadline
+            slot = await self._runners.acquire_slot(
+                request.request_kind.service, tried_runners, request.deadline
             )
         except RefusedError as error:
-            return model.Tried(NotRun(error.refusal))
+            return model.AttemptResult(NotRun(error.refusal))
         try:
-            tried = await self._send(call, slot.runner)
+            attempt = await self._send(request, slot.runner)
         finally:
-            self._runners.release(slot)
+            self._runners.release_slot(slot)
         log(
             "request:attempt",
-            request=call.id,
+            request=request.id,
             endpoint=slot.runner.vm.name,
-            retry=tried.retry,
-            outcome=type(tried.answer).__name__,
+            retry=attempt.retry_reason,
+            outcome=type(attempt.answer).__name__,
         )
-        return tried
+        return attempt
 
-    async def _send(self, call: model.Call, runner: pool.Runner) -> model.Tried:
+    async def _send(
+        self, request: model.Call, runner: pool.Runner
+    ) -> model.AttemptResult:
         started_at = trio.current_time()
-        attempt_id = f"{call.id}-{uuid.uuid4().hex[:8]}"
-        left_s = call.deadline - started_at
+        attempt_id = f"{request.id}-{uuid.uuid4().hex[:8]}"
+        remaining_s = request.deadline - started_at
         name = runner.vm.name
-        if left_s <= 0:
-            refusal = Refusal(RefusalReason.DEADLINE_PASSED, "while waiting")
-            return model.Tried(NotRun(refusal), None, name)
+        if remaining_s <= 0:
+            refusal = Refusal(
+                RefusalReason.DEADLINE_PASSED, "while waiting for a slot"
+            )
+            return model.AttemptResult(NotRun(refusal), None, name)
         try:
-            response = await self._post(call, runner, attempt_id, left_s)
-        except _NOT_SENT as error:
-            self._runners.shun(runner, trio.current_time())
-            return _fail_unsent(name, error)
-        except _LOST as error:
+            response = await self._post(
+                request, runner, attempt_id, remaining_s
+            )
+        except _NOT_SENT_ERRORS as error:
+            self._runners.mark_unreachable(runner, trio.current_time())
+            return _build_unreachable_result(name, error)
+        except _ANSWER_LOST_ERRORS as error:
             detail = f"{name}: {type(error).__name__}"
             refusal = Refusal(RefusalReason.ANSWER_LOST, detail)
-            return model.Tried(Unknown(refusal), RetryReason.ANSWER_LOST, name)
-        took_s = trio.current_time() - started_at
-        return self._judge(response, runner, attempt_id, took_s)
+            return model.AttemptResult(
+                Unknown(refusal), RetryReason.ANSWER_LOST, name
+            )
+        elapsed_s = trio.current_time() - started_at
+        return self._classify_response(response, runner, attempt_id, elapsed_s)
 
     async def _post(
         self,
-        call: model.Call,
+        request: model.Call,
         runner: pool.Runner,
         attempt_id: str,
-        left_s: float,
-    ) -> "_Reply":
+        remaining_s: float,
+    ) -> "_EndpointResponse":
         headers = [
             ("Host", runner.vm.address),
             ("Content-Type", "application/json"),
             ("Request-Id", attempt_id),
-            ("Request-Timeout", f"{left_s:.3f}"),
+            ("Request-Timeout", f"{remaining_s:.3f}"),
         ]
-        timeouts = dict.fromkeys(("connect", "read", "write", "pool"), left_s)
-        # The limits of httpcore are for each read; this one is for all of
-        # them, or an endpoint that trickles bytes could outlast any deadline.
-        with trio.move_on_after(left_s):
+        timeouts = dict.fromkeys(
+            ("connect", "read", "write", "pool"), remaining_s
+        )
+        # httpcore applies its timeouts to each read. This timeout covers the
+        # whole response; without it, an endpoint that sends a few bytes at a
+        # time could exceed any deadline.
+        with trio.move_on_after(remaining_s):
             async with runner.connections.stream(
                 "POST",
-                f"{runner.url}/run/{call.kind}",
+                f"{runner.url}/run/{request.kind}",
                 headers=headers,
-                content=call.body,
+                content=request.body,
                 extensions={"timeout": timeouts},
             ) as response:
-                body = await _read_limited(response)
-                return _Reply(response.status, response.headers, body)
-        raise httpcore.ReadTimeout("no whole answer before the deadline")
+                body = await _read_body(response)
+                return _EndpointResponse(
+                    response.status, response.headers, body
+                )
+        raise httpcore.ReadTimeout("no complete answer before the deadline")
 
-    def _judge(
+    def _classify_response(
         self,
-        response: "_Reply",
+        response: "_EndpointResponse",
         runner: pool.Runner,
         attempt_id: str,
-        took_s: float,
-    ) -> model.Tried:
+        elapsed_s: float,
+    ) -> model.AttemptResult:
         headers = {name.lower(): value for name, value in response.headers}
         name = runner.vm.name
-        if headers.get(_OUTCOME) == b"not-run":
-            runner.load = choice.note_refusal(runner.load)
+        if headers.get(_OUTCOME_HEADER) == b"not-run":
+            runner.load = load_balancing.record_refusal(runner.load)
             refusal = Refusal(
-                RefusalReason.NO_ENDPOINT, f"{name} is full", _BUSY_RETRY_S
+                RefusalReason.NO_ENDPOINT,
+                f"{name} is full",
+                _BUSY_RETRY_AFTER_S,
             )
-            return model.Tried(
+            return model.AttemptResult(
                 NotRun(refusal), RetryReason.ENDPOINT_REFUSED, name
             )
-        if headers.get(_REQUEST_ID) != attempt_id.encode():
+        if headers.get(_REQUEST_ID_HEADER) != attempt_id.encode():
             refusal = Refusal(RefusalReason.ANSWER_MISMATCHED, name)
-            return model.Tried(
+            return model.AttemptResult(
                 Unknown(refusal), RetryReason.ANSWER_MISMATCHED, name
             )
-        runner.load = choice.note_answer(runner.load, took_s)
+        runner.load = load_balancing.record_answer(runner.load, elapsed_s)
         media_type = headers.get(b"content-type", b"application/json")
         answer: Answer = Done(
             response.status, response.body, media_type.decode("latin1")
         )
-        return model.Tried(answer, None, name)
+        return model.AttemptResult(answer, None, name)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Reply:
-    """A whole answer of an endpoint."""
+class _EndpointResponse:
+    """A complete HTTP response of an endpoint."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
 
-def _fail_unsent(name: str, error: Exception) -> model.Tried:
+def _build_unreachable_result(
+    name: str, error: Exception
+) -> model.AttemptResult:
     detail = f"{name}: {type(error).__name__}"
-    refusal = Refusal(RefusalReason.NO_ENDPOINT, detail, _BUSY_RETRY_S)
-    return model.Tried(NotRun(refusal), RetryReason.ENDPOINT_UNREACHABLE, name)
+    refusal = Refusal(RefusalReason.NO_ENDPOINT, detail, _BUSY_RETRY_AFTER_S)
+    return model.AttemptResult(
+        NotRun(refusal), RetryReason.ENDPOINT_UNREACHABLE, name
+    )
 
 
-async def _read_limited(response: httpcore.Response) -> bytes:
+async def _read_body(response: httpcore.Response) -> bytes:
+    """Read a response's body; raise an error if it is too large."""
     chunks = []
     size = 0
     async for chunk in response.aiter_stream():
         size += len(chunk)
-        if size > _MAX_ANSWER:
+        if size > _MAX_ANSWER_BYTES:
             raise httpcore.RemoteProtocolError("the answer is too large")
         chunks.append(chunk)
     return b"".join(chunks)
--- a/crocusrouter/requests/identify.py
+++ b/crocusrouter/requests/identify.py
@@ -1,4 +1,4 @@
-"""Identification: whose request it is, of which kind, until when."""
+"""Authentication and validation of incoming requests."""
 
 import hashlib
 import hmac
@@ -13,47 +13,54 @@
 from crocusrouter.templates import Catalog
 from crocusrouter.templates import Template
 
-_BEARER = "Bearer "
-_LONGEST_TIMEOUT_S = 3600.0
-_KEY = re.compile(r"[\x21-\x7e]{1,255}")
+_BEARER_PREFIX = "Bearer "
+_MAX_TIMEOUT_S = 3600.0
+_IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,255}")
 
 
-def find_customer(catalog: Catalog, bearer: str | None) -> Template:
-    """Return the template whose key is presented.
+def find_customer(catalog: Catalog, authorization: str | None) -> Template:
+    """Return the template of the customer with the given bearer key.
+
+    Args:
+        catalog: The templates in force.
+        authorization: Value of the Authorization header, or None.
 
     Raises:
-        RefusedError: No key, or one that belongs to nobody.
+        RefusedError: The header names no key, or the key of no customer.
     """
-    if bearer is None or not bearer.startswith(_BEARER):
+    if authorization is None or not authorization.startswith(_BEARER_PREFIX):
         raise refuse(RefusalReason.UNAUTHENTICATED, "no bearer key")
-    digest = hashlib.sha256(bearer.removeprefix(_BEARER).encode()).hexdigest()
-    for held in catalog.templates.values():
-        if hmac.compare_digest(held.template.key_sha256, digest):
-            return held.template
+    digest = hashlib.sha256(
+        authorization.removeprefix(_BEARER_PREFIX).encode()
+    ).hexdigest()
+    for versioned in catalog.templates.values():
+        if hmac.compare_digest(versioned.template.key_sha256, digest):
+            return versioned.template
     raise refuse(RefusalReason.UNAUTHENTICATED, "wrong bearer key")
 
 
 def identify(
     incoming: model.Incoming, catalog: Catalog, request_id: str, now: float
 ) -> model.Call:
-    """Check a request's key, kind, deadline and body.
+    """Authenticate a request and check its kind, key, deadline and body.
 
     Args:
-        incoming: The request as delivered.
+        incoming: The request as received.
         catalog: The templates in force.
-        request_id: Id for the request.
+        request_id: Unique id for the request.
         now: Seconds on the process's own clock.
 
     Raises:
-        RefusedError: What is wrong and how to mend it.
+        RefusedError: A check failed; the refusal says which and how to
+            correct the request.
     """
-    template = find_customer(catalog, incoming.bearer)
-    rules = template.request_kinds.get(incoming.kind)
-    if rules is None:
+    template = find_customer(catalog, incoming.authorization)
+    request_kind = template.request_kinds.get(incoming.kind)
+    if request_kind is None:
         detail = f"kind {incoming.kind!r} of customer {template.customer}"
         raise refuse(RefusalReason.UNKNOWN_KIND, detail)
-    if len(incoming.body) > rules.max_body:
-        detail = f"{len(incoming.body)} bytes of at most {rules.max_body}"
+    if len(incoming.body) > request_kind.max_body:
+        detail = f"{len(incoming.body)} bytes; at most {request_kind.max_body}"
         raise refuse(RefusalReason.BODY_TOO_LARGE, detail)
     check_json(incoming.body)
     digest = hashlib.blake2b(incoming.body, digest_size=16)
@@ -62,19 +69,19 @@
         id=request_id,
         template=template,
         kind=incoming.kind,
-        rules=rules,
+        request_kind=request_kind,
         body=incoming.body,
         digest=digest.hexdigest(),
-        key=check_key(incoming.key),
-        deadline=now + parse_timeout(incoming.timeout, rules.timeout_s),
+        idempotency_key=check_key(incoming.idempotency_key),
+        deadline=now + parse_timeout(incoming.timeout, request_kind.timeout_s),
     )
 
 
 def check_json(body: bytes) -> None:
-    """Refuse a body that isn't one JSON value.
+    """Check that a body is one JSON value.
 
     Raises:
-        RefusedError: Malformed JSON.
+        RefusedError: The body is malformed JSON.
     """
     try:
         orjson.loads(body)
@@ -83,12 +90,12 @@
 
 
 def check_key(key: str | None) -> str | None:
-    """Refuse an idempotency key that is too long or not printable.
+    """Check that an idempotency key is printable and not too long.
 
     Raises:
         RefusedError: The header is malformed.
     """
-    if key is None or _KEY.fullmatch(key):
+    if key is None or _IDEMPOTENCY_KEY.fullmatch(key):
         return key
     raise refuse(
         RefusalReason.MALFORMED_HEADER,
@@ -97,7 +104,7 @@
 
 
 def parse_timeout(text: str | None, default_s: float) -> float:
-    """Return the seconds that the caller still waits.
+    """Return the seconds that the caller is willing to wait.
 
     >>> parse_timeout("2.5", 10.0)
     2.5
@@ -105,7 +112,7 @@
     10.0
 
     Raises:
-        RefusedError: Not a number, or not above zero.
+        RefusedError: The value is not a number or not above zero.
     """
     if text is None:
         return default_s
@@ -114,9 +121,9 @@
     except ValueError:
         seconds = math.nan
     if math.isnan(seconds):
-        detail = f"Request-Timeout {text!r} is no number of seconds"
+        detail = f"Request-Timeout {text!r} is not a number of seconds"
         raise refuse(RefusalReason.MALFORMED_HEADER, detail)
     if seconds <= 0:
-        detail = f"Request-Timeout {text!r} has run out"
+        detail = f"Request-Timeout {text!r} is not above zero"
         raise refuse(RefusalReason.DEADLINE_PASSED, detail)
-    return min(seconds, _LONGEST_TIMEOUT_S)
+    return min(seconds, _MAX_TIMEOUT_S)
--- a/crocusrouter/requests/model.py
+++ b/crocusrouter/requests/model.py
@@ -1,4 +1,4 @@
-"""A small request on its way through the filter chain."""
+"""Data of a small request on its way through the filter chain."""
 
 import dataclasses
 
@@ -10,65 +10,66 @@
 
 @dataclasses.dataclass(frozen=True)
 class Incoming:
-    """A request as the HTTP server delivers it.
+    """A request as the HTTP server receives it, before any check.
 
     Attributes:
-        kind: Kind named in the path.
-        bearer: Value of the Authorization header, or None.
+        kind: Name of the request kind in the path.
+        authorization: Value of the Authorization header, or None.
         timeout: Value of the Request-Timeout header, or None.
-        key: Value of the Idempotency-Key header, or None.
+        idempotency_key: Value of the Idempotency-Key header, or None.
         body: The whole body.
-        content_type: Its media type.
+        content_type: Media type of the body.
     """
 
     kind: str
-    bearer: str | None
+    authorization: str | None
     timeout: str | None
-    key: str | None
+    idempotency_key: str | None
     body: bytes
     content_type: str = "application/json"
 
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """An identified request.
+    """An authenticated and validated request.
 
     Attributes:
-        id: Unique id, sent to endpoints and found in the logs.
-        template: Template of the customer who asks.
-        kind: Name of the kind.
-        rules: What the template says of the kind.
+        id: Unique id, sent to endpoints and written to the logs.
+        template: Template of the customer that sent the request.
+        kind: Name of the request kind.
+        request_kind: The template's settings for that kind.
         body: The whole body.
-        digest: Hash of kind and body, to tell a repeat from a reused key.
-        key: The caller's idempotency key, or None.
-        deadline: When the caller stops waiting, on our own clock.
+        digest: Hash of kind and body. It tells a repeated request from
+            another request with the same idempotency key.
+        idempotency_key: The caller's idempotency key, or None.
+        deadline: When the caller stops waiting, on this process's clock.
     """
 
     id: str
     template: Template
     kind: str
-    rules: RequestKind
+    request_kind: RequestKind
     body: bytes
     digest: str
-    key: str | None
+    idempotency_key: str | None
     deadline: float
 
     @property
     def customer(self) -> str:
-        """Who asks."""
+        """Name of the customer that sent the request."""
         return self.template.customer
 
 
 @dataclasses.dataclass(frozen=True)
-class Tried:
-    """What one dispatch came to.
+class AttemptResult:
+    """Result of one attempt to dispatch a request.
 
     Attributes:
-        answer: The answer if nothing more is tried.
-        retry: Why trying again could help, or None.
-        endpoint: The endpoint tried, if one was chosen.
+        answer: The answer to the caller if there is no further attempt.
+        retry_reason: Why another attempt could succeed, or None.
+        endpoint: Name of the runner that was tried; empty if none was chosen.
     """
 
     answer: Answer
-    retry: RetryReason | None = None
+    retry_reason: RetryReason | None = None
     endpoint: str = ""
--- a/crocusrouter/requests/tests/test_chain.py
+++ b/crocusrouter/requests/tests/test_chain.py
@@ -1,4 +1,4 @@
-"""How often a request that gets no answer is tried again."""
+"""Number of attempts for a request whose answers are lost."""
 
 import random
 
@@ -17,32 +17,32 @@
 from crocusrouter.templates import RequestKind
 from crocusrouter.templates import Template
 
-_LOST = model.Tried(
+_LOST = model.AttemptResult(
     Unknown(Refusal(RefusalReason.ANSWER_LOST)), RetryReason.ANSWER_LOST, "w"
 )
-_UNREACHABLE = model.Tried(
+_UNREACHABLE = model.AttemptResult(
     NotRun(Refusal(RefusalReason.NO_ENDPOINT)),
     RetryReason.ENDPOINT_UNREACHABLE,
     "w",
 )
-_DONE = model.Tried(Done(200, b""), None, "w")
+_DONE = model.AttemptResult(Done(200, b""), None, "w")
 
 
-class _Scripted:
-    """A dispatcher that gives prepared outcomes, the last one for ever."""
+class _ScriptedDispatcher:
+    """Returns prepared results in order and repeats the last one."""
 
-    def __init__(self, tries):
-        self.tries = list(tries)
+    def __init__(self, results):
+        self.results = list(results)
         self.count = 0
 
-    async def dispatch(self, call, avoided):
+    async def dispatch(self, request, tried_runners):
         self.count += 1
-        index = min(self.count, len(self.tries)) - 1
-        return self.tries[index]
+        index = min(self.count, len(self.results)) - 1
+        return self.results[index]
 
 
 @pytest.mark.parametrize(
-    ("tries", "count", "kind"),
+    ("results", "count", "answer_type"),
     [
         ([_LOST], 3, Unknown),
         ([_LOST, _DONE], 2, Done),
@@ -51,22 +51,24 @@
     ],
     ids=["always-lost", "lost-once", "mixed", "unreachable"],
 )
-async def test_request_that_loses_its_answers_ends(
-    tries, count, kind, autojump_clock
+async def test_request_stops_after_three_lost_answers(
+    results, count, answer_type, autojump_clock
 ):
-    """A request that ends each endpoint which takes it was tried on eleven of
-    them, until its customer's retries were used up.
+    """A request that crashes every endpoint isn't retried on all of them.
 
-    An endpoint that breaks off may have been ended by the request; the third
-    one tells, and the caller hears that nobody knows whether it ran. One that
-    could not be reached was not ended by it.
+    Such a request was tried on eleven endpoints, until its customer's retry
+    budget was spent. Three lost answers now end the retries, and the outcome
+    is unknown. An endpoint that can't be reached doesn't count, since the
+    request can't have crashed it.
     """
-    dispatcher = _Scripted(tries)
+    dispatcher = _ScriptedDispatcher(results)
     retrier = chain.Retrier(dispatcher, Metrics(), random.Random(1))
-    rules = RequestKind(service="s", idempotent=True)
+    request_kind = RequestKind(service="s", idempotent=True)
     template = Template("c", "0" * 64)
     deadline = trio.current_time() + 60.0
-    call = model.Call("id", template, "k", rules, b"", "", None, deadline)
-    answer = await retrier.run(call)
-    assert isinstance(answer, kind)
+    request = model.Call(
+        "id", template, "k", request_kind, b"", "", None, deadline
+    )
+    answer = await retrier.run(request)
+    assert isinstance(answer, answer_type)
     assert dispatcher.count == count
--- a/crocusrouter/requests/tests/test_claims_machine.py
+++ b/crocusrouter/requests/tests/test_claims_machine.py
@@ -1,8 +1,8 @@
-"""Random histories of keyed requests at several entries, against an oracle.
+"""Random histories of requests with keys, checked by an oracle.
 
-Callers repeat keys at other entries, entries restart and forget, peers can't
-reach each other, and the store refuses calls or loses answers. The oracle
-counts what really ran.
+Callers repeat keys at other entries, entries restart and lose their memory,
+entries can't reach each other, and the store refuses calls or loses answers.
+The oracle counts how often each request really ran.
 """
 
 import collections
@@ -27,22 +27,22 @@
 
 _ENTRIES = ("e1", "e2", "e3")
 _TEMPLATE = templates.Template("a", "0" * 64)
-_RULES = templates.RequestKind("matching", idempotent=False)
+_REQUEST_KIND = templates.RequestKind("matching", idempotent=False)
 _REFUSED = NotRun(Refusal(RefusalReason.NO_ENDPOINT))
 _LOST = Unknown(Refusal(RefusalReason.ANSWER_LOST))
 
 
 @dataclasses.dataclass(frozen=True)
-class _Call:
-    """One try: where, under which key, and what the endpoint does."""
+class _Attempt:
+    """One attempt: the entry asked, the key, and what the endpoint does."""
 
     entry: str
     key: str
-    fate: str
+    endpoint_outcome: str
 
 
-_CALLS = strategies.builds(
-    _Call,
+_ATTEMPTS = strategies.builds(
+    _Attempt,
     strategies.sampled_from(_ENTRIES),
     strategies.sampled_from(["k1", "k2"]),
     strategies.sampled_from(["done", "not-run", "lost", "slow"]),
@@ -50,7 +50,7 @@
 _OPERATIONS = strategies.one_of(
     strategies.tuples(
         strategies.just("calls"),
-        strategies.lists(_CALLS, min_size=1, max_size=3),
+        strategies.lists(_ATTEMPTS, min_size=1, max_size=3),
     ),
     strategies.tuples(
         strategies.just("restart"), strategies.sampled_from(_ENTRIES)
@@ -66,75 +66,91 @@
 
 
 class _History:
-    """Entries over one store, and what really ran."""
+    """A history of requests at entries that share a store.
 
-    def __init__(self, remembered=100):
-        self.remembered = remembered
+    `run_counts` holds how often each key really ran.
+    """
+
+    def __init__(self, max_remembered=100):
+        self.max_remembered = max_remembered
         self.service = fakes.FakeService()
-        self.ran = collections.Counter()
-        self.cut = False
+        self.run_counts = collections.Counter()
+        self.peers_unreachable = False
         self.entries = {}
         for name in _ENTRIES:
             self.restart(name)
 
     def restart(self, name):
-        held = claims.Claims(
+        entry_claims = claims.Claims(
             name,
             self.service.open_client(call_timeout_s=0.2),
             "claims/",
             self._ask_peer,
-            self._find_lease,
-            remembered=self.remembered,
+            self._get_lease,
+            max_remembered=self.max_remembered,
         )
-        self.entries[name] = held
+        self.entries[name] = entry_claims
 
-    async def _find_lease(self):
+    async def _get_lease(self):
         return 0
 
-    async def _ask_peer(self, entry, name):
+    async def _ask_peer(self, entry, claim_name):
         await trio.lowlevel.checkpoint()
-        return None if self.cut else self.entries[entry].recall(name)
+        return (
+            None
+            if self.peers_unreachable
+            else self.entries[entry].recall(claim_name)
+        )
 
     async def run(self, operations):
-        for kind, argument in operations:
-            if kind == "calls":
+        for operation, argument in operations:
+            if operation == "calls":
                 async with trio.open_nursery() as nursery:
-                    for one in argument:
-                        nursery.start_soon(self.call, one)
-            elif kind == "restart":
+                    for attempt in argument:
+                        nursery.start_soon(self.run_attempt, attempt)
+            elif operation == "restart":
                 self.restart(argument)
-            elif kind == "cut":
-                self.cut = argument
+            elif operation == "cut":
+                self.peers_unreachable = argument
             else:
                 self.service.failures = list(argument)
 
-    async def call(self, one):
-        held = self.entries[one.entry]
-        body = one.key.encode()
-        call = model.Call(
-            "id", _TEMPLATE, "reserve", _RULES, body, one.key, one.key, 1e9
+    async def run_attempt(self, attempt):
+        entry_claims = self.entries[attempt.entry]
+        body = attempt.key.encode()
+        request = model.Call(
+            "id",
+            _TEMPLATE,
+            "reserve",
+            _REQUEST_KIND,
+            body,
+            attempt.key,
+            attempt.key,
+            1e9,
         )
 
         async def dispatch(_):
-            if one.fate == "not-run":
+            if attempt.endpoint_outcome == "not-run":
                 return _REFUSED
-            self.ran[one.key] += 1
-            if one.fate == "slow":
+            self.run_counts[attempt.key] += 1
+            if attempt.endpoint_outcome == "slow":
                 await trio.sleep(1.0)
-            return _LOST if one.fate == "lost" else Done(200, body)
+            return (
+                _LOST if attempt.endpoint_outcome == "lost" else Done(200, body)
+            )
 
-        began_with = self.ran[one.key]
-        answer = await chain.ClaimFilter(held)(call, dispatch)
-        self.check(one, answer, began_with)
+        runs_before = self.run_counts[attempt.key]
+        answer = await chain.ClaimFilter(entry_claims)(request, dispatch)
+        self.check(attempt, answer, runs_before)
 
-    def check(self, one, answer, began_with):
-        """The oracle: at most one run, and only true answers."""
-        assert self.ran[one.key] <= 1, one
+    def check(self, attempt, answer, runs_before):
+        """Check that a key ran at most once and that the answer is true."""
+        assert self.run_counts[attempt.key] <= 1, attempt
         if isinstance(answer, NotRun):
-            assert began_with == 0, (one, answer)
+            assert runs_before == 0, (attempt, answer)
         if isinstance(answer, Done):
-            assert self.ran[one.key] == 1
-            assert answer.body == one.key.encode()
+            assert self.run_counts[attempt.key] == 1
+            assert answer.body == attempt.key.encode()
 
 
 @hypothesis.settings(parent=fuzzing.build_settings(150, 50))
@@ -146,43 +162,44 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-# Regression: the caller repeats a key long after its request ran. Other keys
-# have pushed the claim out of the entry's memory; taking it for a write that
-# never took effect ran the request again.
-def test_forgotten_claim_runs_no_second_time():
+# Regression: a caller repeats a key long after its request ran, when other keys
+# have evicted the claim from the entry's memory. The entry mistook the claim
+# for a write that had not taken effect, and ran the request again.
+def test_evicted_claim_does_not_run_again():
     async def main():
-        history = _History(remembered=1)
+        history = _History(max_remembered=1)
         for key in ("k1", "k2", "k1"):
-            await history.call(_Call("e1", key, "done"))
-        return history.ran["k1"]
+            await history.run_attempt(_Attempt("e1", key, "done"))
+        return history.run_counts["k1"]
 
     clock = trio.testing.MockClock(autojump_threshold=0)
     assert trio.run(main, clock=clock) == 1
 
 
-# The caller hangs up while its reservation runs, and asks again later. What
-# was cancelled here may have run there: the truth is unknown.
-def test_cancelled_request_is_not_taken_for_one_that_did_not_run():
+# A caller disconnects while its request runs, and sends the request again
+# later. The cancelled request may have run at the endpoint, so its outcome is
+# unknown.
+def test_cancelled_request_is_not_recorded_as_not_run():
     async def main():
         history = _History()
         with trio.move_on_after(0.5):
-            await history.call(_Call("e1", "k1", "slow"))
-        await history.call(_Call("e1", "k1", "done"))
-        await history.call(_Call("e2", "k1", "done"))
-        return history.ran["k1"]
+            await history.run_attempt(_Attempt("e1", "k1", "slow"))
+        await history.run_attempt(_Attempt("e1", "k1", "done"))
+        await history.run_attempt(_Attempt("e2", "k1", "done"))
+        return history.run_counts["k1"]
 
     clock = trio.testing.MockClock(autojump_threshold=0)
     assert trio.run(main, clock=clock) == 1
 
 
 def test_keys_run_at_most_once_machine_reaches_repeats():
-    """The histories are worth something only if keys are repeated."""
-    calls = [_Call("e1", "k1", "done"), _Call("e2", "k1", "done")]
+    """A random history is a useful test only if it repeats keys."""
+    attempts = [_Attempt("e1", "k1", "done"), _Attempt("e2", "k1", "done")]
 
     async def main():
         history = _History()
-        await history.run([("calls", [one]) for one in calls])
-        return history.ran["k1"]
+        await history.run([("calls", [attempt]) for attempt in attempts])
+        return history.run_counts["k1"]
 
     clock = trio.testing.MockClock(autojump_threshold=0)
     assert trio.run(main, clock=clock) == 1
--- a/crocusrouter/requests/tests/test_pool.py
+++ b/crocusrouter/requests/tests/test_pool.py
@@ -1,3 +1,5 @@
+"""Waiting for slots of runners: deadlines, order and cancellation."""
+
 import dataclasses
 import random
 
@@ -14,75 +16,80 @@
 _VM = Vm("run0", Role.RUNNER, "127.0.0.1:1", "dc", service="matching", slots=1)
 
 
-def _open_pool(service_s=1.0, **fields):
-    runners = pool.RunnerPool(random.Random(1))
-    runners.set_runners([dataclasses.replace(_VM, **fields)])
-    [runner] = runners._runners["matching"].values()
-    runner.load = dataclasses.replace(runner.load, service_s=service_s)
-    return runners
+def _create_pool(service_time_s=1.0, **vm_fields):
+    runner_pool = pool.RunnerPool(random.Random(1))
+    runner_pool.set_runners([dataclasses.replace(_VM, **vm_fields)])
+    [runner] = runner_pool._runners_by_service["matching"].values()
+    runner.load = dataclasses.replace(
+        runner.load, service_time_s=service_time_s
+    )
+    return runner_pool
 
 
-# The caller waits 1.5 s. The only slot is taken for another second, and the
-# answer takes one as well. Let in, the request would get the slot with half a
-# second left and use it for an answer that nobody awaits; under overload half
-# of the capacity went that way. It is refused at once instead.
+# The only slot is in use for another second, and an answer takes a second
+# too. If a request with a deadline of 1.5 s waited, it would get the slot with
+# half a second left and occupy it for an answer that nobody waits for. Under
+# overload, half of the capacity was lost that way, so the request is refused
+# at once.
 @pytest.mark.parametrize(
     ("left_s", "refused"), [(0.5, True), (1.5, True), (2.5, False)]
 )
-async def test_slot_that_comes_too_late(autojump_clock, left_s, refused):
-    runners = _open_pool()
-    first = await runners.acquire("matching", frozenset(), 1e9)
+async def test_request_is_refused_if_slot_comes_too_late(
+    autojump_clock, left_s, refused
+):
+    runner_pool = _create_pool()
+    slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
     started_at = trio.current_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_release_after, runners, first, 1.0)
+        nursery.start_soon(_release_after, runner_pool, slot, 1.0)
         deadline = started_at + left_s
         if not refused:
-            await runners.acquire("matching", frozenset(), deadline)
+            await runner_pool.acquire_slot("matching", frozenset(), deadline)
             return
         with pytest.raises(RefusedError) as caught:
-            await runners.acquire("matching", frozenset(), deadline)
+            await runner_pool.acquire_slot("matching", frozenset(), deadline)
         refusal = caught.value.refusal
         assert refusal.reason is RefusalReason.DEADLINE_UNMEETABLE
         assert refusal.retry_after_s > 0
         assert trio.current_time() == started_at
 
 
-async def _release_after(runners, runner, seconds):
+async def _release_after(runner_pool, slot, seconds):
     await trio.sleep(seconds)
-    runners.release(runner)
+    runner_pool.release_slot(slot)
 
 
-async def test_slots_go_first_come_first_served(autojump_clock):
-    runners = _open_pool(service_s=0.1)
-    first = await runners.acquire("matching", frozenset(), 1e9)
+async def test_slots_are_granted_in_fifo_order(autojump_clock):
+    runner_pool = _create_pool(service_time_s=0.1)
+    first_slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
     order = []
 
-    async def wait(number):
-        runner = await runners.acquire("matching", frozenset(), 1e9)
+    async def use_slot(number):
+        slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
         order.append(number)
         await trio.sleep(0.1)
-        runners.release(runner)
+        runner_pool.release_slot(slot)
 
     async with trio.open_nursery() as nursery:
         for number in range(5):
-            nursery.start_soon(wait, number)
+            nursery.start_soon(use_slot, number)
             await trio.sleep(0.01)
-        runners.release(first)
+        runner_pool.release_slot(first_slot)
     assert order == [0, 1, 2, 3, 4]
 
 
-async def test_caller_that_hangs_up_leaves_the_queue(autojump_clock):
-    runners = _open_pool()
-    first = await runners.acquire("matching", frozenset(), 1e9)
+async def test_cancelled_caller_leaves_the_queue(autojump_clock):
+    runner_pool = _create_pool()
+    first_slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
     with trio.move_on_after(0.5):
-        await runners.acquire("matching", frozenset(), 1e9)
-    runners.release(first)
-    again = await runners.acquire("matching", frozenset(), 1e9)
-    assert again.runner.load.in_flight == 1
+        await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+    runner_pool.release_slot(first_slot)
+    second_slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+    assert second_slot.runner.load.in_flight == 1
 
 
-async def test_leaving_runner_is_no_endpoint(autojump_clock):
-    runners = _open_pool(state=VmState.LEAVING)
+async def test_leaving_runner_gets_no_requests(autojump_clock):
+    runner_pool = _create_pool(state=VmState.LEAVING)
     with pytest.raises(RefusedError) as caught:
-        await runners.acquire("matching", frozenset(), 1e9)
+        await runner_pool.acquire_slot("matching", frozenset(), 1e9)
     assert caught.value.refusal.reason is RefusalReason.NO_ENDPOINT
