--- a/crocusrouter/store/__init__.py
+++ b/crocusrouter/store/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service."""
+"""Access to the platform's key-value service."""
 
 from crocusrouter.store.client import StoreClient
 from crocusrouter.store.client import StoreUnavailableError
--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service."""
+"""Client of the platform's key-value service with compare-and-swap."""
 
 from collections.abc import AsyncGenerator
 from collections.abc import Callable
@@ -9,22 +9,22 @@
 import trio
 
 from crocusrouter.outcomes import RetryReason
-from crocusrouter.store import budget
 from crocusrouter.store import records
+from crocusrouter.store import token_bucket
 from crocusrouter.store import wire
 from crocusrouter.telemetry import Metrics
 
-_FIRST_BACKOFF_S = 0.05
-_LONGEST_BACKOFF_S = 2.0
-_OK = 200
+_INITIAL_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 2.0
+_STATUS_OK = 200
 
-# Failures before any byte of the call left this process.
-_NOT_SENT = (
+# Errors raised before any byte of the call was sent.
+_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
 )
-_FAILURES = (
+_CALL_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -32,11 +32,11 @@
 
 
 class StoreUnavailableError(Exception):
-    """A read or a watch got no usable answer; try again after a back-off."""
+    """A read or watch got no usable answer; retry after a back-off."""
 
 
 class _AnswerLostError(Exception):
-    """The call may have taken effect; its answer did not arrive."""
+    """The call may have taken effect, but its answer was lost."""
 
 
 class _NotTakenError(Exception):
@@ -44,11 +44,11 @@
 
 
 class StoreClient:
-    """Reads, compare-and-swaps and watches, within a budget of calls.
+    """Reads, swaps and watches keys, within a limited rate of calls.
 
-    No call is ever made twice without need: a compare-and-swap names the
-    revision that it replaces, so a repetition of a write that already took
-    effect fails its comparison, and its write id tells that it was ours.
+    A swap can be repeated safely: it names the revision that it replaces, so
+    if the first call took effect, the second one fails its comparison. The
+    write id in the current record then shows that this client wrote it.
     """
 
     def __init__(
@@ -63,25 +63,27 @@
     ) -> None:
         self._url = url.rstrip("/")
         self._metrics = metrics
-        self._timeout_s = call_timeout_s
-        self._rate = calls_per_s
+        self._call_timeout_s = call_timeout_s
+        self._calls_per_s = calls_per_s
         self._burst = burst
-        self._budget: budget.Budget | None = None
-        self._random = random.Random(seed)
+        self._bucket: token_bucket.TokenBucket | None = None
+        self._rng = random.Random(seed)
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=None, keepalive_expiry=30.0
         )
         self.failing_since: float | None = None
 
     async def read(self, key: str) -> records.Record | None:
-        """Return the record of `key`, or None if there is none.
+        """Return the record of `key`, or None if the key does not exist.
 
         Raises:
             StoreUnavailableError: No usable answer in time.
         """
-        body = await self._read("read", wire.RANGE_PATH, wire.build_read(key))
-        found = wire.parse_snapshot(body).records
-        return found[0] if found else None
+        body = await self._read(
+            "read", wire.RANGE_PATH, wire.build_read_request(key)
+        )
+        matches = wire.parse_snapshot(body).records
+        return matches[0] if matches else None
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
         """Return all records under `prefix` as of one revision.
@@ -89,17 +91,17 @@
         Raises:
             StoreUnavailableError: No usable answer in time.
         """
-        request = wire.build_range(prefix)
+        request = wire.build_range_request(prefix)
         body = await self._read("range", wire.RANGE_PATH, request)
         return wire.parse_snapshot(body)
 
     async def grant(self, ttl_s: int) -> int:
-        """Return the identity of a new lease of `ttl_s` seconds.
+        """Create a lease of `ttl_s` seconds and return its id.
 
         Raises:
             StoreUnavailableError: No usable answer in time.
         """
-        request = wire.build_grant(ttl_s)
+        request = wire.build_grant_request(ttl_s)
         return wire.parse_grant(
             await self._read("grant", wire.GRANT_PATH, request)
         )
@@ -115,29 +117,29 @@
     ) -> records.SwapOutcome:
         """Replace the record `expected` by `value`, or create the key.
 
-        A lost answer is settled before anyone is told: the same swap is sent
-        again. If the first one took effect, the second one conflicts and the
-        current record carries our write id.
+        If an answer is lost, the same swap is sent again. If the first call
+        took effect, the second one conflicts and the current record holds the
+        write id of this swap.
 
         Args:
             key: The whole key.
-            expected: The record to replace; None if there must be none.
-            value: The new body.
-            patience_s: How long to try before giving up.
-            lease: Lease under which the key lives, or 0.
+            expected: The record to replace; None if the key must not exist.
+            value: The new value.
+            patience_s: How long to retry before giving up.
+            lease: Lease to which the key is attached, or 0.
 
         Returns:
-            Committed, Conflict or Unavailable; the last one says whether the
-            write may have taken effect all the same.
+            Committed, Conflict, Superseded or Unavailable. Unavailable says
+            whether the write may have taken effect all the same.
         """
         write_id = records.new_write_id()
-        earlier = expected.write_ids if expected is not None else ()
-        data = records.wrap(value, write_id, earlier)
+        earlier_write_ids = expected.write_ids if expected is not None else ()
+        envelope = records.wrap(value, write_id, earlier_write_ids)
         revision = expected.revision if expected is not None else 0
-        request = wire.build_swap(key, revision, data, lease)
+        request = wire.build_swap_request(key, revision, envelope, lease)
         maybe_written = False
-        cause = "no time left"
-        delays = self._delays()
+        cause = "timed out before the first call ended"
+        backoff = self._start_backoff()
         with trio.move_on_after(patience_s):
             while True:
                 try:
@@ -153,8 +155,10 @@
                     maybe_written = True
                     raise
                 else:
-                    return _settle(key, value, write_id, earlier, answer)
-                await trio.sleep(next(delays))
+                    return _resolve_swap(
+                        key, value, write_id, earlier_write_ids, answer
+                    )
+                await trio.sleep(next(backoff))
         return records.Unavailable(cause, maybe_written, write_id)
 
     async def watch(
@@ -167,16 +171,17 @@
     ) -> AsyncGenerator[tuple[records.Event, ...], None]:
         """Yield the changes under `prefix` from `start_revision` on.
 
-        A connection can go silent for good while new ones work, so a watch
-        that says nothing for `silence_limit_s` ends; its caller reads again
-        and opens a new one, which is enough to see whatever it missed.
+        A connection can go silent permanently while new connections work, so
+        a watch that receives nothing for `silence_limit_s` ends. The caller
+        then reads the prefix again and opens a new watch, so that no change
+        is missed.
 
         Raises:
-            StoreUnavailableError: The watch broke or can't be opened.
+            StoreUnavailableError: The watch failed or can't be opened.
         """
-        request = wire.build_watch(prefix, start_revision)
-        timeouts = self._timeouts() | {"read": silence_limit_s}
-        await self._wait_for_budget()
+        request = wire.build_watch_request(prefix, start_revision)
+        timeouts = self._build_timeouts() | {"read": silence_limit_s}
+        await self._wait_for_token()
         buffer = b""
         try:
             async with self._pool.stream(
@@ -185,8 +190,8 @@
                 content=request,
                 extensions={"timeout": timeouts},
             ) as response:
-                self._count("watch", response.status)
-                if response.status != _OK:
+                self._record_result("watch", response.status)
+                if response.status != _STATUS_OK:
                     raise StoreUnavailableError(f"status {response.status}")
                 if on_open is not None:
                     on_open()
@@ -196,13 +201,13 @@
                         events = wire.parse_events(line)
                         if events:
                             yield events
-        except _FAILURES as error:
-            self._count("watch", type(error).__name__)
-            raise StoreUnavailableError(_describe(error)) from error
+        except _CALL_ERRORS as error:
+            self._record_result("watch", type(error).__name__)
+            raise StoreUnavailableError(_describe_error(error)) from error
 
     async def aclose(self) -> None:
         """Close all connections."""
-        with contextlib.suppress(*_FAILURES):
+        with contextlib.suppress(*_CALL_ERRORS):
             await self._pool.aclose()
 
     async def _read(self, call: str, path: str, request: bytes) -> bytes:
@@ -212,72 +217,82 @@
             raise StoreUnavailableError(str(error)) from error
 
     async def _call(self, call: str, path: str, request: bytes) -> bytes:
-        await self._wait_for_budget()
+        await self._wait_for_token()
         try:
             response = await self._pool.request(
                 "POST",
                 self._url + path,
                 content=request,
-                extensions={"timeout": self._timeouts()},
+                extensions={"timeout": self._build_timeouts()},
             )
-        except _NOT_SENT as error:
-            self._count(call, type(error).__name__)
-            raise _NotTakenError(_describe(error)) from error
-        except _FAILURES as error:
-            self._count(call, type(error).__name__)
-            raise _AnswerLostError(_describe(error)) from error
-        self._count(call, response.status)
-        if response.status != _OK:
-            # Not a proof that nothing was written: a gateway may fail after
-            # the service has applied the write.
+        except _NOT_SENT_ERRORS as error:
+            self._record_result(call, type(error).__name__)
+            raise _NotTakenError(_describe_error(error)) from error
+        except _CALL_ERRORS as error:
+            self._record_result(call, type(error).__name__)
+            raise _AnswerLostError(_describe_error(error)) from error
+        self._record_result(call, response.status)
+        if response.status != _STATUS_OK:
+            # The write may have taken effect: a gateway can fail after the
+            # service has applied a write.
             raise _AnswerLostError(f"status {response.status}")
         return response.content
 
-    async def _wait_for_budget(self) -> None:
+    async def _wait_for_token(self) -> None:
         now = trio.current_time()
-        held = self._budget or budget.open_budget(self._rate, self._burst, now)
-        self._budget, wait_s = budget.take(held, now)
+        bucket = self._bucket or token_bucket.open_bucket(
+            self._calls_per_s, self._burst, now
+        )
+        self._bucket, wait_s = token_bucket.take_token(bucket, now)
         await trio.sleep(wait_s)
 
-    def _timeouts(self) -> dict[str, float]:
-        names = ("connect", "read", "write", "pool")
-        return dict.fromkeys(names, self._timeout_s)
+    def _build_timeouts(self) -> dict[str, float]:
+        phases = ("connect", "read", "write", "pool")
+        return dict.fromkeys(phases, self._call_timeout_s)
 
-    def _count(self, call: str, result: int | str) -> None:
+    def _record_result(self, call: str, result: int | str) -> None:
         self._metrics.count_store_call(call, str(result))
-        if result == _OK:
+        if result == _STATUS_OK:
             self.failing_since = None
         elif self.failing_since is None:
             self.failing_since = trio.current_time()
 
-    def _delays(self) -> "_Delays":
-        return _Delays(self._random)
+    def _start_backoff(self) -> "_Backoff":
+        return _Backoff(self._rng)
 
 
-class _Delays:
-    """Doubling delays with full jitter, so that callers don't stampede."""
+class _Backoff:
+    """Exponential back-off with full jitter, so that callers spread out."""
 
     def __init__(self, rng: random.Random) -> None:
-        self._random = rng
-        self._limit_s = _FIRST_BACKOFF_S
+        self._rng = rng
+        self._limit_s = _INITIAL_BACKOFF_S
 
     def __next__(self) -> float:
-        delay_s = self._random.uniform(0.0, self._limit_s)
-        self._limit_s = min(self._limit_s * 2, _LONGEST_BACKOFF_S)
+        delay_s = self._rng.uniform(0.0, self._limit_s)
+        self._limit_s = min(self._limit_s * 2, _MAX_BACKOFF_S)
         return delay_s
 
 
-def _settle(
+def _resolve_swap(
     key: str,
     value: bytes,
     write_id: bytes,
-    earlier: tuple[bytes, ...],
+    earlier_write_ids: tuple[bytes, ...],
     answer: int | records.Conflict,
 ) -> records.SwapOutcome:
-    """Tell whether a swap won, also when its first answer was lost."""
+    """Return the outcome of a swap, also if an earlier answer was lost.
+
+    Args:
+        key: The whole key.
+        value: The new value.
+        write_id: Write id of this swap.
+        earlier_write_ids: Write ids of the record that it replaces.
+        answer: The new revision, or the conflict.
+    """
     if isinstance(answer, int):
-        ids = (write_id, *earlier)[: records.REMEMBERED_WRITES]
-        return records.Committed(records.Record(key, value, answer, ids))
+        write_ids = (write_id, *earlier_write_ids)[: records.REMEMBERED_WRITES]
+        return records.Committed(records.Record(key, value, answer, write_ids))
     current = answer.current
     if current is None or write_id not in current.write_ids:
         return answer
@@ -286,7 +301,7 @@
     return records.Superseded(current)
 
 
-def _describe(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     return (
         f"{type(error).__name__}: {error}"
         if str(error)
--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed.py
@@ -1,8 +1,9 @@
-"""A store that remembers whether it answered last, and how fast.
+"""Store wrapper that detects outages from the results of calls.
 
-An answer can get lost while its connection stays open and goes on answering
-keep-alive probes, so a watch that was open then waits for nothing. Other calls
-of the process show such an outage within a second or so; it ends all watches.
+An answer can be lost while its connection stays open and still responds to
+keep-alive probes, so an open watch could wait for an answer that never comes.
+Other calls of the process fail within about a second of such an outage. The
+first failure ends all open watches.
 """
 
 from collections.abc import Callable
@@ -15,24 +16,24 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 
-# One lost answer is no outage; calls that fail for this long are.
+# A single lost answer is not an outage; failures for this long are.
 _DOWN_AFTER_S = 0.25
-# An answered watch is back this long after its waiting time; with answers
-# 70 times slower than usual (0.28 s) it still is.
+# The answer to a watch arrives within this time after its waiting time ends,
+# even if answers take 70 times as long as usual (0.28 s).
 WATCH_GRACE_S = 0.4
-# Where answers are seen to take longer, watches are given as many times that,
-# or none of them would ever be heard.
+# If the slowest recent answer took longer, the grace time of a watch is this
+# many times as long; otherwise every watch would time out before its answer.
 _GRACE_FACTOR = 2.0
-_LONGEST_GRACE_S = 2.0
-# Share of the slowest answer that is remembered at each further answer.
-_FADING = 0.8
+_MAX_WATCH_GRACE_S = 2.0
+# Factor by which the slowest answer time decays with each further answer.
+_SLOWEST_ANSWER_DECAY = 0.8
 
 
 class ObservedStore:
-    """Passes calls on and notes how they end; implements `KeyValueStore`.
+    """Forwards calls and records their results; implements `KeyValueStore`.
 
-    Watches, renewals and reads go on while the store is away, so its return
-    is noticed without trying the writes of callers.
+    Watches, lease renewals and reads continue during an outage, so its end is
+    noticed without sending the writes of callers.
     """
 
     def __init__(
@@ -41,77 +42,81 @@
         """Wrap a store.
 
         Args:
-            store: Where calls go.
-            read_clock: Returns steady seconds.
+            store: The store to which calls are forwarded.
+            read_clock: Returns seconds on a monotonic clock that continues
+                while the process is suspended.
         """
         self._store = store
         self._read_clock = read_clock
         self._failing_since: float | None = None
-        self._slowest_s = 0.0
-        self._watching: set[trio.CancelScope] = set()
+        self._slowest_answer_s = 0.0
+        self._watch_scopes: set[trio.CancelScope] = set()
 
     def is_failing(self) -> bool:
-        """Tell whether the last call that ended has failed."""
+        """Tell whether the latest completed call failed."""
         return self._failing_since is not None
 
     def is_down(self) -> bool:
-        """Tell whether the store has failed for a while and not served."""
+        """Tell whether calls have failed for long enough to be an outage."""
         since = self._failing_since
         if since is None:
             return False
         return self._read_clock() >= since + _DOWN_AFTER_S
 
     def measure_outage(self) -> float:
-        """Return for how many seconds no call has been served."""
+        """Return the seconds since calls started to fail; 0 if they succeed."""
         since = self._failing_since
         return 0.0 if since is None else self._read_clock() - since
 
     def end_watches(self) -> None:
-        """End all open watches: their answers may have been lost."""
-        for scope in list(self._watching):
+        """End all open watches, since their answers may have been lost."""
+        for scope in list(self._watch_scopes):
             scope.cancel()
 
-    def find_watch_grace(self) -> float:
-        """Return the seconds that a watch's answer may take on its way."""
-        wanted = _GRACE_FACTOR * self._slowest_s
-        return min(_LONGEST_GRACE_S, max(WATCH_GRACE_S, wanted))
+    def get_watch_grace(self) -> float:
+        """Return how many seconds after its waiting time a watch times out."""
+        grace_s = _GRACE_FACTOR * self._slowest_answer_s
+        return min(_MAX_WATCH_GRACE_S, max(WATCH_GRACE_S, grace_s))
 
-    def _note(self, served: bool) -> None:
-        if served:
+    def _record_result(self, succeeded: bool) -> None:
+        if succeeded:
             self._failing_since = None
         elif self._failing_since is None:
             self._failing_since = self._read_clock()
             self.end_watches()
 
-    def _note_answer(self, began: float) -> None:
-        took = self._read_clock() - began
-        self._slowest_s = max(took, _FADING * self._slowest_s)
+    def _record_answer_time(self, started_at: float) -> None:
+        elapsed_s = self._read_clock() - started_at
+        self._slowest_answer_s = max(
+            elapsed_s, _SLOWEST_ANSWER_DECAY * self._slowest_answer_s
+        )
 
     @contextlib.contextmanager
-    def _noting(self, *, paged: bool = False) -> Iterator[None]:
-        """Note how the call in the body ends.
+    def _observe_call(self, *, is_paged: bool = False) -> Iterator[None]:
+        """Record the result of the call in the body.
 
         Args:
-            paged: Whether it is several calls; its time tells nothing then.
+            is_paged: Whether the call reads several pages. Its time is then
+                not the time of one answer and isn't recorded.
         """
-        began = self._read_clock()
+        started_at = self._read_clock()
         try:
             yield
         except client.StoreUnavailableError:
-            self._note(served=False)
+            self._record_result(succeeded=False)
             raise
-        self._note(served=True)
-        if not paged:
-            self._note_answer(began)
+        self._record_result(succeeded=True)
+        if not is_paged:
+            self._record_answer_time(started_at)
 
     async def read(self, key: str) -> records.Record | None:
         """See `port.KeyValueStore`."""
-        with self._noting():
+        with self._observe_call():
             return await self._store.read(key)
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
         """See `port.KeyValueStore`."""
-        with self._noting(paged=True):
+        with self._observe_call(is_paged=True):
             return await self._store.read_prefix(prefix)
 
     async def write(
@@ -123,14 +128,14 @@
         timeout_s: float = 1.0,
     ) -> port.WriteOutcome:
         """See `port.KeyValueStore`."""
-        began = self._read_clock()
+        started_at = self._read_clock()
         outcome = await self._store.write(
             guards, writes, removals, timeout_s=timeout_s
         )
         failed = isinstance(outcome, port.NotWritten | port.MaybeWritten)
-        self._note(served=not failed)
+        self._record_result(succeeded=not failed)
         if not failed:
-            self._note_answer(began)
+            self._record_answer_time(started_at)
         return outcome
 
     async def watch(
@@ -138,43 +143,47 @@
     ) -> port.Changes:
         """See `port.KeyValueStore`.
 
-        The time for an answer counts from here and includes connecting.
+        The time limit starts with this call and includes connecting.
 
         Raises:
-            HistoryGoneError: Read the prefix again.
+            HistoryGoneError: The changes are gone; read the prefix again.
             StoreUnavailableError: No answer in time, or it may be lost.
         """
-        limit_s = wait_s + self.find_watch_grace()
-        began = self._read_clock()
+        limit_s = wait_s + self.get_watch_grace()
+        started_at = self._read_clock()
         with trio.move_on_after(limit_s) as scope:
-            self._watching.add(scope)
+            self._watch_scopes.add(scope)
             try:
                 changes = await self._store.watch(prefix, revision, wait_s)
             except client.StoreUnavailableError:
-                self._note(served=False)
+                self._record_result(succeeded=False)
                 raise
             finally:
-                self._watching.discard(scope)
+                self._watch_scopes.discard(scope)
         if scope.cancelled_caught:
             if trio.current_time() < scope.deadline:
-                raise client.StoreUnavailableError("ended by an outage")
-            self._note(served=False)
+                raise client.StoreUnavailableError(
+                    "the watch was ended because another call failed"
+                )
+            self._record_result(succeeded=False)
             raise client.StoreUnavailableError(
                 f"no answer to a watch within {limit_s:.2f} s"
             )
-        if self._read_clock() - began > limit_s:
-            # The process was suspended, and the answer is as old as that. The
-            # clock of the time limit stood still meanwhile, this one did not.
-            raise client.StoreUnavailableError("an answer from before a pause")
-        self._note(served=True)
+        if self._read_clock() - started_at > limit_s:
+            # The process was suspended, and the answer is from before that.
+            # The clock of the time limit stopped meanwhile; this clock didn't.
+            raise client.StoreUnavailableError(
+                "the answer is from before the process was suspended"
+            )
+        self._record_result(succeeded=True)
         return changes
 
     async def grant(self, ttl_s: float) -> int:
         """See `port.KeyValueStore`."""
-        with self._noting():
+        with self._observe_call():
             return await self._store.grant(ttl_s)
 
     async def keep(self, lease: int) -> bool:
         """See `port.KeyValueStore`."""
-        with self._noting():
+        with self._observe_call():
             return await self._store.keep(lease)
--- a/crocusrouter/store/port.py
+++ b/crocusrouter/store/port.py
@@ -1,4 +1,4 @@
-"""What the pools' controllers ask of the key-value service."""
+"""Interface of the key-value service that the pools' controllers use."""
 
 import dataclasses
 from typing import Protocol
@@ -8,11 +8,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Guard:
-    """A condition of a write.
+    """A condition of a write: the key must be at the given revision.
 
     Attributes:
         key: The whole key.
-        revision: Revision of its last change; 0 if it must not exist.
+        revision: Revision of the key's last change; 0 if the key must not
+            exist.
     """
 
     key: str
@@ -21,12 +22,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Write:
-    """One key to write.
+    """A write of one key.
 
     Attributes:
         key: The whole key.
-        value: The new body.
-        lease: Lease under which the key lives, or 0.
+        value: The new value.
+        lease: Lease to which the key is attached, or 0.
     """
 
     key: str
@@ -46,7 +47,7 @@
     """A guard failed and nothing was written.
 
     Attributes:
-        current: The guarded keys that exist, as they are now.
+        current: Current records of those guarded keys that exist.
     """
 
     current: dict[str, records.Record]
@@ -54,19 +55,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseEnded:
-    """The lease that a write names has ended; nothing was written."""
+    """The lease of a write has expired; nothing was written."""
 
 
 @dataclasses.dataclass(frozen=True)
 class NotWritten:
-    """The service refused or wasn't reached; nothing was written."""
+    """The service refused or was unreachable; nothing was written."""
 
     cause: str
 
 
 @dataclasses.dataclass(frozen=True)
 class MaybeWritten:
-    """No answer: the writes may have taken effect, or may still do so."""
+    """No answer: the writes may have taken effect, or may still take effect."""
 
     cause: str
 
@@ -76,28 +77,32 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-    """What a watch saw, and the revision up to which it saw everything."""
+    """Events of a watch, complete up to a revision."""
 
     events: tuple[records.Event, ...]
     revision: int
 
 
 class HistoryGoneError(Exception):
-    """The service no longer knows the changes since the given revision."""
+    """The service no longer has the changes since the given revision."""
 
 
 class KeyValueStore(Protocol):
-    """The key-value service, whatever its wire."""
+    """The key-value service, independent of its protocol."""
 
     async def read(self, key: str) -> records.Record | None:
-        """Return a key's record; raises StoreUnavailableError."""
+        """Return the record of a key, or None if the key does not exist.
+
+        Raises:
+            StoreUnavailableError: No usable answer.
+        """
         ...
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
-        """Return all records under a prefix, at least as of its revision.
+        """Return all records under a prefix, at the returned revision or later.
 
-        Pages are read one after another. The revision is the first page's,
-        so a watch from there misses nothing.
+        The pages of the answer are read one after another. The revision is
+        that of the first page, so a watch from that revision misses no change.
 
         Raises:
             StoreUnavailableError: No usable answer.
@@ -112,26 +117,37 @@
         *,
         timeout_s: float = 1.0,
     ) -> WriteOutcome:
-        """Write all or nothing, if every guard holds."""
+        """Write all keys atomically if every guard matches.
+
+        Args:
+            guards: Conditions of the write.
+            writes: Keys to write.
+            removals: Keys to delete.
+            timeout_s: How long to wait for the answer.
+        """
         ...
 
     async def watch(self, prefix: str, revision: int, wait_s: float) -> Changes:
         """Wait for changes after `revision`.
 
         Raises:
-            HistoryGoneError: Read the prefix again.
+            HistoryGoneError: The changes are gone; read the prefix again.
             StoreUnavailableError: No usable answer.
         """
         ...
 
     async def grant(self, ttl_s: float) -> int:
-        """Open a lease; raises StoreUnavailableError."""
+        """Create a lease and return its id.
+
+        Raises:
+            StoreUnavailableError: No usable answer.
+        """
         ...
 
     async def keep(self, lease: int) -> bool:
-        """Renew a lease; False if it has ended.
+        """Renew a lease; return False if it has expired.
 
         Raises:
-            StoreUnavailableError: Nobody knows whether it was renewed.
+            StoreUnavailableError: The lease may or may not have been renewed.
         """
         ...
--- a/crocusrouter/store/records.py
+++ b/crocusrouter/store/records.py
@@ -1,4 +1,4 @@
-"""Records of the key-value service and the outcomes of calls to it."""
+"""Records and events of the key-value service, and outcomes of swaps."""
 
 import dataclasses
 import os
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """One key's value at one revision.
+    """Value of a key at one revision.
 
     Attributes:
         key: The whole key.
-        value: The body, without the envelope.
+        value: The value without its envelope.
         revision: The service's revision of the last change of this key.
-        write_ids: Identities of the latest writes, newest first. They let a
-            writer whose answer was lost find out that its write took effect.
+        write_ids: Ids of the latest writes, newest first. They let a writer
+            whose answer was lost find out that its write took effect.
     """
 
     key: str
@@ -29,24 +29,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class Committed:
-    """The write took effect as this record."""
+    """The write took effect and created this record."""
 
     record: Record
 
 
 @dataclasses.dataclass(frozen=True)
 class Conflict:
-    """The key was at another revision; nothing was written by this call."""
+    """The key was at another revision; this call wrote nothing."""
 
     current: Record | None
 
 
 @dataclasses.dataclass(frozen=True)
 class Superseded:
-    """The write took effect and another writer has replaced it since.
+    """The write took effect, and another writer has replaced its value since.
 
-    To an operator that is a success. To a writer that should be alone on its
-    key it means that it has been fenced.
+    For an operator's edit this is a success. A writer that should be the only
+    writer of its key learns that it has been fenced.
     """
 
     current: Record
@@ -57,9 +57,9 @@
     """The service gave no usable answer in time.
 
     Attributes:
-        cause: What went wrong last.
+        cause: The last error.
         maybe_written: Whether the write may have taken effect or still may.
-        write_id: The identity under which it would have.
+        write_id: Id of the write.
     """
 
     cause: str
@@ -97,39 +97,42 @@
 
 
 def find_revision(event: Event) -> int:
-    """Return the revision at which a change was made."""
+    """Return the revision of the change that an event reports."""
     if isinstance(event, Removed):
         return event.revision
     return event.record.revision
 
 
 def new_write_id() -> bytes:
-    """Return a fresh random write identity of 8 bytes."""
+    """Return a new random write id of 8 bytes."""
     return os.urandom(_WRITE_ID_BYTES)
 
 
-def wrap(value: bytes, write_id: bytes, earlier: tuple[bytes, ...]) -> bytes:
-    """Put a value into its envelope.
+def wrap(
+    value: bytes, write_id: bytes, earlier_write_ids: tuple[bytes, ...]
+) -> bytes:
+    """Encode a value and its write ids as an envelope.
 
-    The envelope remembers the last eight writes, so that a lost answer can
-    be settled even when others have written since.
+    The envelope holds the ids of the last eight writes. A writer whose answer
+    was lost can so find its write even if others have written since.
 
     >>> unwrap("k", wrap(b"v", b"2", (b"1",)), 7)
     Record(key='k', value=b'v', revision=7, write_ids=(b'2', b'1'))
     """
-    ids = (write_id, *earlier)[:REMEMBERED_WRITES]
-    return cbor2.dumps([list(ids), value])
+    write_ids = (write_id, *earlier_write_ids)[:REMEMBERED_WRITES]
+    return cbor2.dumps([list(write_ids), value])
 
 
 def unwrap(key: str, data: bytes, revision: int) -> Record:
-    """Take a value out of its envelope.
+    """Decode the envelope of a value.
 
     Raises:
-        ValueError: `data` isn't an envelope; something else writes our keys.
+        ValueError: `data` isn't an envelope, so another system writes to
+            these keys.
     """
     try:
-        ids, value = cbor2.loads(data)
-        return Record(key, bytes(value), revision, tuple(map(bytes, ids)))
+        write_ids, value = cbor2.loads(data)
+        return Record(key, bytes(value), revision, tuple(map(bytes, write_ids)))
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
         raise ValueError(
             f"the value of {key!r} isn't in crocusrouter's envelope; give the "
--- a/crocusrouter/store/tests/fakes.py
+++ b/crocusrouter/store/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, reached without sockets."""
+"""In-memory key-value service that is called without sockets."""
 
 import httpcore
 import trio
@@ -9,10 +9,10 @@
 
 
 class FakeService:
-    """Answers a client's calls from the stand-in, with chosen failures.
+    """Answers a client's calls from the stand-in store, with given failures.
 
-    `failures` holds one entry a call: None to answer, "refuse" to fail before
-    the call takes effect, "lose" to apply it and lose the answer.
+    `failures` holds one item per call: None to answer, "refuse" to fail
+    before the call takes effect, "lose" to apply the call and lose its answer.
     """
 
     def __init__(self):
@@ -25,7 +25,7 @@
         client = store_client.StoreClient(
             "http://127.0.0.1:1", Metrics(), seed=1, **options
         )
-        client._pool = _Pool(self)
+        client._pool = _ConnectionPool(self)
         return client
 
     async def request(self, method, url, content, extensions):
@@ -41,7 +41,9 @@
         return response
 
 
-class _Pool:
+class _ConnectionPool:
+    """Replaces the HTTP connection pool of a client."""
+
     def __init__(self, service):
         self.request = service.request
 
@@ -50,13 +52,13 @@
 
 
 async def _handle(app, path, content):
-    sent = []
+    sent_events = []
 
     async def receive():
         return {"type": "http.request", "body": content, "more_body": False}
 
     async def send(event):
-        sent.append(event)
+        sent_events.append(event)
 
     scope = {
         "type": "http",
@@ -67,7 +69,7 @@
         "headers": [],
     }
     await app(scope, receive, send)
-    body = b"".join(event.get("body", b"") for event in sent)
-    response = httpcore.Response(sent[0]["status"], content=body)
+    body = b"".join(event.get("body", b"") for event in sent_events)
+    response = httpcore.Response(sent_events[0]["status"], content=body)
     await response.aread()
     return response
--- a/crocusrouter/store/tests/test_client.py
+++ b/crocusrouter/store/tests/test_client.py
@@ -1,3 +1,5 @@
+"""Swaps of the store client when answers are lost or writers compete."""
+
 import pytest
 
 from crocusrouter import store
@@ -10,20 +12,20 @@
     assert isinstance(created, store.Committed)
     replaced = await client.swap("k", created.record, b"2")
     assert isinstance(replaced, store.Committed)
-    late = await client.swap("k", created.record, b"3")
-    assert isinstance(late, store.Conflict)
-    assert late.current.value == b"2"
+    conflict = await client.swap("k", created.record, b"3")
+    assert isinstance(conflict, store.Conflict)
+    assert conflict.current.value == b"2"
     assert (await client.read("k")).value == b"2"
 
 
-# The caller sees one success. The write takes effect, its answer is lost, and
-# the client sends the same write again, which conflicts with itself. Taking
-# that for a lost race would refuse an edit that is in force.
+# The write takes effect, its answer is lost, and the client sends the same
+# write again, which conflicts with the first one. If the client reported this
+# as a conflict, an edit that is in force would be refused.
 @pytest.mark.parametrize(
     "failures",
     [["lose"], ["lose", "lose"], ["refuse", "lose"], ["lose", "refuse"]],
 )
-async def test_lost_answer_is_settled(autojump_clock, failures):
+async def test_swap_with_lost_answer_is_committed(autojump_clock, failures):
     service = fakes.FakeService()
     client = service.open_client()
     service.failures = list(failures)
@@ -32,20 +34,23 @@
     assert (await client.read("k")).revision == outcome.record.revision
 
 
-# The caller sees that its write took effect and is gone. Its answer is lost,
-# another writer replaces the value, and then the repetition conflicts.
-async def test_lost_answer_then_another_writer(autojump_clock):
+# The write takes effect and its answer is lost. Another writer replaces the
+# value before the client sends the write again, which then conflicts. The
+# client must report that its write took effect and was replaced.
+async def test_swap_with_lost_answer_is_superseded_by_another_writer(
+    autojump_clock,
+):
     service = fakes.FakeService()
-    client, other = service.open_client(), service.open_client()
+    client, other_client = service.open_client(), service.open_client()
     service.failures = ["lose"]
     real_request = service.request
-    raced = []
+    race_done = []
 
     async def race(*args, **kwargs):
-        if service.calls == 1 and not raced:
-            raced.append(True)
-            record = await other.read("k")
-            await other.swap("k", record, b"theirs")
+        if service.calls == 1 and not race_done:
+            race_done.append(True)
+            record = await other_client.read("k")
+            await other_client.swap("k", record, b"theirs")
         return await real_request(*args, **kwargs)
 
     client._pool.request = race
@@ -57,7 +62,7 @@
 @pytest.mark.parametrize(
     ("failure", "maybe_written"), [("refuse", False), ("lose", True)]
 )
-async def test_gives_up_and_says_what_is_certain(
+async def test_timed_out_swap_reports_whether_it_may_be_written(
     autojump_clock, failure, maybe_written
 ):
     service = fakes.FakeService()
@@ -69,18 +74,18 @@
     assert client.failing_since is not None
 
 
-async def test_calls_stay_within_the_budget(autojump_clock):
+async def test_call_rate_is_limited(autojump_clock):
     import trio
 
     service = fakes.FakeService()
     client = service.open_client(calls_per_s=10.0, burst=5.0)
-    started = trio.current_time()
+    started_at = trio.current_time()
     for _ in range(25):
         await client.read("k")
-    assert trio.current_time() - started == pytest.approx(2.0)
+    assert trio.current_time() - started_at == pytest.approx(2.0)
 
 
-async def test_foreign_value_is_named(autojump_clock):
+async def test_value_of_another_system_is_an_error(autojump_clock):
     service = fakes.FakeService()
     client = service.open_client()
     from crocusrouter.store import wire
--- a/crocusrouter/store/wire.py
+++ b/crocusrouter/store/wire.py
@@ -1,8 +1,9 @@
 """JSON messages of the key-value service.
 
-The platform's service is met through the JSON gateway of the etcd v3 API
-(https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/). Only what the brief
-grants is used: one-key compare-and-swap, range reads, leases and watches.
+The client uses the JSON gateway of the etcd v3 API
+(https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/), and of this API only
+what the platform is required to offer: compare-and-swap of one key, range
+reads, leases and watches.
 """
 
 import base64
@@ -19,42 +20,45 @@
 
 
 def encode(data: str | bytes) -> str:
-    """Return `data` in the base64 form of the gateway."""
+    """Encode `data` as base64, as the gateway expects it."""
     raw = data.encode() if isinstance(data, str) else data
     return base64.b64encode(raw).decode()
 
 
 def decode(text: str) -> bytes:
-    """Return the bytes behind the gateway's base64 form."""
+    """Decode base64 text of the gateway."""
     return base64.b64decode(text)
 
 
-def end_of_prefix(prefix: str) -> bytes:
+def compute_range_end(prefix: str) -> bytes:
     """Return the first key after all keys that start with `prefix`.
 
-    >>> end_of_prefix("a/")
+    >>> compute_range_end("a/")
     b'a0'
     """
     raw = prefix.encode()
     return raw[:-1] + bytes([raw[-1] + 1])
 
 
-def build_range(prefix: str) -> bytes:
-    """Build a read of all keys under `prefix`."""
+def build_range_request(prefix: str) -> bytes:
+    """Build a request to read all keys under `prefix`."""
     return orjson.dumps(
-        {"key": encode(prefix), "range_end": encode(end_of_prefix(prefix))}
+        {"key": encode(prefix), "range_end": encode(compute_range_end(prefix))}
     )
 
 
-def build_read(key: str) -> bytes:
-    """Build a read of one key."""
+def build_read_request(key: str) -> bytes:
+    """Build a request to read one key."""
     return orjson.dumps({"key": encode(key)})
 
 
-def build_swap(
+def build_swap_request(
     key: str, expected_revision: int, value: bytes, lease: int
 ) -> bytes:
-    """Build a one-key compare-and-swap; revision 0 means "not there"."""
+    """Build a compare-and-swap of one key.
+
+    Revision 0 means that the key must not exist.
+    """
     put: dict[str, Any] = {"key": encode(key), "value": encode(value)}
     if lease:
         put["lease"] = str(lease)
@@ -74,18 +78,18 @@
     )
 
 
-def build_grant(ttl_s: int) -> bytes:
-    """Build the grant of a lease."""
+def build_grant_request(ttl_s: int) -> bytes:
+    """Build a request to create a lease."""
     return orjson.dumps({"TTL": str(ttl_s)})
 
 
-def build_watch(prefix: str, start_revision: int) -> bytes:
+def build_watch_request(prefix: str, start_revision: int) -> bytes:
     """Build a watch of all keys under `prefix` from `start_revision` on."""
     return orjson.dumps(
         {
             "create_request": {
                 "key": encode(prefix),
-                "range_end": encode(end_of_prefix(prefix)),
+                "range_end": encode(compute_range_end(prefix)),
                 "start_revision": str(start_revision),
             }
         }
@@ -93,14 +97,14 @@
 
 
 def parse_snapshot(body: bytes) -> records.Snapshot:
-    """Read the answer to a range."""
+    """Parse the answer to a range or read request."""
     answer = orjson.loads(body)
-    found = tuple(_parse_pair(pair) for pair in answer.get("kvs", ()))
-    return records.Snapshot(found, int(answer["header"]["revision"]))
+    found_records = tuple(_parse_pair(pair) for pair in answer.get("kvs", ()))
+    return records.Snapshot(found_records, int(answer["header"]["revision"]))
 
 
 def parse_swap(body: bytes) -> int | records.Conflict:
-    """Read the answer to a swap: the new revision or the conflict."""
+    """Parse the answer to a swap; return the new revision or the conflict."""
     answer = orjson.loads(body)
     if answer.get("succeeded"):
         return int(answer["header"]["revision"])
@@ -109,12 +113,12 @@
 
 
 def parse_grant(body: bytes) -> int:
-    """Read the identity of a granted lease."""
+    """Parse the answer to a grant; return the id of the lease."""
     return int(orjson.loads(body)["ID"])
 
 
 def parse_events(line: bytes) -> tuple[records.Event, ...]:
-    """Read one line of a watch."""
+    """Parse one line of a watch's answer; return its events."""
     result = orjson.loads(line)["result"]
     return tuple(_parse_event(event) for event in result.get("events", ()))
 
