--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed.py
@@ -78,8 +78,8 @@
         grace_s = _GRACE_FACTOR * self._slowest_answer_s
         return min(_MAX_WATCH_GRACE_S, max(WATCH_GRACE_S, grace_s))
 
-    def _record_result(self, succeeded: bool) -> None:
-        if succeeded:
+    def _record_result(self, served: bool) -> None:
+        if served:
             self._failing_since = None
         elif self._failing_since is None:
             self._failing_since = self._read_clock()
@@ -103,9 +103,9 @@
         try:
             yield
         except client.StoreUnavailableError:
-            self._record_result(succeeded=False)
+            self._record_result(served=False)
             raise
-        self._record_result(succeeded=True)
+        self._record_result(served=True)
         if not is_paged:
             self._record_answer_time(started_at)
 
@@ -133,7 +133,7 @@
             guards, writes, removals, timeout_s=timeout_s
         )
         failed = isinstance(outcome, port.NotWritten | port.MaybeWritten)
-        self._record_result(succeeded=not failed)
+        self._record_result(served=not failed)
         if not failed:
             self._record_answer_time(started_at)
         return outcome
@@ -156,7 +156,7 @@
             try:
                 changes = await self._store.watch(prefix, revision, wait_s)
             except client.StoreUnavailableError:
-                self._record_result(succeeded=False)
+                self._record_result(served=False)
                 raise
             finally:
                 self._watch_scopes.discard(scope)
@@ -165,7 +165,7 @@
                 raise client.StoreUnavailableError(
                     "the watch was ended because another call failed"
                 )
-            self._record_result(succeeded=False)
+            self._record_result(served=False)
             raise client.StoreUnavailableError(
                 f"no answer to a watch within {limit_s:.2f} s"
             )
@@ -173,9 +173,9 @@
             # The process was suspended, and the answer is from before that.
             # The clock of the time limit stopped meanwhile; this clock didn't.
             raise client.StoreUnavailableError(
-                "the answer is from before the process was suspended"
+                "the answer is from before a pause of the process"
             )
-        self._record_result(succeeded=True)
+        self._record_result(served=True)
         return changes
 
     async def grant(self, ttl_s: float) -> int:
--- a/crocusrouter/store/port.py
+++ b/crocusrouter/store/port.py
@@ -88,7 +88,7 @@
 
 
 class KeyValueStore(Protocol):
-    """The key-value service, independent of its protocol."""
+    """The key-value service, independent of the wire protocol."""
 
     async def read(self, key: str) -> records.Record | None:
         """Return the record of a key, or None if the key does not exist.
--- a/crocusrouter/store/records.py
+++ b/crocusrouter/store/records.py
@@ -113,8 +113,8 @@
 ) -> bytes:
     """Encode a value and its write ids as an envelope.
 
-    The envelope holds the ids of the last eight writes. A writer whose answer
-    was lost can so find its write even if others have written since.
+    The envelope holds the ids of the last eight writes, so that a writer whose
+    answer was lost finds its write even if others have written since.
 
     >>> unwrap("k", wrap(b"v", b"2", (b"1",)), 7)
     Record(key='k', value=b'v', revision=7, write_ids=(b'2', b'1'))
--- a/crocusrouter/store/tests/test_client.py
+++ b/crocusrouter/store/tests/test_client.py
@@ -12,9 +12,9 @@
     assert isinstance(created, store.Committed)
     replaced = await client.swap("k", created.record, b"2")
     assert isinstance(replaced, store.Committed)
-    conflict = await client.swap("k", created.record, b"3")
-    assert isinstance(conflict, store.Conflict)
-    assert conflict.current.value == b"2"
+    late = await client.swap("k", created.record, b"3")
+    assert isinstance(late, store.Conflict)
+    assert late.current.value == b"2"
     assert (await client.read("k")).value == b"2"
 
 
@@ -79,10 +79,10 @@
 
     service = fakes.FakeService()
     client = service.open_client(calls_per_s=10.0, burst=5.0)
-    started_at = trio.current_time()
+    started = trio.current_time()
     for _ in range(25):
         await client.read("k")
-    assert trio.current_time() - started_at == pytest.approx(2.0)
+    assert trio.current_time() - started == pytest.approx(2.0)
 
 
 async def test_value_of_another_system_is_an_error(autojump_clock):
