--- a/crocusrouter/requests/tests/test_pool.py
+++ b/crocusrouter/requests/tests/test_runner_pool.py
@@ -17,13 +17,13 @@
 
 
 def _create_pool(service_time_s=1.0, **vm_fields):
-    runner_pool = pool.RunnerPool(random.Random(1))
-    runner_pool.set_runners([dataclasses.replace(_VM, **vm_fields)])
-    [runner] = runner_pool._runners_by_service["matching"].values()
+    runners = pool.RunnerPool(random.Random(1))
+    runners.set_runners([dataclasses.replace(_VM, **vm_fields)])
+    [runner] = runners._runners_by_service["matching"].values()
     runner.load = dataclasses.replace(
         runner.load, service_time_s=service_time_s
     )
-    return runner_pool
+    return runners
 
 
 # The only slot is in use for another second, and an answer takes a second
@@ -37,59 +37,59 @@
 async def test_request_is_refused_if_slot_comes_too_late(
     autojump_clock, left_s, refused
 ):
-    runner_pool = _create_pool()
-    slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+    runners = _create_pool()
+    slot = await runners.acquire_slot("matching", frozenset(), 1e9)
     started_at = trio.current_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_release_after, runner_pool, slot, 1.0)
+        nursery.start_soon(_release_after, runners, slot, 1.0)
         deadline = started_at + left_s
         if not refused:
-            await runner_pool.acquire_slot("matching", frozenset(), deadline)
+            await runners.acquire_slot("matching", frozenset(), deadline)
             return
         with pytest.raises(RefusedError) as caught:
-            await runner_pool.acquire_slot("matching", frozenset(), deadline)
+            await runners.acquire_slot("matching", frozenset(), deadline)
         refusal = caught.value.refusal
         assert refusal.reason is RefusalReason.DEADLINE_UNMEETABLE
         assert refusal.retry_after_s > 0
         assert trio.current_time() == started_at
 
 
-async def _release_after(runner_pool, slot, seconds):
+async def _release_after(runners, slot, seconds):
     await trio.sleep(seconds)
-    runner_pool.release_slot(slot)
+    runners.release_slot(slot)
 
 
 async def test_slots_are_granted_in_fifo_order(autojump_clock):
-    runner_pool = _create_pool(service_time_s=0.1)
-    first_slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+    runners = _create_pool(service_time_s=0.1)
+    first_slot = await runners.acquire_slot("matching", frozenset(), 1e9)
     order = []
 
     async def use_slot(number):
-        slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+        slot = await runners.acquire_slot("matching", frozenset(), 1e9)
         order.append(number)
         await trio.sleep(0.1)
-        runner_pool.release_slot(slot)
+        runners.release_slot(slot)
 
     async with trio.open_nursery() as nursery:
         for number in range(5):
             nursery.start_soon(use_slot, number)
             await trio.sleep(0.01)
-        runner_pool.release_slot(first_slot)
+        runners.release_slot(first_slot)
     assert order == [0, 1, 2, 3, 4]
 
 
 async def test_cancelled_caller_leaves_the_queue(autojump_clock):
-    runner_pool = _create_pool()
-    first_slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+    runners = _create_pool()
+    first_slot = await runners.acquire_slot("matching", frozenset(), 1e9)
     with trio.move_on_after(0.5):
-        await runner_pool.acquire_slot("matching", frozenset(), 1e9)
-    runner_pool.release_slot(first_slot)
-    second_slot = await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+        await runners.acquire_slot("matching", frozenset(), 1e9)
+    runners.release_slot(first_slot)
+    second_slot = await runners.acquire_slot("matching", frozenset(), 1e9)
     assert second_slot.runner.load.in_flight == 1
 
 
 async def test_leaving_runner_gets_no_requests(autojump_clock):
-    runner_pool = _create_pool(state=VmState.LEAVING)
+    runners = _create_pool(state=VmState.LEAVING)
     with pytest.raises(RefusedError) as caught:
-        await runner_pool.acquire_slot("matching", frozenset(), 1e9)
+        await runners.acquire_slot("matching", frozenset(), 1e9)
     assert caught.value.refusal.reason is RefusalReason.NO_ENDPOINT
--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -291,7 +291,7 @@
         answer: The new revision, or the conflict.
     """
     if isinstance(answer, int):
-        write_ids = (write_id, *earlier_write_ids)[: records.REMEMBERED_WRITES]
+        write_ids = (write_id, *earlier_write_ids)[: records.MAX_WRITE_IDS]
         return records.Committed(records.Record(key, value, answer, write_ids))
     current = answer.current
     if current is None or write_id not in current.write_ids:
--- a/crocusrouter/store/records.py
+++ b/crocusrouter/store/records.py
@@ -5,7 +5,7 @@
 
 import cbor2
 
-REMEMBERED_WRITES = 8
+MAX_WRITE_IDS = 8
 _WRITE_ID_BYTES = 8
 
 
@@ -119,7 +119,7 @@
     >>> unwrap("k", wrap(b"v", b"2", (b"1",)), 7)
     Record(key='k', value=b'v', revision=7, write_ids=(b'2', b'1'))
     """
-    write_ids = (write_id, *earlier_write_ids)[:REMEMBERED_WRITES]
+    write_ids = (write_id, *earlier_write_ids)[:MAX_WRITE_IDS]
     return cbor2.dumps([list(write_ids), value])
 
 
