--- a/crocusrouter/requests/claims.py
+++ b/crocusrouter/requests/claims.py
@@ -79,7 +79,7 @@
 class ClaimGrant:
     """Permission to dispatch a request whose key this entry has claimed.
 
-    Pass it to `Claims.record_outcome` after the dispatch.
+    Pass it to `record_outcome` after the dispatch.
     """
 
     claim_name: str
--- a/crocusrouter/requests/dispatch.py
+++ b/crocusrouter/requests/dispatch.py
@@ -77,24 +77,24 @@
         started_at = trio.current_time()
         attempt_id = f"{request.id}-{uuid.uuid4().hex[:8]}"
         remaining_s = request.deadline - started_at
-        name = runner.vm.name
+        runner_name = runner.vm.name
         if remaining_s <= 0:
             refusal = Refusal(
                 RefusalReason.DEADLINE_PASSED, "while waiting for a slot"
             )
-            return model.AttemptResult(NotRun(refusal), None, name)
+            return model.AttemptResult(NotRun(refusal), None, runner_name)
         try:
             response = await self._post(
                 request, runner, attempt_id, remaining_s
             )
         except _NOT_SENT_ERRORS as error:
             self._runners.mark_unreachable(runner, trio.current_time())
-            return _build_unreachable_result(name, error)
+            return _build_unreachable_result(runner_name, error)
         except _ANSWER_LOST_ERRORS as error:
-            detail = f"{name}: {type(error).__name__}"
+            detail = f"{runner_name}: {type(error).__name__}"
             refusal = Refusal(RefusalReason.ANSWER_LOST, detail)
             return model.AttemptResult(
-                Unknown(refusal), RetryReason.ANSWER_LOST, name
+                Unknown(refusal), RetryReason.ANSWER_LOST, runner_name
             )
         elapsed_s = trio.current_time() - started_at
         return self._classify_response(response, runner, attempt_id, elapsed_s)
@@ -139,29 +139,30 @@
         attempt_id: str,
         elapsed_s: float,
     ) -> model.AttemptResult:
+        """Return the result of a response and update the runner's load."""
         headers = {name.lower(): value for name, value in response.headers}
-        name = runner.vm.name
+        runner_name = runner.vm.name
         if headers.get(_OUTCOME_HEADER) == b"not-run":
             runner.load = load_balancing.record_refusal(runner.load)
             refusal = Refusal(
                 RefusalReason.NO_ENDPOINT,
-                f"{name} is full",
+                f"{runner_name} is full",
                 _BUSY_RETRY_AFTER_S,
             )
             return model.AttemptResult(
-                NotRun(refusal), RetryReason.ENDPOINT_REFUSED, name
+                NotRun(refusal), RetryReason.ENDPOINT_REFUSED, runner_name
             )
         if headers.get(_REQUEST_ID_HEADER) != attempt_id.encode():
-            refusal = Refusal(RefusalReason.ANSWER_MISMATCHED, name)
+            refusal = Refusal(RefusalReason.ANSWER_MISMATCHED, runner_name)
             return model.AttemptResult(
-                Unknown(refusal), RetryReason.ANSWER_MISMATCHED, name
+                Unknown(refusal), RetryReason.ANSWER_MISMATCHED, runner_name
             )
         runner.load = load_balancing.record_answer(runner.load, elapsed_s)
         media_type = headers.get(b"content-type", b"application/json")
         answer: Answer = Done(
             response.status, response.body, media_type.decode("latin1")
         )
-        return model.AttemptResult(answer, None, name)
+        return model.AttemptResult(answer, None, runner_name)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -174,12 +175,12 @@
 
 
 def _build_unreachable_result(
-    name: str, error: Exception
+    runner_name: str, error: Exception
 ) -> model.AttemptResult:
-    detail = f"{name}: {type(error).__name__}"
+    detail = f"{runner_name}: {type(error).__name__}"
     refusal = Refusal(RefusalReason.NO_ENDPOINT, detail, _BUSY_RETRY_AFTER_S)
     return model.AttemptResult(
-        NotRun(refusal), RetryReason.ENDPOINT_UNREACHABLE, name
+        NotRun(refusal), RetryReason.ENDPOINT_UNREACHABLE, runner_name
     )
 
 
--- a/crocusrouter/requests/pool.py
+++ b/crocusrouter/requests/pool.py
@@ -135,6 +135,7 @@
     def _try_acquire(
         self, service: str, tried_runners: frozenset[str], now: float
     ) -> "Slot | None":
+        """Acquire a slot now; return None if no runner is available."""
         runners = self._runners_by_service.get(service, {})
         loads = [runner.load for runner in runners.values()]
         chosen_load = load_balancing.choose_runner(
@@ -196,6 +197,7 @@
         tried_runners: frozenset[str],
         deadline: float,
     ) -> "Slot":
+        """Wait until the ticket is first in the queue and a slot is free."""
         queue = self._queues[service]
         while True:
             # The wait is estimated only once, in `acquire_slot`. A second
--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -211,12 +211,14 @@
             await self._pool.aclose()
 
     async def _read(self, call: str, path: str, request: bytes) -> bytes:
+        """Make a call; raise StoreUnavailableError on any failure."""
         try:
             return await self._call(call, path, request)
         except (_AnswerLostError, _NotTakenError) as error:
             raise StoreUnavailableError(str(error)) from error
 
     async def _call(self, call: str, path: str, request: bytes) -> bytes:
+        """Make one call; an error says whether it may have taken effect."""
         await self._wait_for_token()
         try:
             response = await self._pool.request(
@@ -251,6 +253,7 @@
         return dict.fromkeys(phases, self._call_timeout_s)
 
     def _record_result(self, call: str, result: int | str) -> None:
+        """Count a call's result and note since when calls have failed."""
         self._metrics.count_store_call(call, str(result))
         if result == _STATUS_OK:
             self.failing_since = None
