--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -22,8 +22,8 @@
 # out.
 _MAX_ORDERS = 3
 # How long to wait for a connection that is in use by an order, which is free
-# again within milliseconds. A new connection costs an extra round trip, a poll,
-# and its price.
+# again within milliseconds. A new connection costs an extra round trip and a
+# poll, and each connection is priced.
 _IDLE_WAIT_S = 0.01
 
 _Refused = orders.Rejected | orders.Silent
