--- a/crocusrouter/work/model.py
+++ b/crocusrouter/work/model.py
@@ -174,7 +174,10 @@
 
     @functools.cached_property
     def tails(self) -> tuple[float, ...]:
-        """Result of `measure_tails`; cached, since each decision needs it."""
+        """Result of `measure_tails`.
+
+        It is cached, since each decision needs it.
+        """
         return measure_tails(self.steps)
 
     @property
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -42,10 +42,10 @@
     Attributes:
         done: Indices of tasks that succeeded.
         failed_runs: Numbers of the runs that failed, by index of the task; a
-            gang's under index 0. Numbers instead of a count, because a worker lists an
-            end until it is confirmed, and a new owner may read an end that is
-            journaled already. If it counted twice, a job would fail before it
-            has used up its attempts.
+            gang's under index 0. Numbers instead of a count, because a worker
+            lists an end until it is confirmed, and a new owner may read an end
+            that is journaled already. If it counted twice, a job would fail
+            before it has used up its attempts.
         checkpoints: Latest checkpoint by index of the task; a gang's under
             index 0.
         crashes: Worker crashes by index of the task that ran there, also for
@@ -107,7 +107,8 @@
 def dump_progress(progress: Progress) -> bytes:
     """Encode progress for the store.
 
-    >>> parse_progress(dump_progress(Progress(final=model.State.DONE))).final
+    >>> done = Progress(final=model.State.DONE)
+    >>> parse_progress(dump_progress(done)).final
     <State.DONE: 'done'>
     """
     steps = (
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -27,8 +27,8 @@
     """Progress of a wave; all owners share it in the store.
 
     Attributes:
-        begun: VMs that are being emptied or whose order has no answer yet, with
-            the worker that was there.
+        begun: VMs that are being emptied or whose order has no answer yet,
+            with the worker that was there.
         down: VMs whose order was answered, with the worker that was there.
         done: VMs that are back or have been removed.
     """
