--- a/standins/emulator/__init__.py
+++ b/standins/emulator/__init__.py
@@ -1,8 +1,9 @@
-"""The users' platform in memory, on a clock that tests control.
+"""Emulates the users' platform in memory, on a clock that tests control.
 
-Store, workers, peers and callers behave as the platform's pages say, with
-faults put in; the entries are the product's own. An oracle checks the rules
-from what workers and callers see.
+Store, workers, connections between entries, and callers behave as the
+platform's pages specify, with faults injected; the entries are the product's
+own code. Oracles check the platform's rules from what workers and callers
+observe.
 """
 
 from standins.emulator import changes
@@ -17,7 +18,7 @@
 from standins.emulator.rules import Rule
 from standins.emulator.store import StoreFault
 
-# The rules that days of the emulator are judged by.
+# The rules that are checked on emulated days.
 CHECKED = oracle.RULES | changes.RULES | cluster.RULES | vms.RULES
 
 __all__ = [
--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -1,4 +1,4 @@
-"""Checks the rules on changes of the configuration from callers' answers."""
+"""Checks the rules on configuration changes from the answers to callers."""
 
 import collections
 import dataclasses
@@ -7,7 +7,7 @@
 from standins.emulator import rules
 from standins.emulator import touch as touches
 
-# What the oracle of changes judges.
+# Rules that this oracle checks.
 RULES = frozenset({rules.Rule.CONFIG, rules.Rule.ROUTE_CALLS})
 
 # `config_apply_ms` and `rollback_slack_ms` of the users' sites; the latter is
@@ -18,7 +18,7 @@
 
 
 class Handling(enum.StrEnum):
-    """How a call was handled, as far as the configuration decides it."""
+    """What the answer to a call tells about the configuration in force."""
 
     SERVED = "served"
     NO_ROUTE = "no-route"
@@ -36,7 +36,7 @@
 
 
 def read_status(status: int | None) -> Handling:
-    """Tell what an HTTP status says about the configuration.
+    """Return what an HTTP status tells about the configuration in force.
 
     >>> read_status(404)
     <Handling.NO_ROUTE: 'no-route'>
@@ -48,13 +48,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Edition:
-    """One document that the operators wrote.
+    """One version of the configuration that the operators wrote.
 
     Attributes:
         version: Its number.
-        routes: Prefixes that it routes.
-        keys: Keys that it knows.
-        valid: Whether it may be put in force.
+        routes: Path prefixes that it routes.
+        keys: API keys that it accepts.
+        valid: Whether entries may put it in force.
     """
 
     version: int
@@ -63,7 +63,7 @@
     valid: bool = True
 
     def handle(self, route: str, key: str) -> Handling:
-        """Return how a call is handled by this document."""
+        """Return how a call is handled under this version."""
         if route not in self.routes:
             return Handling.NO_ROUTE
         return Handling.SERVED if key in self.keys else Handling.NO_KEY
@@ -71,13 +71,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Asked:
-    """A call as it was sent.
+    """A call that a caller has sent.
 
     Attributes:
-        entry: Name of the entry that was asked.
-        life: Tells the incarnations of its process apart.
+        entry: Name of the called entry.
+        life: Number of the incarnation of the entry's process.
         route: Prefix of the path.
-        key: The key that it carried.
+        key: The API key of the call.
         sent_at: Seconds.
     """
 
@@ -90,11 +90,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call(Asked):
-    """A call and its answer, as its caller sees them.
+    """A call and its answer, as the caller sees them.
 
     Attributes:
         answered_at: Seconds.
-        handling: What the answer says.
+        handling: What the answer tells about the configuration.
     """
 
     answered_at: float
@@ -102,21 +102,27 @@
 
 
 class Changes:
-    """Collects broken rules on the configuration, each as one line.
+    """Checks the rules on the configuration and collects the broken ones.
+
+    `Touch` defines when an entry is in touch.
 
     Attributes:
-        broken: What was broken by entries in touch.
-        judged: How many calls were judged.
-        excused: How many calls were handled too late by entries that were not
-            in touch, by why they were not.
-        undecided: How many answers said nothing about the configuration.
+        broken: The broken rules, each as one line.
+        judged: How many calls were checked.
+        excused: How many calls were handled by an outdated version on entries
+            that were not in touch, by the reason why they were not.
+        undecided: How many answers tell nothing about the configuration.
         unready: How many of these came from entries in touch.
-        latest_s: Longest time after a confirmation at which an entry in touch
-            was sent a call that it handled without it.
+        latest_s: Longest time from the confirmation of a version to a call that
+            an entry in touch handled by an earlier version.
     """
 
     def __init__(self, touch: touches.Touch) -> None:
-        """Begin without any version."""
+        """Prepare without any version.
+
+        Args:
+            touch: Tells which entries are in touch.
+        """
         self.broken: list[str] = []
         self.judged = 0
         self.excused: collections.Counter[str] = collections.Counter()
@@ -131,9 +137,10 @@
         )
 
     def note_confirmed(self, edition: Edition, now: float) -> None:
-        """Take note of a document that the service has confirmed.
+        """Record a version whose write the store has confirmed.
 
-        An invalid one hides versions that nobody has had the time to read.
+        An invalid version replaces the one before in the store. Entries that
+        have not had the time to read that one needn't put it in force.
         """
         if not edition.valid:
             self._withdrawn |= {
@@ -144,13 +151,13 @@
         self._editions.append((now, edition))
 
     def note_answer(self, asked: Asked, status: int | None, now: float) -> None:
-        """Judge a call by the HTTP status of its answer."""
+        """Check a call by the HTTP status of its answer."""
         sent = dataclasses.asdict(asked)
         handling = read_status(status)
         self.note_call(Call(**sent, answered_at=now, handling=handling))
 
     def note_call(self, call: Call) -> None:
-        """Judge one call."""
+        """Check one answered call."""
         if call.handling is Handling.NOT_DECIDED:
             self.undecided += 1
             if not self._touch.explain(call.entry, call.sent_at):
@@ -159,13 +166,13 @@
         self.judged += 1
         fitting = self._find_fitting(call)
         if not fitting:
-            self._report(call, "handled as no valid version allows")
+            self._report(call, "no valid version handles the call like this")
             return
         self._check_late(call, fitting)
         self._check_regress(call, fitting)
 
     def _find_fitting(self, call: Call) -> list[int]:
-        """Return the versions by which the call may have been handled."""
+        """Return the versions under which a call may have been handled."""
         return [
             edition.version
             for at, edition in self._editions
@@ -193,7 +200,9 @@
         if why:
             self.excused[why] += 1
         else:
-            self._report(call, f"sent {late_s:.2f} s after a confirmation")
+            self._report(
+                call, f"sent {late_s:.2f} s after a later version was confirmed"
+            )
 
     def _check_regress(self, call: Call, fitting: list[int]) -> None:
         why = self._touch.explain(call.entry, call.sent_at)
@@ -201,12 +210,14 @@
         seen = self._seen[call.entry, call.life]
         floor = max((v for at, v in seen if at < before), default=0)
         if max(fitting) < floor:
-            self._report(call, f"version {floor} was in force there before")
+            self._report(
+                call, f"version {floor} had been in force on the entry before"
+            )
         if not seen or min(fitting) > seen[-1][1]:
             seen.append((call.answered_at, min(fitting)))
 
     def _report(self, call: Call, what: str) -> None:
         self.broken.append(
-            f"{call.sent_at:.3f} config: {call.entry} {call.handling} "
-            f"{call.route} with {call.key}: {what}"
+            f"{call.sent_at:.3f} config: {call.entry} answered {call.handling} "
+            f"to {call.route} with key {call.key}: {what}"
         )
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -1,4 +1,4 @@
-"""Entries, workers, store and callers, joined in one process."""
+"""The emulated system: entries, workers, store and callers in one process."""
 
 import collections
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 from standins.emulator import vms as vm_control
 from standins.emulator import worker as workers
 
-# What the cluster judges itself.
+# Rules that the cluster checks itself; the oracles check the others.
 RULES = frozenset({rules.Rule.DRAIN})
 
 POOL = "match"
@@ -43,10 +43,10 @@
 ROOM = work.Room(32_000, 131_072, 8)
 _STEP_S = 0.02
 _PEER_S = 0.001
-# A worker that drains must get nothing new from here on.
+# How long after its notice a draining worker may still get new tasks.
 _DRAIN_S = 2.0
-# A crashed worker is back after this; the platform lists its earlier life
-# until three heartbeats of 1.5 s have been missed.
+# A crashed worker is replaced after this time; the platform lists the earlier
+# incarnation until three heartbeats of 1.5 s have been missed.
 _RETURN_S = 3.2
 _UNLISTED_S = 4.5
 _WALL = 1_700_000_000.0
@@ -77,7 +77,11 @@
 
 
 def _build_config(guaranteed: dict[str, int]) -> dict[str, Any]:
-    """Return a configuration of one queue without its version."""
+    """Return a configuration of one queue, without a version.
+
+    Args:
+        guaranteed: Accelerators that each customer is guaranteed.
+    """
     route = {"name": "q", "host": HOST, "prefix": PREFIX, "service": POOL}
     tenants = [
         {"name": name, "api_keys": [name], "guaranteed": {"gpu": count}}
@@ -88,9 +92,9 @@
 
 
 def _build_request(route: str, key: str) -> starlette_requests.Request:
-    """Return a call that only route and key decide.
+    """Return a request whose answer depends on the route and the key alone.
 
-    No job can have its id, so nothing but the configuration is asked.
+    It names a job id that no job has, so only the configuration decides.
     """
     return starlette_requests.Request(
         {
@@ -111,7 +115,7 @@
 
 
 class _Link:
-    """Calls another entry in the same process."""
+    """A connection from one entry to another in the same process."""
 
     def __init__(self, cluster: "Cluster", source: str, target: str) -> None:
         self._cluster = cluster
@@ -119,11 +123,11 @@
         self._target = target
 
     async def run(self) -> None:
-        """Keep nothing open."""
+        """Do nothing: there is no connection to keep open."""
         await trio.sleep_forever()
 
     async def call(self, message: object, timeout_s: float) -> object:
-        """Ask the other entry."""
+        """Send a message to the other entry and return its answer."""
         await trio.sleep(_PEER_S)
         suspensions = self._cluster.suspensions
         async with suspensions.pass_through(self._source):
@@ -142,7 +146,7 @@
 
 
 class Cluster:
-    """The whole system on a controlled clock."""
+    """The whole emulated system on a clock that tests control."""
 
     def __init__(
         self,
@@ -179,19 +183,19 @@
         self.operators.write(0.0)
 
     def put_config(self, guaranteed: dict[str, int]) -> None:
-        """Write a configuration as the operators do."""
+        """Replace the base configuration, as the operators do."""
         now = trio.current_time()
         self.operators.set_base(_build_config(guaranteed), now)
 
     # Workers.
 
     def add_worker(self, name: str, rack: str) -> None:
-        """Start a worker and list it."""
+        """Start a worker and write its entry to the store."""
         self._start_worker(name, rack)
         self.list_worker(name)
 
     def restart_worker(self, name: str) -> None:
-        """Start a worker's process again under its id."""
+        """Start a new process of a worker under the same id."""
         entry = self.workers[name].entry
         rack = next(label for label in entry.labels if "-" in label)
         self._start_worker(name, rack).start_anew(trio.current_time())
@@ -213,24 +217,24 @@
         return held
 
     def list_worker(self, name: str) -> None:
-        """Write a worker's entry, as its heartbeat does."""
+        """Write a worker's entry to the store, as its heartbeat does."""
         held = self.workers[name]
         value = _encode_worker(held.entry, held.born_ms)
         self.store.put(WORKERS + name, value)
 
     def drain_worker(self, name: str) -> None:
-        """Say that a worker leaves."""
+        """Mark a worker as draining and write its entry."""
         held = self.workers[name]
         held.drain(trio.current_time())
         self.list_worker(name)
 
     def crash_worker(self, name: str) -> None:
-        """End a worker; the platform drops it from the list."""
+        """Crash a worker and remove its entry, as the platform does."""
         self.workers[name].crash()
         self.store.remove(WORKERS + name)
 
     def bear_again(self, name: str) -> None:
-        """Let another incarnation answer at a worker's address."""
+        """Start another incarnation that answers at a worker's address."""
         held = self.workers[name]
         rack = next(label for label in held.entry.labels if "-" in label)
         held.reborn = True
@@ -238,7 +242,7 @@
         self.add_worker(f"{base}+{self.random.getrandbits(16)}", rack)
 
     async def _return_crashed(self, name: str) -> None:
-        """Bring a worker that a task has crashed back under another name."""
+        """Replace a worker that a task has crashed by one of another name."""
         await trio.sleep(_RETURN_S)
         self.bear_again(name)
         await trio.sleep(_UNLISTED_S - _RETURN_S)
@@ -255,7 +259,7 @@
     # Entries.
 
     def start_entry(self, name: str) -> None:
-        """Start an entry under a name."""
+        """Start the process of an entry."""
         assert self._nursery is not None
         clock = pools.Clock(
             trio.current_time, lambda: _WALL + trio.current_time()
@@ -308,20 +312,20 @@
             await entry.run()
 
     def kill_entry(self, name: str) -> None:
-        """End an entry without notice."""
+        """Kill the process of an entry without notice."""
         if name in self.entries:
             del self.entries[name]
             self._scopes.pop(name).cancel()
 
     def find_owner(self) -> str | None:
-        """Return the entry that owns the pool."""
+        """Return the name of the entry that owns the pool."""
         for name, entry in self.entries.items():
             if POOL in entry.owned:
                 return name
         return None
 
     def list_failures(self) -> list[str]:
-        """Return the faults that ended an owner's decisions."""
+        """Return a line for each entry whose scheduling ended with an error."""
         return [
             f"{name}: an owner failed"
             for name, entry in self.entries.items()
@@ -331,17 +335,17 @@
     # Callers.
 
     async def submit(self, job: work.Job) -> str:
-        """Hand a job in as a caller with retries does."""
+        """Submit a job as a caller with retries does, and record the result."""
         sent_at = trio.current_time()
         answer = await self._submit(job)
         self.oracle.tries.append((sent_at, answer == "accepted"))
         return answer
 
     async def _submit(self, job: work.Job) -> str:
-        """Try up to five times.
+        """Submit a job in up to five attempts.
 
-        A job counts as refused only if every try was: one that was answered
-        "nobody knows" may still be carried out after a later refusal.
+        A job counts as refused only if every attempt was refused: an attempt
+        with an unknown outcome may still take effect after a later refusal.
         """
         self.oracle.jobs[job.id] = job
         may_come = False
@@ -365,7 +369,7 @@
         return "unknown"
 
     async def cancel(self, job_id: str) -> None:
-        """Cancel a job."""
+        """Cancel a job through the first entry that confirms it."""
         self.oracle.asked_to_cancel.add(job_id)
         for entry in list(self.entries.values()):
             outcome = await entry.desk.cancel(job_id)
@@ -374,7 +378,7 @@
                 return
 
     async def read_states(self) -> dict[str, str | None]:
-        """Return what a caller reads of each accepted job."""
+        """Return the state that a caller reads for each accepted job."""
         states: dict[str, str | None] = {}
         for job_id in sorted(self.oracle.accepted):
             entry = self.random.choice(list(self.entries.values()))
@@ -386,7 +390,7 @@
         return states
 
     async def ask_for(self, name: str, route: str, key: str) -> None:
-        """Call an entry on a route with a key; the answer is judged."""
+        """Call an entry on a route with a key and have the answer checked."""
         entry = self.entries.get(name)
         if entry is None:
             return
@@ -400,10 +404,10 @@
         now = trio.current_time()
         self.changes.note_answer(asked, rendered.status, now)
 
-    # Time.
+    # Clock steps.
 
     def _note_impairments(self, now: float) -> None:
-        """Take note of who is not in touch."""
+        """Record which workers and entries are impaired, and the store."""
         for name, held in self.workers.items():
             if held.is_impaired(now):
                 self.touch.note_impaired(name, now)
@@ -416,10 +420,10 @@
                 self.touch.note_impaired(name, now)
 
     def _check_drains(self, now: float) -> None:
-        """Note starts on workers that had long said that they leave.
+        """Report starts on workers that have been draining for too long.
 
-        While the store is in trouble, and for a while after it, nobody can
-        be expected to have heard that.
+        The time counts from the last moment at which the store or an entry was
+        in trouble: until then an owner may not have heard of the drain.
         """
         troubled = self.store.fault is not stores.StoreFault.NONE
         troubled |= self.suspensions.is_any()
@@ -432,14 +436,14 @@
                 heard_by = max(held.drains_since, self._troubled_at)
                 if at > heard_by + _DRAIN_S:
                     self.oracle.broken.append(
-                        f"{at:.3f} drain: {key} on {name}, which drains since "
+                        f"{at:.3f} drain: {key} on {name}, draining since "
                         f"{held.drains_since:.3f}"
                     )
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run everything until cancelled."""
+        """Run the entries and advance workers and store until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for name in self.names:
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults put in while the emulated platform runs, drawn from a seed."""
+"""Injects faults into the emulated platform, and plays whole days of them."""
 
 from collections.abc import Sequence
 import dataclasses
@@ -15,15 +15,16 @@
 from standins.emulator import store as stores
 
 _CALM_S = 25.0
-# A job that has not ended by then is lost; the longest wait of a task is for
-# a worker's lease of 6 s.
+# A job that has not ended after this time counts as lost; the longest wait of a
+# task is for the end of a worker's lease, 6 s.
 _END_LIMIT_S = 30.0
 _FINAL = frozenset({"done", "failed", "cancelled"})
-# Three heartbeats of 1.5 s, after which a silent worker is listed no more.
+# The platform no longer lists a worker that has missed three heartbeats.
 _HEARTBEAT_S = 1.5
 _UNLISTED_S = 3 * _HEARTBEAT_S
 _RESTART_S = 1.5
-# How long a worker's process is away, and how many crash at once.
+# How long a restarting worker's process is away, and how many workers restart
+# at once at most.
 _AWAY_S = (0.2, 1.5)
 _AWAY_BEHIND_CUT_S = (1.0, 4.0)
 _MOST_RESTARTED = 3
@@ -31,7 +32,8 @@
 _LOST_S = 0.1
 _GRACE_S = 6.0
 _WATCHED = (clusters.OPERATORS, clusters.WORKERS, keys.JOBS, keys.SYSTEM)
-# Calls on routes and keys that come and go, each at all entries.
+# Interval of calls to all entries on routes and keys that the operators add and
+# remove.
 _ASKING_S = 0.25
 FOREIGN = (
     b"",
@@ -44,7 +46,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What happens."""
+    """A kind of fault."""
 
     KILL_OWNER = "kill-owner"
     KILL_ALL = "kill-all"
@@ -67,18 +69,20 @@
     FAIL_ALL = "fail-all"
     CANCEL_MANY = "cancel-many"
     SHRINK_WORKER = "shrink-worker"
-    CUT_ENTRY = "cut-entry"  # from its peers alone
-    LOSE_ANSWERS = "lose-answers"  # of the store to one entry, for a moment
-    LOSE_PEERS = "lose-peers"  # such a moment, then cut from its peers
-    REFUSE_WATCHES = "refuse-watches"  # of one prefix
-    STOP_ENTRY = "stop-entry"  # as planned
-    FREEZE_OTHERS = "freeze-others"  # all but one
-    # Processes of workers that start again under their ids.
+    CUT_ENTRY = "cut-entry"  # from its peers only
+    LOSE_ANSWERS = "lose-answers"  # of the store to one entry, for 0.1 s
+    LOSE_PEERS = "lose-peers"  # LOSE_ANSWERS, then CUT_ENTRY
+    REFUSE_WATCHES = "refuse-watches"  # by the store, on one prefix
+    STOP_ENTRY = "stop-entry"  # with a handover of its pools
+    FREEZE_OTHERS = "freeze-others"  # all entries but one
+    # Restarts of workers' processes under the same ids.
     RESTART = "restart"
-    RESTART_BEHIND_CUT = "restart-behind-cut"  # from the entries
-    RESTART_BESIDE_LATE = "restart-beside-late"  # orders
+    RESTART_BEHIND_CUT = "restart-behind-cut"  # cut from the entries
+    RESTART_BESIDE_LATE = "restart-beside-late"  # late orders
     SLOW_WORKER = "slow-worker"
-    STALL_WORKER = "stall-worker"  # its tasks stand still, its answers don't
+    STALL_WORKER = (
+        "stall-worker"  # its tasks stop progressing; it still answers
+    )
 
 
 _STORE = {
@@ -90,8 +94,8 @@
 }
 
 
-# Faults of entries alone among peers; days that were drawn before these kinds
-# were there draw without them.
+# Faults of a single entry among its peers. Days kept from before these kinds
+# existed are drawn without them, else their seeds would give other days.
 ALONE = (
     Fault.CUT_ENTRY,
     Fault.LOSE_ANSWERS,
@@ -105,12 +109,13 @@
     Fault.RESTART_BEHIND_CUT,
     Fault.RESTART_BESIDE_LATE,
 )
-# How fast the tasks of a worker go on.
+# Speed of a worker's tasks under a fault, as a share of the usual speed.
 SPEEDS = {Fault.SLOW_WORKER: 0.25, Fault.STALL_WORKER: 0.0}
-# Days and histories that were drawn before these kinds were there.
+# The kinds that existed before restarts and speeds, for days and histories kept
+# from then.
 EARLIER = tuple(fault for fault in Fault if fault not in (*RESTARTS, *SPEEDS))
-# Drawn days name their faults by place in this list; kept seeds would play
-# other days if it changed.
+# The kinds of drawn days. A seed picks them by position in this list, so kept
+# seeds would play other days if it changed.
 DRAWN = tuple(
     fault
     for fault in Fault
@@ -129,7 +134,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """A fault at a time, in seconds, for some seconds."""
+    """A fault that is injected at one time of a day.
+
+    Attributes:
+        at: Seconds from the start of the day.
+        fault: The kind.
+        for_s: How long it lasts.
+    """
 
     at: float
     fault: Fault
@@ -142,7 +153,17 @@
     length_s: float,
     kinds: Sequence[Fault] = DRAWN,
 ) -> list[Event]:
-    """Draw `count` faults over a day."""
+    """Draw the faults of a day.
+
+    Args:
+        seed: Seed of the draws.
+        count: How many faults.
+        length_s: Length of the day.
+        kinds: The kinds to draw from.
+
+    Returns:
+        The faults by time.
+    """
     rng = random.Random(seed)
     drawn = [
         Event(
@@ -166,21 +187,21 @@
     guards: bool = True,
     changes_per_s: float = 0.0,
 ) -> clusters.Cluster:
-    """Play a day and check its end.
+    """Play a day with load and faults, and check the final states.
 
     Args:
-        seed: Draws what callers and workers do.
-        load: What comes.
-        faults: What goes wrong.
-        lapses: Whether leases run out while the store is away.
+        seed: Seed of the jobs, the callers and the workers.
+        load: The jobs that callers submit.
+        faults: The faults to inject.
+        lapses: Whether leases of the store expire while it is unavailable.
         entries: How many entries.
         hosts: How many workers.
-        guards: Whether workers refuse what they have no room for.
-        changes_per_s: How often the configuration changes; calls on what
-            comes and goes are made only if it does.
+        guards: Whether workers reject tasks that they have no room for.
+        changes_per_s: How often the configuration changes. Calls on the routes
+            and keys that it adds and removes are made only if it does.
 
     Returns:
-        The cluster; its oracle lists what was broken.
+        The cluster; its oracle lists the broken rules.
     """
     held = clusters.Cluster(seed, entries, hosts, guards)
     held.store.lapses = lapses
@@ -230,9 +251,10 @@
 
 
 async def _wait_until_idle(held: clusters.Cluster) -> None:
-    """Wait until nothing runs and every job has ended, or long enough.
+    """Wait until nothing runs and every job has ended, or until a time limit.
 
-    A job whose workers are suspected waits some seconds with nothing running.
+    That nothing runs isn't enough: a job whose workers are suspected waits some
+    seconds with nothing running.
     """
     await trio.sleep(_CALM_S)
     with trio.move_on_after(_END_LIMIT_S):
@@ -244,7 +266,7 @@
 
 
 async def strike(held: clusters.Cluster, event: Event) -> None:
-    """Put one fault in, and take it back after its time."""
+    """Inject one fault at its time, and end it after its duration."""
     await trio.sleep(event.at)
     fault = event.fault
     owner = held.find_owner()
@@ -311,7 +333,7 @@
 
 
 async def _lose_answers(held: clusters.Cluster, name: str) -> None:
-    """Lose what the store answers in a time in which few calls are made."""
+    """Lose the store's answers to an entry; few calls are made meanwhile."""
     if name in held.store.turned_away:
         return
     held.store.turned_away[name] = stores.StoreFault.SILENT
@@ -320,7 +342,7 @@
 
 
 async def _stop(held: clusters.Cluster, name: str) -> None:
-    """Stop an entry as planned: it hands its pools over first."""
+    """Hand an entry's pools over, stop it, and start it again."""
     entry = held.entries.get(name)
     if entry is None:
         return
@@ -400,7 +422,7 @@
 
 
 async def _strike_processes(held: clusters.Cluster, event: Event) -> None:
-    """Restart the processes of one to three workers at the same moment."""
+    """Restart the processes of one to three workers at the same time."""
     live = [name for name, worker in held.workers.items() if worker.alive]
     most = min(len(live), held.random.randint(1, _MOST_RESTARTED))
     chosen = held.random.sample(live, k=most)
@@ -410,9 +432,9 @@
 
 
 async def _restart(held: clusters.Cluster, name: str, event: Event) -> None:
-    """Crash a worker's process; the next one takes its id.
+    """Crash a worker's process and start the next one under its id.
 
-    Until its first heartbeat the list tells of the earlier one.
+    Until its first heartbeat the store holds the entry of the earlier process.
     """
     worker = held.workers[name]
     away_s = held.random.uniform(*_AWAY_S)
@@ -435,7 +457,7 @@
 
 
 async def _shrink(held: clusters.Cluster, name: str, for_s: float) -> None:
-    """Take a part of a worker's room away; its next heartbeat tells."""
+    """Shrink a worker's room for a time; its next heartbeat reports it."""
     worker = held.workers[name]
     whole = clusters.ROOM
     if worker.entry.room != whole:
@@ -453,9 +475,9 @@
 
 
 async def _bear_again(held: clusters.Cluster, name: str) -> None:
-    """End a worker; another one answers at its address at once.
+    """Crash a worker; another incarnation answers at its address at once.
 
-    The platform lists the old one until its heartbeats have been missed.
+    The platform lists the old one until it has missed its heartbeats.
     """
     held.workers[name].crash()
     held.bear_again(name)
@@ -464,10 +486,10 @@
 
 
 async def _write_over(held: clusters.Cluster, name: str, for_s: float) -> None:
-    """Write what is no worker over its entry, until it writes again itself.
+    """Overwrite a worker's entry with a foreign value for some seconds.
 
-    What can't be read, lacks fields or names another pool comes under new
-    names as well.
+    Values that can't be decoded, lack fields or name another pool are written
+    under new names as well.
     """
     key = clusters.WORKERS + name
     held.store.put(key, held.random.choice(FOREIGN))
@@ -480,7 +502,7 @@
 
 
 async def _replace(held: clusters.Cluster, name: str, after_s: float) -> None:
-    """End a worker; another incarnation comes later."""
+    """Crash a worker and start another incarnation some seconds later."""
     rack = next(r for r in held.workers[name].entry.labels if "-" in r)
     held.crash_worker(name)
     await trio.sleep(after_s)
--- a/standins/emulator/load.py
+++ b/standins/emulator/load.py
@@ -1,4 +1,4 @@
-"""Jobs as the users' sheets describe them, drawn from a seed."""
+"""Draws the jobs of a day from a seed, in the mix that the users describe."""
 
 import dataclasses
 import random
@@ -8,23 +8,23 @@
 from standins.emulator import worker
 
 _WALL = 1_700_000_000.0
-# Both racks of a cluster of six workers, and all of them.
+# Labels in a cluster of six workers: of all of them, and of each rack.
 _LABELS = ("a", "r0-0", "r0-1")
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """How much comes, and how mixed.
+    """The rate and the mix of submitted jobs.
 
     Attributes:
         per_s: Jobs a second.
-        length_s: For how long.
-        gangs: Share of gangs.
-        poison: Share of jobs that can never be done.
-        advised: Share of jobs whose workers a policy chooses.
+        length_s: How long jobs are submitted.
+        gangs: Share of jobs whose first step is a gang.
+        poison: Share of jobs whose tasks always fail.
+        advised: Share of jobs whose workers the policy service chooses.
         crashing: Share of jobs whose tasks crash each worker they start on.
-        restricted: Share of jobs that ask for a label, or for few tasks on one
-            worker.
+        restricted: Share of jobs that require a label and, unless they have a
+            gang, at most one task of a step on a worker.
     """
 
     per_s: float = 1.0
@@ -36,7 +36,7 @@
     restricted: float = 0.0
 
     def draw(self, seed: int) -> list[tuple[float, work.Job]]:
-        """Return jobs with the times at which they are handed in."""
+        """Return jobs with the times at which they are submitted."""
         rng = random.Random(seed)
         drawn: list[tuple[float, work.Job]] = []
         at = 0.5
@@ -63,7 +63,8 @@
         if rng.random() < self.poison:
             payload = "poison"
         repeats = 3 if rng.random() < 0.1 else 0
-        # Nothing is drawn where no job is: days without stay the same.
+        # No random number is used if the share is 0, so that days without such
+        # jobs stay the same.
         if self.crashing > 0 and rng.random() < self.crashing:
             payload = worker.CRASHING
         return work.Job(
--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -1,4 +1,4 @@
-"""Operators who change routes and keys of the configuration."""
+"""Writes configurations as operators do, with changing routes and keys."""
 
 import random
 from typing import Any
@@ -8,10 +8,10 @@
 from standins.emulator import changes as change_rules
 from standins.emulator import store as stores
 
-# Routes and keys that come and go; callers' jobs use neither.
+# Routes and keys that are added and removed; no job uses them.
 ROUTES = ("/r0/", "/r1/", "/r2/")
 KEYS = ("k0", "k1", "k2")
-# Documents that must not be put in force; "%d" is the version.
+# Invalid documents, which must not be put in force; "%d" is the version.
 INVALID = (
     b"",
     b'{"version": %d',
@@ -22,10 +22,10 @@
 
 
 class Operators:
-    """Write whole configurations, one version after another.
+    """Writes whole configurations, one version after another.
 
     Attributes:
-        changes: Told of each confirmed version.
+        changes: The oracle that is told of each confirmed version.
     """
 
     def __init__(
@@ -39,11 +39,10 @@
 
         Args:
             store: The key-value service.
-            key: Where the configuration lies.
-            changes: Told of each confirmed version.
-            base: The document without its version; routes and keys that come
-                and go are like its first route and those of its first
-                customer.
+            key: Key of the configuration in the store.
+            changes: The oracle that is told of each confirmed version.
+            base: The document without its version. Added routes are copies of
+                its first route, and added keys belong to its first customer.
         """
         self.changes = changes
         self._store = store
@@ -54,18 +53,18 @@
         self._version = 1
 
     def set_base(self, base: dict[str, Any], now: float) -> None:
-        """Replace what does not come and go, and write it."""
+        """Replace the base document and write the next version."""
         self._base = base
         self.write(now)
 
     def toggle(self, route: str, key: str, now: float) -> None:
-        """Let a route and a key come if they are not there, or go."""
+        """Add a route and a key, each if it isn't there, else remove it."""
         self._routes ^= {route}
         self._keys ^= {key}
         self.write(now)
 
     def draw_change(self, rng: random.Random, now: float) -> None:
-        """Change a drawn route, key, or both; rarely write no configuration."""
+        """Toggle a drawn route, key or both; rarely write an invalid one."""
         if rng.random() < 0.1:
             self.write_invalid(rng.choice(INVALID), now)
             return
@@ -77,7 +76,7 @@
         self.write(now)
 
     def write(self, now: float) -> None:
-        """Write the next version; it is confirmed at once."""
+        """Write the next version and report it as confirmed."""
         self._version += 1
         document = self._build_document()
         self._store.put(self._key, orjson.dumps(document))
@@ -92,7 +91,7 @@
         )
 
     def write_invalid(self, form: bytes, now: float) -> None:
-        """Write a document that is no configuration."""
+        """Write an invalid document as the next version."""
         self._version += 1
         document = form.replace(b"%d", str(self._version).encode())
         self._store.put(self._key, document)
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -1,4 +1,4 @@
-"""Checks the rules from what workers and callers see."""
+"""Checks the rules on jobs from what workers and callers observe."""
 
 import collections
 from collections.abc import Callable
@@ -7,24 +7,24 @@
 from standins.emulator import rules
 from standins.emulator import touch as touches
 
-# A start that crosses a cancel on its way, or a stop on its way, is allowed
-# for this long.
+# A start that was on its way when a cancel was confirmed is allowed for this
+# long.
 _CANCEL_S = 3.0
 _NOTED_S = 1.0
-# Workers that may crash under a task, and starts after that many crashes that
-# are too many.
+# How many workers a task may crash, and which further start after that breaks
+# the rule.
 _CRASHES = 3
 _STARTS_AFTER_CRASHES = 3
-# `recovery_s` of the users' sites, and the share of tries that must be served
-# after it. Fewer tries than this say nothing.
+# `recovery_s` of the users' sites, the share of submissions that must be served
+# after it, and the number of submissions below which nothing is concluded.
 RECOVERY_S = 12.0
 _SERVED_SHARE = 0.25
 _FEWEST_TRIES = 4
-# How long a member of a gang waits for the others.
+# How long a started member of a gang waits for the others.
 GANG_S = 3.0
 
 
-# What the oracle of jobs judges, with the workers that report to it.
+# Rules that this oracle checks, with the workers that report to it.
 RULES = frozenset(
     {
         rules.Rule.BUDGET,
@@ -43,17 +43,28 @@
 
 
 class Oracle:
-    """Collects broken rules, each as one line.
+    """Checks the rules on jobs and collects the broken ones, each as one line.
 
     Attributes:
-        cancelled: Jobs whose cancel was confirmed, and when.
-        alone: Runs that ended because the rest of their gang never came, and
-            when; judged by who knows what was impaired.
-        tries: When jobs were handed in, and whether that was served.
-        back_at: When all entries had been lost and were back for the last
-            time.
-        asked_to_cancel: Jobs whose cancel was sent; one that was not answered
-            may be carried out at any time later.
+        broken: The broken rules.
+        jobs: All submitted jobs by id.
+        accepted: Ids of jobs whose submission was accepted.
+        refused: Ids of jobs of which every submission was refused.
+        cancelled: When the cancel of a job was confirmed, by job id.
+        asked_to_cancel: Ids of jobs whose cancel was sent; one without an
+            answer may be carried out at any later time.
+        excused_alone: How many incomplete gangs were excused by an impairment.
+        alone: Runs of gangs that ended because a member was never started, with
+            the times; `judge_alone` checks them.
+        tries: When jobs were submitted, and whether they were accepted.
+        back_at: When all entries were last back after the loss of all.
+        done: When each finished task was first done.
+        begun: When a task of each job was first started.
+        failed: How often each task has failed.
+        crashed_at: Crashes caused by tasks, with their times.
+        crashes: How many workers each task has crashed.
+        crashed_under: How often a worker was crashed by a task while each task
+            ran on it, the causing task included.
     """
 
     def __init__(self) -> None:
@@ -89,7 +100,7 @@
     def note_start(
         self, worker: str, key: work.TaskKey, run: int, now: float
     ) -> None:
-        """Take note of a start that a worker has begun."""
+        """Record and check a start that a worker has carried out."""
         job = self.jobs.get(key.job)
         if job is None:
             self.broken.append(f"{now:.3f} unasked: {key} on {worker}")
@@ -99,21 +110,25 @@
         others = self._running[key]
         if others:
             self.broken.append(
-                f"{now:.3f} twice: {key} run {run} on {worker} beside {others}"
+                f"{now:.3f} twice: {key} run {run} on {worker} and on {others}"
             )
         if key in self.done and key not in self._again:
             self.broken.append(
-                f"{now:.3f} twice: {key} run {run} on {worker} after its end"
+                f"{now:.3f} twice: {key} run {run} on {worker}, already done"
             )
         for earlier in step.after:
             if not self._is_step_done(job, key, earlier):
-                self.broken.append(f"{now:.3f} order: {key} before {earlier}")
+                self.broken.append(
+                    f"{now:.3f} order: {key} before step {earlier}"
+                )
         if self.failed[key] - self._forgotten[key] >= job.max_attempts:
             self.broken.append(f"{now:.3f} budget: {key}")
         self._count_after_crashes(key, now)
         cancelled = self.cancelled.get(key.job)
         if cancelled is not None and now > cancelled + _CANCEL_S:
-            self.broken.append(f"{now:.3f} unasked: {key} after its cancel")
+            self.broken.append(
+                f"{now:.3f} unasked: {key} after its job was cancelled"
+            )
         others.add((worker, run))
 
     def check_place(
@@ -129,21 +144,23 @@
             key: The task.
             where: The worker's name, its pool and its labels.
             beside: How many tasks of the step run there already.
-            now: Seconds.
+            now: Time of the start, in seconds.
         """
         job = self.jobs[key.job]
         step = job.steps[key.step]
         worker, pool, labels = where
         wrong = []
         if pool != job.pool:
-            wrong.append(f"of pool {pool}")
+            wrong.append(f"is of pool {pool}")
         if step.label and step.label not in labels:
-            wrong.append(f"without label {step.label}")
+            wrong.append(f"lacks label {step.label}")
         if step.per_worker and beside >= step.per_worker:
-            wrong.append(f"beside {beside} of its step")
+            wrong.append(f"already runs {beside} of the step")
         if wrong:
             told = ", ".join(wrong)
-            self.broken.append(f"{now:.3f} route: {key} on {worker} {told}")
+            self.broken.append(
+                f"{now:.3f} route: {key} on {worker}, which {told}"
+            )
 
     def _count_after_crashes(self, key: work.TaskKey, now: float) -> None:
         if self.crashes[key] < _CRASHES:
@@ -152,13 +169,19 @@
         if self._started_after[key] == _STARTS_AFTER_CRASHES:
             self.broken.append(
                 f"{now:.3f} budget: {key} started {_STARTS_AFTER_CRASHES} "
-                f"times more after {_CRASHES} workers had crashed under it"
+                f"times more after it had crashed {_CRASHES} workers"
             )
 
     def note_crash(
         self, key: work.TaskKey, beside: list[work.TaskKey], now: float
     ) -> None:
-        """Take note that a task has crashed its worker, others beside it."""
+        """Record that a task has crashed its worker.
+
+        Args:
+            key: The task.
+            beside: All tasks that ran on the worker, with the task itself.
+            now: Seconds.
+        """
         self.crashes[key] += 1
         self.crashed_at.append((now, key))
         for other in beside:
@@ -175,7 +198,15 @@
     def note_end(
         self, worker: str, key: work.TaskKey, run: int, how: str, now: float
     ) -> None:
-        """Take note of an end that a worker has listed."""
+        """Record an end that a worker has listed.
+
+        Args:
+            worker: The worker's id.
+            key: The task.
+            run: Number of its run.
+            how: How the run ended, a value of `orders.How`.
+            now: Seconds.
+        """
         self._running[key].discard((worker, run))
         job = self.jobs.get(key.job)
         if job is None:
@@ -191,30 +222,36 @@
                 self.done.setdefault(key._replace(position=index), now)
 
     def judge_alone(self, is_calm: Callable[[float], bool]) -> None:
-        """Judge the runs that ended alone since the last call.
+        """Check the incomplete gangs that have ended since the last call.
+
+        An incomplete gang breaks a rule unless its job was cancelled or
+        something was impaired before.
 
         Args:
-            is_calm: Tells whether nothing was impaired from a time on.
+            is_calm: Tells whether nothing has been impaired since a time.
         """
         ended, self.alone = self.alone, []
         for at, key in ended:
             if key.job in self.asked_to_cancel:
                 continue
             if is_calm(at - GANG_S - touches.STABLE_S):
-                self.broken.append(f"{at:.3f} gang: {key} waited alone")
+                self.broken.append(
+                    f"{at:.3f} gang: {key} ran while its gang was incomplete"
+                )
             else:
                 self.excused_alone += 1
 
     def note_lost(self, worker: str, key: work.TaskKey, run: int) -> None:
-        """Take note that a run ended with its worker."""
+        """Record that a run ended because its worker crashed."""
         self._running[key].discard((worker, run))
 
     def allow_again(self, key: work.TaskKey) -> None:
-        """Allow another run after an end that may have been lost.
+        """Allow another run of a task that is done, as its end may be lost.
 
-        Its worker is gone and was never told that the end was noted. It has
-        ended well all the same: steps after it may have begun. One end stands
-        for all members of a gang, whose own ends may come after the loss.
+        The worker is gone or its lease has ended, and no owner has confirmed
+        the end. The task still counts as done, since later steps may have
+        started. One end stands for all members of a gang, whose own ends may
+        be listed after the loss.
         """
         step = self.jobs[key.job].steps[key.step]
         indices = range(step.count) if step.gang else (key.position,)
@@ -222,32 +259,36 @@
             self._again.add(key._replace(position=index))
 
     def forget_failure(self, key: work.TaskKey) -> None:
-        """Allow a failure not to be counted: its worker is gone.
+        """Allow owners not to count a failure whose worker has crashed.
 
-        The end was never confirmed, so an owner may or may not have heard of
-        it; the attempt is spent for one who has.
+        The end was never confirmed. An owner that has received it counts the
+        attempt as spent; another one doesn't.
         """
         self._forgotten[key] += 1
 
     def check_over(self, states: dict[str, str | None]) -> None:
-        """Check the end of a day, after calm.
+        """Check the final states of all jobs, once the faults are over.
 
         Args:
-            states: What callers read of each accepted job.
+            states: The state that a caller reads for each accepted job.
         """
         self._check_recovered()
         for job_id in self.refused & self.begun.keys():
             if job_id not in self.accepted:
-                self.broken.append(f"refused: {job_id} has run")
+                self.broken.append(
+                    f"refused: {job_id} was refused, but has run"
+                )
         for job_id in self.accepted:
             state = states.get(job_id)
             if state == "done" and not self._is_job_done(job_id):
-                self.broken.append(f"mixed: {job_id} is done in part only")
+                self.broken.append(
+                    f"mixed: {job_id} is shown as done, but isn't whole"
+                )
                 continue
             wanted = self._find_wanted(job_id)
             if state not in wanted:
                 self.broken.append(
-                    f"lost: {job_id} is {state}, should be one of {wanted}"
+                    f"lost: {job_id} is {state}, expected one of {wanted}"
                 )
 
     def _check_recovered(self) -> None:
@@ -261,7 +302,7 @@
         share, earlier = (sum(tries) / len(tries) for tries in (later, before))
         if share < _SERVED_SHARE <= earlier:
             self.broken.append(
-                f"{after:.3f} recover: {share:.2f} of {len(later)} tries served"
+                f"{after:.3f} recover: {share:.2f} of {len(later)} accepted"
             )
 
     def _list_tasks(self, job_id: str) -> list[work.TaskKey]:
@@ -274,8 +315,11 @@
         ]
 
     def _may_be_given_up(self, tasks: list[work.TaskKey]) -> bool:
-        """Tell whether two workers have crashed under a task of a job that
-        crashes workers; others may be beside such a task at any time.
+        """Tell whether an owner may give up a job because of crashes.
+
+        That takes a task of the job that crashes workers, and a task of it that
+        was on two workers when they crashed. The tasks may differ: other tasks
+        may run beside one that crashes workers at any time.
         """
         crashes = any(self.crashes[key] for key in tasks)
         return crashes and any(self.crashed_under[key] > 1 for key in tasks)
@@ -310,7 +354,7 @@
     key: work.TaskKey,
     counts: collections.Counter[work.TaskKey],
 ) -> int:
-    """Return a task's count; a gang's members share theirs."""
+    """Return a task's count; for a gang, the sum over its members."""
     step = job.steps[key.step]
     if not step.gang:
         return counts[key]
--- a/standins/emulator/policy.py
+++ b/standins/emulator/policy.py
@@ -1,7 +1,8 @@
-"""The policy service of advised queues in memory.
+"""The policy service in memory, which advised queues ask for workers.
 
-Whether a worker may run a step is fixed; tickets hold for seconds. Questions
-are answered in turn, each more slowly the more workers it names.
+Whether a worker may run a step never changes; tickets are valid for seconds.
+Questions are answered one after another, and the time for an answer grows with
+the number of workers in the question.
 """
 
 import hashlib
@@ -20,13 +21,13 @@
 
 
 def _draw(text: str) -> int:
-    """Return a number under 0x10000 that depends on a text alone."""
+    """Return a number below 0x10000 that depends only on a text."""
     digest = hashlib.blake2b(text.encode(), digest_size=2).digest()
     return int.from_bytes(digest, "big")
 
 
 class Policy:
-    """What the service knows, and the tickets that it has given out."""
+    """The policy and the tickets that the service has issued."""
 
     def __init__(self) -> None:
         self.questions = 0
@@ -35,8 +36,8 @@
 
     def may_run(self, step: work.StepKey, worker: str) -> bool:
         """Tell whether the policy allows a worker to run a step."""
-        # Enough hosts are always allowed for the largest gang: a step that too
-        # few may run never ends.
+        # Some workers are always allowed, enough for the largest gang: a step
+        # that too few workers may run would never end.
         first = _draw(str(step))
         homes = {f"w{(first + n) % _HOSTS}" for n in range(_LARGEST_GANG)}
         if worker.partition("+")[0] in homes:
@@ -46,7 +47,7 @@
     async def answer(
         self, step: work.StepKey, workers: tuple[str, ...]
     ) -> orders.PolicyAnswer:
-        """Answer one question after those that came before."""
+        """Answer one question, after all earlier ones."""
         async with self._turn:
             self.questions += 1
             await trio.sleep(_DECIDE_S + _PER_WORKER_S * len(workers))
@@ -60,13 +61,13 @@
             return orders.PolicyAnswer(tickets, _VALID_S)
 
     def is_valid(self, ticket: str, step: work.StepKey, worker: str) -> bool:
-        """Tell whether a start may carry this ticket now."""
+        """Tell whether a ticket is valid now for a step on a worker."""
         fits = ticket.startswith(f"{step} {worker} ")
         return fits and trio.current_time() <= self._until.get(ticket, 0.0)
 
 
 class PolicyView:
-    """The service as one entry meets it; implements `PolicyPort`."""
+    """The service as one entry calls it; implements `PolicyPort`."""
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
@@ -74,8 +75,8 @@
     async def advise(
         self, step: work.StepKey, workers: tuple[str, ...], timeout_s: float
     ) -> orders.PolicyAnswer | orders.Silent:
-        """Ask which of some workers may run a step."""
+        """Ask which of the given workers may run a step."""
         return await self._policy.answer(step, workers)
 
     async def aclose(self) -> None:
-        """Close nothing."""
+        """Do nothing: there is no connection to close."""
--- a/standins/emulator/rules.py
+++ b/standins/emulator/rules.py
@@ -1,10 +1,10 @@
-"""The rules of the platform's pages, and which of them are judged."""
+"""Names the rules of the platform's pages, which oracles check."""
 
 import enum
 
 
 class Rule(enum.StrEnum):
-    """One rule, by the word of the pages and what it is about."""
+    """One rule: its word in the pages, and its subject if it has several."""
 
     ACKS = "acks"
     AVAIL = "avail"
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service in memory, one view an entry."""
+"""The platform's key-value service in memory, with faults; a view an entry."""
 
 import dataclasses
 import enum
@@ -12,21 +12,21 @@
 
 _ANSWER_S = 0.004
 _LATEST_S = 6.0
-# What a client of the real wire waits for an answer beyond a watch's time.
+# How much longer than a watch's time the real client waits for an answer.
 _WATCH_TIMEOUT_S = 1.5
-# While the history is being dropped, watches hear nothing.
+# Watches get no changes for this time before the history is dropped.
 _DEAF_S = 1.0
 
 
 class StoreFault(enum.StrEnum):
-    """What the service does wrong."""
+    """A fault of the service."""
 
     NONE = "none"
-    BUSY = "busy"  # refuses every call
-    SILENT = "silent"  # takes calls and never answers
-    SLOW = "slow"  # answers 75 times later
-    LOST = "lost"  # does a third of the writes and does not answer them
-    LATE = "late"  # does them seconds later, if their condition still holds
+    BUSY = "busy"  # rejects every call
+    SILENT = "silent"  # accepts calls and never answers
+    SLOW = "slow"  # takes 75 times as long to answer
+    LOST = "lost"  # doesn't answer a third of the writes, but applies them
+    LATE = "late"  # applies those seconds later, if their guards still hold
 
 
 @dataclasses.dataclass
@@ -40,10 +40,15 @@
     """Keys, leases, history and faults, shared by all views.
 
     Attributes:
+        dropped_to: Revision up to which the history has been dropped.
+        deaf_until: Until when watches get no changes.
+        lapses: Whether leases expire while the service is unavailable.
+        turned_away: Faults of calls of single entries, by the entry's name.
         spares_quiet_watches: Whether a silence loses only the answers that are
-            sent in it, so that a watch on which nothing came stays whole.
-        refused_watches: Prefixes whose watches are refused, as calls beyond
-            the limits of a second are.
+            sent during it, so that a watch without changes survives it.
+        refused_watches: Prefixes whose watches are rejected, as calls beyond
+            the rate limit are.
+        calls: How many calls entries have made.
     """
 
     def __init__(self, seed: int) -> None:
@@ -65,13 +70,13 @@
         self._changed = trio.Event()
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write one key as the operators or the workers do."""
+        """Write one key without guards, as operators and workers do."""
         self.revision += 1
         self._set(key, value, lease)
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove one key as its lease's end does."""
+        """Remove one key, as the end of its lease does."""
         if key in self.items:
             self.revision += 1
             self._drop(key)
@@ -90,17 +95,18 @@
         self._changed = trio.Event()
 
     def find_fault(self, entry: str) -> StoreFault:
-        """Return what an entry meets now."""
+        """Return the fault that calls of an entry meet now."""
         return self.turned_away.get(entry, self.fault)
 
     def is_impaired(self, now: float) -> bool:
-        """Tell whether not all entries are served as usual."""
+        """Tell whether a fault or a compaction affects all entries."""
         return self.fault is not StoreFault.NONE or now < self.deaf_until
 
     def note_silences(self, entries: list[str], now: float) -> None:
-        """Take note of who gets no answers now.
+        """Record which entries get no answers now.
 
-        What was open then is never answered, however long it stays open.
+        Calls that are open during a silence are never answered, however long
+        they stay open.
         """
         for entry in entries:
             if self.find_fault(entry) is StoreFault.SILENT:
@@ -113,28 +119,28 @@
         return self._silences.get(entry, -1.0) >= since
 
     async def forget_history_later(self) -> None:
-        """Tell watches of nothing for a second, then drop the history."""
+        """Send watches no changes for a second, then drop the history."""
         self.deaf_until = trio.current_time() + _DEAF_S
         await trio.sleep(_DEAF_S)
         self.forget_history()
 
     def forget_history(self) -> None:
-        """Drop all history, as a compaction does."""
+        """Drop the history of changes, as a compaction does."""
         self.dropped_to = self.revision
         self.history.clear()
         self._changed.set()
         self._changed = trio.Event()
 
     async def wait_for_change(self) -> None:
-        """Wait until some key has changed."""
+        """Wait until a key changes or the history is dropped."""
         await self._changed.wait()
 
     def expire(self, now: float) -> None:
-        """Remove the keys of leases that have run out; called all the time."""
+        """Remove the keys of expired leases; called on each clock step."""
         passed, self._expired_at = now - self._expired_at, now
         away = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
         if away and not self.lapses:
-            # They pause: what was left of each is left when it is back.
+            # Leases pause: each keeps its remaining time.
             self.leases = {
                 number: (ttl_s, end + passed)
                 for number, (ttl_s, end) in self.leases.items()
@@ -152,7 +158,7 @@
         writes: tuple[port.Write, ...],
         removals: tuple[str, ...],
     ) -> port.WriteOutcome:
-        """Carry a write out, all or nothing."""
+        """Apply a write if all its guards hold, else nothing of it."""
         for guard in guards:
             held = self.items.get(guard.key)
             if (held.revision if held else 0) != guard.revision:
@@ -174,7 +180,7 @@
         return port.Written(self.revision)
 
     def read(self, key: str) -> records.Record:
-        """Return a key that is there."""
+        """Return the record of a key that exists."""
         held = self.items[key]
         return records.Record(key, held.value, held.revision)
 
@@ -187,7 +193,7 @@
         self._entry = entry
 
     async def _arrive(self) -> StoreFault:
-        """Bring a call to the store; raises for what never gets there."""
+        """Delay a call and return the fault that it meets."""
         fault = self._store.find_fault(self._entry)
         slow = 75 if fault is StoreFault.SLOW else 1
         await trio.sleep(_ANSWER_S * slow * self._store.random.uniform(0.5, 1))
@@ -208,7 +214,7 @@
             raise client.StoreUnavailableError("silent")
 
     async def read(self, key: str) -> records.Record | None:
-        """Return a key's record."""
+        """Return a key's record, if any."""
         await self._fetch()
         return self._store.read(key) if key in self._store.items else None
 
@@ -228,7 +234,7 @@
         *,
         timeout_s: float = 1.0,
     ) -> port.WriteOutcome:
-        """Write all or nothing; some answers are lost."""
+        """Write all or nothing; the answer is lost under some faults."""
         self._store.calls += 1
         fault = await self._arrive()
         if fault is StoreFault.BUSY:
@@ -262,7 +268,7 @@
     async def watch(
         self, prefix: str, revision: int, wait_s: float
     ) -> port.Changes:
-        """Wait for changes under a prefix."""
+        """Wait for changes under a prefix after a revision."""
         began = trio.current_time()
         await self._fetch()
         if prefix in self._store.refused_watches:
@@ -285,7 +291,7 @@
         if self._is_deaf():
             return port.Changes((), revision)
         if revision < self._store.dropped_to:
-            # Dropped while the answer was on its way.
+            # The history was dropped while the answer was on its way.
             raise port.HistoryGoneError(prefix)
         found = self._find_events(prefix, revision)
         return port.Changes(found, self._store.revision)
@@ -304,7 +310,7 @@
         )
 
     async def grant(self, ttl_s: float) -> int:
-        """Open a lease."""
+        """Grant a lease."""
         await self._fetch()
         self._store.revision += 1
         number = self._store.revision
@@ -312,7 +318,7 @@
         return number
 
     async def keep(self, lease: int) -> bool:
-        """Renew a lease."""
+        """Renew a lease; return False if it has expired."""
         await self._fetch()
         self._store.expire(trio.current_time())
         if lease not in self._store.leases:
--- a/standins/emulator/suspension.py
+++ b/standins/emulator/suspension.py
@@ -1,9 +1,8 @@
-"""VMs that stand still for seconds and wake again.
+"""Emulates VMs that are suspended for seconds, with an entry on each.
 
-What a suspended entry sends leaves it when it wakes, and what was on its way
-to it is read then, however old. Its clock goes on; so do its timers, which on a
-real VM stand still too. That makes it send more of what was decided before, not
-less.
+What a suspended entry sends is sent when it resumes, and what arrives meanwhile
+is read then, however old. Its clock goes on. Its timers go on too, while those
+of a real VM stop; this makes the entry send more outdated decisions, not fewer.
 """
 
 from collections.abc import AsyncIterator
@@ -14,34 +13,34 @@
 
 
 class Suspensions:
-    """Which entries stand still now."""
+    """Tracks which entries are suspended."""
 
     def __init__(self) -> None:
         self._wakes_at: dict[str, float] = {}
 
     async def suspend(self, entry: str, for_s: float) -> None:
-        """Let an entry stand still for some seconds, or for longer."""
+        """Suspend an entry for some seconds; a longer suspension stays."""
         wakes_at = trio.current_time() + for_s
         self._wakes_at[entry] = max(wakes_at, self._wakes_at.get(entry, 0.0))
         await trio.sleep(for_s)
 
     def is_suspended(self, entry: str) -> bool:
-        """Tell whether an entry stands still."""
+        """Tell whether an entry is suspended."""
         return self._wakes_at.get(entry, 0.0) > trio.current_time()
 
     def is_any(self) -> bool:
-        """Tell whether some entry stands still."""
+        """Tell whether any entry is suspended."""
         now = trio.current_time()
         return any(at > now for at in self._wakes_at.values())
 
     async def wait_awake(self, entry: str) -> None:
-        """Wait until an entry runs."""
+        """Wait until an entry is not suspended."""
         while self._wakes_at.get(entry, 0.0) > trio.current_time():
             await trio.sleep_until(self._wakes_at[entry])
 
     @contextlib.asynccontextmanager
     async def pass_through(self, entry: str) -> AsyncIterator[None]:
-        """Hold what the body sends, and what it has heard."""
+        """Delay the body, and then its result, while an entry is suspended."""
         await self.wait_awake(entry)
         try:
             yield
@@ -50,7 +49,7 @@
 
 
 class Suspendable:
-    """Any port of an entry, whose calls stand still with it."""
+    """Wraps a port of an entry; its calls wait while the entry is suspended."""
 
     def __init__(
         self, port: object, suspensions: Suspensions, entry: str
--- a/standins/emulator/tests/conftest.py
+++ b/standins/emulator/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings that all tests of the emulator share."""
+"""Fixtures of all tests of the emulator."""
 
 from collections.abc import Iterator
 
@@ -9,6 +9,6 @@
 
 @pytest.fixture(autouse=True)
 def same_schedule() -> Iterator[None]:
-    """Play each day alike in every run."""
+    """Fix the order of ready tasks, so that a seed plays the same day."""
     with fuzzing.fix_schedule():
         yield
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Calls are handled by the configuration that the operators were promised."""
+"""Entries apply configuration changes in time, under all kinds of faults."""
 
 import os
 
@@ -19,8 +19,8 @@
 from standins.emulator.tests import test_histories
 
 _SETTLED_S = 6.35
-# From the trouble to the change: heartbeats come every second, reads that
-# nobody has spared come every three.
+# From the fault to the change. Heartbeats come every second; an entry reads the
+# configuration itself every three seconds unless a peer has told it.
 _WAITS_S = tuple(1.0 + 0.35 * number for number in range(9))
 _ASKING_S = 0.05
 _SEEDS = int(os.environ.get("CROCUSROUTER_DAYS", "12"))
@@ -32,8 +32,8 @@
         await faults.ask_all(held, 1)
 
 
-# The oracle itself: version 2 has the route only, version 3 the key as well;
-# version 4 is no configuration.
+# Returns the oracle after some calls. Version 2 has the route only, version 3
+# also the key; version 4 is invalid.
 def _judge(sent_at, handling, *, impaired_at=None, earlier=(), hidden_at=12.0):
     touch = touches.Touch()
     if impaired_at is not None:
@@ -89,7 +89,7 @@
 
 
 async def _silence(held, names, for_s):
-    """Lose what the store answers to some entries in a short time."""
+    """Lose the store's answers to some entries for some seconds."""
     for name in names:
         held.store.turned_away[name] = stores.StoreFault.SILENT
     await trio.sleep(for_s)
@@ -98,7 +98,7 @@
 
 
 async def _play(trouble, wait_s):
-    """Add a route and a key once a trouble has been brought about."""
+    """Inject a fault, add a route and a key, and call all entries."""
     held = clusters.Cluster(5)
     async with trio.open_nursery() as nursery:
         await nursery.start(held.run)
@@ -144,7 +144,7 @@
 
 
 async def _hold_heartbeats_up(held, nursery, wait_s):
-    """The peers' heartbeats arrive before the entry would have looked."""
+    """Delay the peers' heartbeats, but less than the entry waits for them."""
     await _let_peers_stand_still(held, nursery, wait_s, 2.4)
 
 
@@ -163,8 +163,9 @@
     await trio.sleep(wait_s)
 
 
-# Callers are told that a route or a key is not there seconds after it was
-# confirmed: no watch brings the change, and no peer tells of it.
+# Callers are told that a route or a key doesn't exist, seconds after its
+# version was confirmed: neither a watch nor a peer has told the entry of the
+# change.
 @pytest.mark.parametrize("wait_s", _WAITS_S)
 @pytest.mark.parametrize(
     "trouble",
@@ -186,8 +187,8 @@
     assert held.changes.unready == 0
 
 
-# Every entry answers 503 for good: operators have written what is no
-# configuration.
+# Every entry answers 503 from then on, because operators have written an
+# invalid configuration.
 @pytest.mark.parametrize("form", operators.INVALID)
 async def test_invalid_configuration_leaves_the_last_valid_one_in_force(
     form, autojump_clock
@@ -207,7 +208,7 @@
     assert held.changes.unready == 0
 
 
-# Any history of changes and faults, judged by what callers are told.
+# Any history of changes and faults, checked by the answers to callers.
 @fuzzing.build_settings(12)
 @hypothesis.given(
     seed=strategies.integers(0, 1000),
--- a/standins/emulator/tests/test_crashes.py
+++ b/standins/emulator/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tasks that crash the workers that start them."""
+"""Jobs whose tasks crash their workers are given up; others are not."""
 
 import dataclasses
 
@@ -12,8 +12,8 @@
 from standins.emulator import worker as workers
 
 _WALL = 1_700_000_000.0
-# Crashes under a task that give it up. Of a step, all tasks may start at first
-# and one at a time after that; a gang starts whole each time.
+# A task is given up after this many crashes. All tasks of a step may start at
+# first, and then one at a time; a gang always starts as a whole.
 _CRASHES = 3
 
 
@@ -27,7 +27,7 @@
 
 
 async def _play(jobs, events=(), seed=3, entries=4, length_s=60.0):
-    """Hand jobs in at times of their own, and wait for the end."""
+    """Submit jobs at their times, inject faults, and check the end."""
     held = clusters.Cluster(seed, entries)
     async with trio.open_nursery() as nursery:
         await nursery.start(held.run)
@@ -66,16 +66,14 @@
 async def test_task_that_crashes_its_workers_is_given_up(
     job, events, seed, autojump_clock
 ):
-    """The caller of a job reads "running" for ever, and callers of others see
-    theirs start again and again.
+    """A job stays "running" for ever, and other jobs restart again and again.
 
-    A task ended its worker 10 ms after its start. The worker was back 3.3 s
-    later under another name, and 2 ms after that the task had the next one,
-    with four or five tasks of others on it: `worker:lapsed` "another
-    incarnation answers", 5 runs, at 48.971 and 52.269 s, `step:start` of the
-    task at 48.971 and 52.269 s, "waited" 0.002, and no `run:ended` of it. An
-    end with a lost worker was counted nowhere, not by the owner nor in the
-    journal.
+    A task crashed its worker 10 ms after its start. The worker was back 3.3 s
+    later under another name; the task was started there within 2 ms and crashed
+    it too, with four or five tasks of other jobs. Neither the owner nor the
+    journal counted a run that ended with its worker: the log had
+    `worker:lapsed` "another incarnation answers" with 5 runs and `step:start`
+    of the task at 48.971 and 52.269 s, but no `run:ended`.
     """
     sound = [
         (at, _make_job(f"{number + 1:02x}", 2, crashes=False))
@@ -91,8 +89,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 async def test_days_with_tasks_that_crash_workers(seed, autojump_clock):
-    """Jobs that crash their workers come among others, while owners, store
-    and workers fail: each is given up, none of the others is.
+    """Jobs that crash their workers run among others, while owners, store and
+    workers fail: each of them is given up, and none of the others.
     """
     load = emulator.Load(crashing=0.2)
     drawn = emulator.choose_faults(seed, 5, load.length_s)
--- a/standins/emulator/tests/test_days.py
+++ b/standins/emulator/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Whole days of the emulated platform under drawn and scripted faults."""
+"""Whole days of the emulated platform, under drawn and scripted faults."""
 
 import os
 import statistics
@@ -9,12 +9,13 @@
 from standins import emulator
 from standins.emulator import faults
 
-# From the start of a day to its first second of traffic.
+# From the start of a day to the start of its load.
 _LEAD_S = 2.0
 _SEEDS = int(os.environ.get("CROCUSROUTER_DAYS", "12"))
-# How many days of the size of hundreds of VMs; each takes some ten seconds.
+# Environment variable: how many days with hundreds of VMs to play. Each takes
+# about ten seconds.
 _LARGE = "CROCUSROUTER_LARGE_DAYS"
-# Days on which a job was never heard of.
+# Seeds of days on which no owner heard of an accepted job.
 _KEPT_SEEDS = (25, 44)
 
 
@@ -22,9 +23,9 @@
 async def test_days_with_drawn_faults_keep_the_rules(seed, autojump_clock):
     """Faults of all kinds come at drawn times, several at once.
 
-    Callers hand jobs in and cancel some. Afterwards all is calm, and every
-    accepted job must have ended as its tasks did; no task may have run
-    twice, out of order or unasked at any time.
+    Callers submit jobs and cancel some. After the faults every accepted job
+    must have ended as its tasks did. At no time may a task run twice, out of
+    order or without being asked for.
     """
     load = emulator.Load()
     drawn = emulator.choose_faults(seed, 6, load.length_s)
@@ -34,8 +35,8 @@
 
 @pytest.mark.parametrize("fault", list(emulator.Fault))
 async def test_each_fault_twice(fault, autojump_clock):
-    """One kind of fault comes twice in a day, the second time while the
-    system still recovers from the first.
+    """A kind of fault comes twice in a day, the second time while the system
+    still recovers from the first.
     """
     load = emulator.Load(length_s=15.0)
     events = [faults.Event(5.0, fault, 4.0), faults.Event(10.0, fault, 3.0)]
@@ -48,11 +49,11 @@
 async def test_worker_that_is_another_now_gets_no_more_starts(
     seed, autojump_clock
 ):
-    """A worker crashes and another one answers at its address at once; the
-    platform lists the old one for some seconds more.
+    """A worker crashes and another incarnation answers at its address at once.
+    The platform lists the old one for some seconds more.
 
-    Its answer says that it is gone. Thousands of starts went there all the
-    same, each refused, and their jobs waited for as long.
+    The answer says that the old one is gone. The owner sent it thousands of
+    starts all the same; all were rejected, and their jobs waited meanwhile.
     """
     load = emulator.Load(length_s=15.0, per_s=2.0)
     events = [
@@ -66,13 +67,14 @@
 
 
 async def test_calm_day_needs_few_calls(autojump_clock):
-    """Nothing fails; calls to the store are priced and must stay few."""
+    """Without faults the entries make few calls to the store, as each costs."""
     load = emulator.Load(poison=0.0)
     held = await emulator.play(3, load, [])
     assert held.oracle.broken == []
     seconds = trio.current_time()
-    # A watch is one call. Followers of the owner that are never deaf for
-    # longer than a second cost 3.2 of these; without that bound it was 7.9.
+    # Calls a second; a watch is one call. 3.2 of them come from the bound of a
+    # second on how long the owner's watches may miss changes; without it the
+    # days needed 7.9.
     assert held.store.calls / seconds < 11.2
 
 
@@ -87,11 +89,11 @@
 async def test_advised_jobs_run_only_where_the_policy_allows(
     events, autojump_clock
 ):
-    """A policy allows six workers of ten to run a step, a ticket holds 3 s,
-    and the service answers one question at a time.
+    """A policy allows about six of ten workers to run a step, a ticket is valid
+    for 3 s, and the service answers one question at a time.
 
-    Jobs of advised queues were started without a ticket, refused by every
-    worker, and never ended. An owner that takes over knows no tickets.
+    Jobs of advised queues were started without a ticket, rejected by every
+    worker, and never ended. An owner that takes over has no tickets.
     """
     load = emulator.Load(length_s=10.0, gangs=0.1, poison=0.0, advised=0.5)
     held = await emulator.play(4, load, events)
@@ -107,14 +109,14 @@
 async def test_days_with_all_kinds_of_faults_keep_the_rules(
     seed, autojump_clock
 ):
-    """Others write to the list of workers too, and compactions hide changes.
+    """Other writers overwrite entries of workers, and compactions hide changes.
 
-    An entry that could not be read ended an owner, and the next one. Written
-    over the entry of a worker that runs something, it was passed over and the
-    worker was used on.
+    An entry that could not be decoded made the owner fail, and its successors.
+    One written over the entry of a busy worker was ignored, and the worker kept
+    getting tasks.
     """
     load = emulator.Load()
-    # Kept seeds would play other days with a kind that came later.
+    # Kept seeds would play other days if the kinds added later were drawn.
     later = {emulator.Fault.FREEZE_OWNER, *faults.ALONE}
     kinds = [kind for kind in faults.EARLIER if kind not in later]
     drawn = emulator.choose_faults(seed, 8, load.length_s, kinds)
@@ -124,9 +126,9 @@
 
 @pytest.mark.parametrize("seed", range(int(os.environ.get(_LARGE, "2"))))
 async def test_days_of_hundreds_of_vms_keep_the_rules(seed, autojump_clock):
-    """All entries lose power, owners are killed, and the store is in trouble,
-    while workers leave, are cut off and crash: what runs where is asked again
-    and again, and some never answer.
+    """All entries lose power, owners are killed, and the store fails, while
+    workers drain, lose their connections and crash. Successors must ask all
+    workers for their runs again and again, and some never answer.
     """
     load = emulator.Load(per_s=12.0, length_s=14.0)
     kinds = [
@@ -152,9 +154,9 @@
 
 @pytest.mark.parametrize("seed", range(_SEEDS))
 async def test_days_with_frozen_owners_keep_the_rules(seed, autojump_clock):
-    """Owners' VMs stand still for 1 to 6 s while workers leave, jobs are
-    cancelled and others take over; what they had under way leaves them when
-    they wake, and what they then read is as old.
+    """Owners' VMs are suspended for 1 to 6 s while workers drain, jobs are
+    cancelled and other entries take over. When an owner resumes, it sends
+    orders and reads answers that are as old as the suspension.
     """
     load = emulator.Load()
     kinds = [
@@ -171,7 +173,7 @@
 async def test_worker_whose_entry_is_written_over_gets_nothing_new(
     autojump_clock,
 ):
-    """Another writer puts its own entry over those of all workers but one."""
+    """Another writer overwrites the entries of all workers but one."""
     held = emulator.Cluster(3)
     async with trio.open_nursery() as nursery:
         await nursery.start(held.run)
@@ -195,11 +197,11 @@
 
 
 async def test_workers_leave_after_a_silent_outage(autojump_clock):
-    """The store is silent for 4 s while jobs come; afterwards workers say that
-    they leave, a compaction hides changes, and the owner is killed.
+    """The store is silent for 4 s while jobs are submitted. Afterwards workers
+    drain, a compaction hides changes, and the owner is killed.
 
     The owner waited on a watch whose answer was lost: it heard of no job for
-    13 s, and went on giving work to the workers that were leaving.
+    13 s, and kept starting tasks on the draining workers.
     """
     load = emulator.Load(per_s=2.0)
     events = [
@@ -222,12 +224,13 @@
 
 
 async def test_failure_lost_with_its_worker_spends_no_attempt(autojump_clock):
-    """A task fails while its owner is cut off from the store; the worker
-    crashes before the end is written and confirmed. The successor can't know
-    of this failure and tries the task once more.
+    """A task fails while its owner is cut off from the store, and the worker
+    crashes before the failure is recorded and confirmed. The successor can't
+    know of this failure and starts the task once more.
 
-    The oracle counted it as a start beyond the attempts. The share keeps the
-    drawn day as it was found, without an advised job.
+    The oracle counted that start as one beyond the allowed attempts. The tiny
+    share of advised jobs draws the day on which this was seen, though none of
+    its jobs is advised.
     """
     load = emulator.Load(advised=1e-9)
     drawn = emulator.choose_faults(6, 6, load.length_s)
@@ -235,8 +238,8 @@
     assert held.oracle.broken == []
 
 
-# Tasks run on workers without the label that they ask for, or more of a step
-# on one worker than it allows; or nobody is served after all entries are back.
+# Tasks run on workers without the required label, or more tasks of a step run
+# on a worker than allowed; or no job is accepted after all entries are back.
 @pytest.mark.parametrize("seed", range(_SEEDS))
 async def test_days_with_labels_and_bounds_keep_the_rules(seed, autojump_clock):
     load = emulator.Load(length_s=30.0, restricted=0.5)
--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -1,8 +1,8 @@
-"""How long followers of the store miss a change after every kind of trouble.
+"""After any fault of the store, watchers learn of changes within a time bound.
 
-An owner whose watch had lost its answer in a silent outage waited on it for
-15 s more. Jobs went on being accepted and none of them was started; a worker
-that had said it leaves got tasks for 5 s. The connection was open and answered
+When the answer to an owner's watch was lost in a silent outage, the owner
+waited for it 15 s more. Jobs were accepted meanwhile but not started, and a
+draining worker got tasks for 5 s. The connection stayed open and answered
 keep-alive probes, and other calls of the same process were served.
 """
 
@@ -20,8 +20,8 @@
 
 _SETTLED_S = 6.0
 _POLL_S = 0.01
-# Peers tell of a missed change with their heartbeats, one a second to owners,
-# neighbours and a peer drawn anew.
+# Peers report a missed change in their heartbeats, which they send each second
+# to owners, to neighbours and to a random peer.
 _TOLD_S = 2.5
 
 
@@ -94,7 +94,7 @@
 
 
 async def _measure(held, follower, trouble, for_s):
-    """Return the seconds from the end of a trouble to the change's hearing."""
+    """Return the seconds from the end of a fault until a change is known."""
     change, hears = _FOLLOWERS[follower]
     async with trio.open_nursery() as nursery:
         await nursery.start(held.run)
@@ -133,7 +133,7 @@
 async def test_followers_hear_of_changes_after_trouble(
     trouble, follower, autojump_clock
 ):
-    """A change is made in the middle of four seconds of trouble."""
+    """A change is made in the middle of a fault of four seconds."""
     held = clusters.Cluster(5)
     behind_s = await _measure(held, follower, trouble, 4.0)
     assert behind_s <= intake.DEAF_S
@@ -152,9 +152,9 @@
 async def test_followers_hear_after_silence_that_few_calls_met(
     follower, bound_s, for_s, autojump_clock
 ):
-    """The silence is so short that most entries make no call in it.
+    """The silence is so short that most entries make no call during it.
 
-    Only the answers of their open watches are lost, which nothing shows.
+    Only the answers to their open watches are lost, and they can't notice it.
     """
     held = clusters.Cluster(5)
     behind_s = await _measure(
@@ -164,9 +164,9 @@
 
 
 async def test_silence_of_one_entry_alone(autojump_clock):
-    """One entry's watches lose their answers; its other calls are few.
+    """One entry loses the answers to its watches; it makes few other calls.
 
-    Its peers hear of a new member, and tell it with their heartbeats.
+    Its peers learn of a new member and report it in their heartbeats.
     """
     held = clusters.Cluster(5)
     async with trio.open_nursery() as nursery:
--- a/standins/emulator/tests/test_histories.py
+++ b/standins/emulator/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Any history of faults keeps the rules: searched by hypothesis, shrunk."""
+"""Hypothesis searches for histories of faults that break a rule."""
 
 import hypothesis
 from hypothesis import strategies
@@ -29,16 +29,19 @@
 )
 
 
-# Callers see a task run twice, a job lost or refused though it ran, a gang in
-# part. Owners, entries, store and workers fail at any times, also while the
-# system still recovers from the last failure; the day is drawn with them.
-# In the first explicit history a try to hand a job in was answered "nobody
-# knows" and carried out after the next try had been refused at another entry;
-# it counted as refused all the same. The second one was judged while a gang of
-# a job that always fails waited for a suspected worker. In the others the
-# stand-in for the policy service let no worker, or fewer workers than a gang
-# has members, run a step, which no real policy does: it could never end. The
-# one of seed 20: a worker crashed 3 ms after it had told of three failures.
+# Callers see a task run twice, a job lost, a refused job run, or part of a gang
+# start. Owners, entries, store and workers fail at any time, also while the
+# system recovers from the last failure; the load is drawn too.
+#
+# Failures behind the explicit examples:
+# - Seed 424: a submission had an unknown outcome and took effect after the next
+#   one had been refused at another entry; the job still counted as refused.
+# - Seed 5: the final states were read while a gang of a job that always fails
+#   waited for a suspected worker.
+# - Seeds 728 and 11: the emulated policy service allowed no worker, or fewer
+#   workers than a gang has members, to run a step, which no real policy does;
+#   the job could never end.
+# - Seed 20: a worker crashed 3 ms after it had reported three failures.
 @hypothesis.example(
     seed=20,
     load=emulator.Load(2.0, _LENGTH_S, 0.8),
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -1,4 +1,4 @@
-"""Each check of the oracle, seen red by a fault put in by hand."""
+"""Each check of the oracle reports violations made by hand, and no others."""
 
 import dataclasses
 
@@ -131,8 +131,8 @@
     assert found == broken
 
 
-# A worker tells of a failure and crashes before it was confirmed: the owner
-# that heard it may count it, its successor can't. Both ends are right.
+# A worker reports a failure and crashes before the confirmation. An owner that
+# received the report counts the failure, a successor can't: both are right.
 @pytest.mark.parametrize("state", ["failed", "done", "running"])
 def test_failure_told_just_before_a_crash_may_count(state):
     held = _make_oracle()
@@ -174,9 +174,10 @@
 
 
 def test_gang_runs_again_if_its_only_end_was_lost():
-    """A gang's first member has ended when its worker crashes with the others.
-    Nobody was told of that end, and the next run of the others was taken for
-    one after it.
+    """A gang's first member is done when its worker crashes with the others.
+
+    No owner knew of that end and the whole gang ran again. The oracle took
+    this for a second run of a task that was done.
     """
     held = _make_oracle()
     step = work.Step(2, work.Room(), gang=True)
@@ -193,8 +194,8 @@
     assert held.broken == []
 
 
-# A cancel without an answer is carried out later: the job is shown as cancelled
-# although the caller has no confirmation. Shown so unasked, it is lost.
+# A cancel without an answer may be carried out later, so the job may be shown
+# as cancelled without a confirmation. If no cancel was sent, the job is lost.
 @pytest.mark.parametrize(("asked", "broken"), [(True, False), (False, True)])
 def test_cancel_without_an_answer_may_be_carried_out(asked, broken):
     held = _make_oracle()
@@ -208,7 +209,7 @@
     assert bool(held.broken) is broken
 
 
-# All entries were killed and are back, and callers are still turned away.
+# All entries were killed and are back, but most jobs are still not accepted.
 @pytest.mark.parametrize(
     ("before", "later", "broken"),
     [
@@ -248,7 +249,7 @@
     assert bool(held.broken) is broken
 
 
-# One part of a gang is started and the rest is not, with nothing in the way.
+# Part of a gang is started and the rest is not, though nothing was impaired.
 @pytest.mark.parametrize(
     ("impaired_at", "asked", "broken"),
     [(None, False, True), (1.0, False, True), (8.0, False, False)]
@@ -268,7 +269,8 @@
     assert held.excused_alone == (impaired_at == 8.0)
 
 
-# Two holders order the upkeep of one VM, or an earlier one after a later one.
+# Two holders of a lease order the upkeep of one VM in the same epoch, or a
+# holder does so after the holder of a later epoch.
 @pytest.mark.parametrize(
     ("orders", "broken"),
     [
--- a/standins/emulator/tests/test_restarts.py
+++ b/standins/emulator/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Workers whose processes start again under their own ids."""
+"""Workers whose processes restart under the same ids."""
 
 import os
 
@@ -16,7 +16,7 @@
 async def test_ends_of_a_restarted_worker_are_not_confirmed_unread(
     way, seed, autojump_clock
 ):
-    """Tasks ran again whose ends a new process had listed under an old id."""
+    """Tasks ran again whose ends a new process had listed under the old id."""
     load = emulator.Load(per_s=2.0)
     drawn = emulator.choose_faults(seed, _MOMENTS, load.length_s, [way])
     held = await emulator.play(seed, load, drawn)
@@ -28,7 +28,7 @@
 async def test_days_with_restarts_among_all_faults_keep_the_rules(
     seed, autojump_clock
 ):
-    """Owners change and entries fail while processes of workers restart."""
+    """Owners change and entries fail while workers' processes restart."""
     load = emulator.Load(per_s=2.0)
     drawn = emulator.choose_faults(seed, 4, load.length_s, faults.RESTARTS)
     drawn += emulator.choose_faults(
--- a/standins/emulator/tests/test_rooms.py
+++ b/standins/emulator/tests/test_rooms.py
@@ -1,4 +1,7 @@
-"""Workers whose room changes, and that start whatever they are told to."""
+"""Owners never start more than fits a worker's room, even if it shrinks.
+
+The workers here don't reject tasks that exceed their room.
+"""
 
 import pytest
 import trio
@@ -26,13 +29,13 @@
 
 @pytest.mark.parametrize("seed", [0, 3, 8, 21])
 async def test_no_start_brings_a_worker_over_its_room(seed, autojump_clock):
-    """A worker ran 13 accelerators' worth of tasks on 8, and all of them
+    """A worker with 8 accelerators ran tasks that needed 13, and all of them
     slowed down or ran out of memory.
 
     Jobs were cancelled while their owner was away. Its successor found their
     tasks on the workers and ordered them to stop, but counted their room as
-    free at once: what it started in the 0.2 s until they had ended came on
-    top. Rooms shrink and grow besides.
+    free at once, and started other tasks in the 0.2 s until they had ended.
+    Here rooms also shrink and grow.
     """
     load = emulator.Load(per_s=2.0)
     drawn = emulator.choose_faults(seed, 10, load.length_s, _SHRINKING)
--- a/standins/emulator/tests/test_sharing.py
+++ b/standins/emulator/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Tasks that serve and tasks that fill on the same workers."""
+"""Serving tasks keep their latency while filling tasks share their workers."""
 
 import pytest
 import trio
@@ -34,7 +34,7 @@
 
 
 def _is_harmed(worker):
-    """Tell whether a task is over its bound because of what fills."""
+    """Tell whether filling tasks push a serving task over its target."""
     tails = [worker.measure_tail(task) for task in worker.tasks.values()]
     works_on = any(
         task.pace
@@ -45,7 +45,7 @@
 
 
 async def _watch(held, longest):
-    """Keep for each worker how long its users were harmed on end."""
+    """Track the longest uninterrupted time of harm on each worker."""
     since = {}
     while True:
         now = trio.current_time()
@@ -58,9 +58,9 @@
         await trio.sleep(0.05)
 
 
-# Users of a serving task get slow answers for as long as the tasks that fill
-# beside it work at full speed: two of them are enough here. An owner that
-# takes over knows no pace and must find it from the tail alone.
+# Users of a serving task get slow answers while filling tasks on its worker run
+# at full pace; two of them are enough here. An owner that takes over doesn't
+# know the paces and must derive them from the tail latency alone.
 @pytest.mark.parametrize("kill", [False, True])
 async def test_what_fills_harms_nobody_for_long(kill, autojump_clock):
     held = emulator.Cluster(3)
--- a/standins/emulator/tests/test_speeds.py
+++ b/standins/emulator/tests/test_speeds.py
@@ -1,4 +1,4 @@
-"""Workers whose tasks work slowly, or not at all for a while."""
+"""Workers whose tasks run slowly, or make no progress for a while."""
 
 import os
 
@@ -14,7 +14,7 @@
 async def test_days_with_slow_and_stalled_workers_keep_the_rules(
     seed, autojump_clock
 ):
-    """Runs are rescued from workers that answer, and ran on there."""
+    """Runs were rescued from workers that still answered, and ran on there."""
     load = emulator.Load(per_s=2.0)
     drawn = emulator.choose_faults(seed, 5, load.length_s, list(faults.SPEEDS))
     drawn += emulator.choose_faults(
--- a/standins/emulator/tests/test_store.py
+++ b/standins/emulator/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The emulated key-value service keeps what the platform promises."""
+"""The emulated key-value service behaves as the platform specifies."""
 
 import pytest
 import trio
@@ -11,10 +11,10 @@
     "wait_s", [0.2, 0.5, 0.985, 0.99, 0.992, 0.994, 0.996, 0.998, 1.0, 1.5]
 )
 async def test_watch_never_passes_over_a_dropped_change(wait_s, autojump_clock):
-    """Watches hear nothing for a second, then the history is dropped.
+    """Watches get no changes for a second, then the history is dropped.
 
-    A watch whose time ended in the last 4 ms of that second was answered
-    "nothing" at the newest revision. Its owner never heard of a job that was
+    A watch that timed out in the last 4 ms of that second was answered with no
+    changes at the newest revision. The owner never heard of a job that was
     accepted meanwhile, and the job waited for ever.
     """
     store = stores.Store(1)
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""What starts at once after a takeover, and what must wait for a worker."""
+"""Which jobs a new owner starts at once, and which wait for a silent worker."""
 
 import pytest
 import trio
@@ -9,7 +9,7 @@
 from standins.emulator import store as stores
 
 _OUTAGE_S = 1.5
-# An owner has its pool 0.2 s after the entries are back.
+# An entry owns the pool 0.2 s after the entries are back.
 _PROMPT_S = 1.0
 
 
@@ -48,11 +48,11 @@
 async def test_jobs_that_nothing_ran_of_start_although_a_worker_is_silent(
     entries, workers, autojump_clock
 ):
-    """All workers are taken and more jobs wait. All entries lose power; while
-    they are dark one worker is cut off, and the others end what they ran.
+    """All workers are busy and more jobs wait. All entries lose power;
+    meanwhile one worker is cut off, and the tasks on the others end.
 
-    Nobody could look at that worker, so every older job might have run there:
-    the whole backlog waited for its lease, 8 s beside idle workers.
+    No entry could ask that worker for its runs, so any older job might have run
+    there: all waiting jobs waited 8 s for its lease to end while workers idled.
     """
     held = emulator.Cluster(3, entries=entries, hosts=workers)
     waiting = [_make_job(1000 + n) for n in range(workers // 2)]
@@ -83,11 +83,11 @@
 async def test_parked_job_that_was_started_is_not_started_again(
     ran_s, autojump_clock
 ):
-    """A job has waited and is recorded as one of which nothing runs. Its start
-    is sent to a worker; then the owner dies, and that worker is cut off.
+    """A waiting job is recorded as parked: none of its tasks runs. It is
+    started on a worker; then the owner dies, and that worker is cut off.
 
-    A successor that still found the job in the record would start it elsewhere,
-    beside the run that it can't see.
+    A successor that still found the job in the record would start it on another
+    worker, while the first run goes on unseen.
     """
     held = emulator.Cluster(3, hosts=2)
     filler = _make_job(1, 2, expected_s=3.5)
@@ -118,9 +118,10 @@
 
 
 async def test_start_that_the_record_holds_up_is_planned_anew(autojump_clock):
-    """The store loses answers to the owner alone while a parked job's turn
-    comes. Its start was never sent, so its room must not stay taken, and it
-    must run once the store answers.
+    """The store loses the answers to the owner as a parked job is due to start.
+
+    Its start was never sent, so its room must not stay reserved, and it must
+    run once the store answers again.
     """
     held = emulator.Cluster(3, hosts=1)
     filler, waiting = _make_job(1, expected_s=3.5), _make_job(2)
@@ -143,12 +144,12 @@
 
 
 async def test_workers_that_left_empty_hold_nothing_back(autojump_clock):
-    """Two workers say that they leave, end what they run, and are gone while
-    all entries are without power. The platform lists them for some seconds.
+    """Two workers drain, end their tasks, and are gone while all entries are
+    without power. The platform lists them for some seconds more.
 
-    Drained workers on which nothing ran were not in the record, so a successor
-    took them for workers that might run anything: no older job was started
-    until their leases had ended, 8 s beside idle workers.
+    Drained workers without tasks were not in the record, so a successor assumed
+    that they might run any job. It started no older job until their leases had
+    ended, for 8 s, while other workers idled.
     """
     held = emulator.Cluster(3)
     filler = _make_job(1, len(held.workers) - 2, expected_s=3.0)
@@ -166,7 +167,7 @@
         await held.submit(filler)
         for job in waiting:
             assert await held.submit(job) == "accepted"
-        # Accepted a moment ago: not in the record of parked jobs.
+        # The jobs were just accepted and are not in the record of parked jobs.
         await trio.sleep(0.2)
         for name in leaving:
             held.workers[name].crash()
@@ -182,10 +183,10 @@
 async def test_owner_that_restarts_does_not_wait_for_its_own_lease(
     autojump_clock,
 ):
-    """The store is away, and leases pause; all entries lose power meanwhile.
+    """The store is unavailable, so its leases pause; all entries lose power.
 
-    The owner's key of before is there when the store answers again, with up to
-    1.8 s to go. Jobs accepted in that time had to wait for it.
+    When the store answers again, the former owner's key still has up to 1.8 s
+    to live. Jobs accepted in that time had to wait until it expired.
     """
     held = emulator.Cluster(3)
     held.store.lapses = False
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -1,8 +1,8 @@
-"""Owners that have not heard of a change start nothing against it.
+"""Owners start no task against a drain or a cancel that they couldn't hear of.
 
-The oracle notes each start on a worker that said more than 2 s before that it
-leaves, and each start of a job that was cancelled more than 3 s before. While
-the store is in trouble the first counts from the trouble's end.
+The cluster reports each start on a worker that has been draining for more than
+2 s, counted from the end of the store's trouble if that is later. The oracle
+reports each start of a job that was cancelled more than 3 s before.
 """
 
 import pytest
@@ -19,7 +19,7 @@
 
 
 def _make_wide_job(job_id, tasks=36):
-    """Return a job that has tasks for every worker."""
+    """Return a job with enough tasks for every worker."""
     step = work.Step(tasks, work.Room(2800, 4096, 1), 2.0)
     return work.Job(
         job_id,
@@ -41,7 +41,7 @@
 
 
 def _check_where_begun(held, before):
-    """Check that all workers got something, but for the one that leaves."""
+    """Check that all workers but the draining one got tasks."""
     assert held.list_failures() == []
     assert held.oracle.broken == []
     begun = _count_begun(held)
@@ -50,14 +50,16 @@
 
 
 async def test_worker_that_leaves_after_a_silent_outage(autojump_clock):
-    """The store took calls and answered none for 4.6 s. Its answer to the
-    owner's watch of the list of workers was lost on an open connection, and
-    the owner waited on it until 12 s after the store was back. On its watch of
-    jobs nothing had come in the outage, so it heard of each job within
-    milliseconds and started tasks on a worker that had said 4.5 s before that
-    it leaves. What settled it in the owner's lines, between 18.0 (silent) and
-    36 s: `watch:lost` of `servers/` at 34.65 and no earlier, `worker:state`
-    (draining since 24.1) at 34.97, `job:seen` 26 times from 22.82 to 34.74.
+    """The store accepted calls and answered none for 4.6 s.
+
+    The answer to the owner's watch of the workers was lost on an open
+    connection, and the owner waited for it until 12 s after the store was back.
+    No job had been submitted in the outage, so the watch of jobs was intact:
+    the owner heard of each job within milliseconds, and started tasks on a
+    worker that had been draining for 4.5 s. Its log between 18.0 s (start of
+    the silence) and 36 s: `watch:lost` of `servers/` only at 34.65,
+    `worker:state` (draining since 24.1) at 34.97, `job:seen` 26 times from
+    22.82 to 34.74.
     """
     held = emulator.Cluster(5)
     held.store.lapses = False
@@ -86,11 +88,13 @@
 async def test_owner_whose_watch_of_workers_alone_is_refused(
     for_s, autojump_clock
 ):
-    """The store refuses the owner's watches of the list of workers, as it does
-    beyond its calls a second, and serves renewals and the watch of jobs. A
-    worker says that it leaves. The owner knew that its watch failed, and went
-    on starting tasks by the list that it had before. Once the watch is served
-    again, the job starts on all other workers.
+    """The store rejects the owner's watches of the workers, as it does beyond
+    its rate limit, but serves lease renewals and the watch of jobs. A worker
+    drains.
+
+    The owner knew that its watch failed, but kept starting tasks according to
+    the last list. Once the watch is served again, the job must start on all
+    other workers.
     """
     held = emulator.Cluster(5)
     async with trio.open_nursery() as nursery:
@@ -110,9 +114,9 @@
 
 
 async def test_owner_whose_watch_of_jobs_alone_is_refused(autojump_clock):
-    """The store refuses the owner's watches of jobs alone. A caller cancels a
-    job, gets its confirmation, and the owner does not hear of it: as its tasks
-    ended one after another, it went on starting the ones that waited.
+    """The store rejects only the owner's watches of jobs. A caller cancels a
+    job and gets a confirmation, but the owner doesn't hear of it: whenever a
+    task of the job ended, it started the next one.
     """
     held = emulator.Cluster(5)
     job = _make_wide_job("00000000000000aa", tasks=240)
@@ -122,7 +126,7 @@
         assert await held.submit(job) == "accepted"
         await trio.sleep(1.0)
         held.store.refused_watches.add(keys.JOBS)
-        await trio.sleep(1.0)  # The watch that is open ends.
+        await trio.sleep(1.0)  # The open watch ends.
         await held.cancel(job.id)
         assert job.id in held.oracle.cancelled
         await trio.sleep(6.0)
--- a/standins/emulator/tests/test_upkeep.py
+++ b/standins/emulator/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep played on the emulator, under failures of their holder."""
+"""Waves of upkeep end whole and within limits, also if their holder fails."""
 
 import pytest
 import trio
@@ -37,7 +37,7 @@
 
 
 async def _play(held, strike, job=None):
-    """Ask for a wave of four VMs, two at once, and wait until it is over."""
+    """Order a wave of four VMs, two at once, and wait until it is over."""
     async with trio.open_nursery() as nursery:
         await nursery.start(held.run)
         await trio.sleep(2.0)
@@ -73,9 +73,10 @@
     held.vms.lost_share = 0.5
 
 
-# Operators see the wave told as completed while a VM has not had its upkeep,
-# or more VMs down at once than they allowed. The holder is killed between an
-# order and its note; or the order is carried out and its answer is lost.
+# Operators see the wave reported as completed while a VM has not had its
+# upkeep, or more VMs down at once than they allowed. The holder is killed
+# between an order and its record, or an order is carried out but its answer is
+# lost.
 @pytest.mark.parametrize("strike", [_do_nothing, _kill_holder, _lose_answers])
 async def test_wave_ends_whole_and_within_its_limit(strike, autojump_clock):
     held = emulator.Cluster(5)
@@ -85,9 +86,9 @@
     assert held.vms.served == {"w0", "w1", "w2", "w3"}
 
 
-# Users of a task that lasts see it gone: its VM goes down while it is at
-# work and so many others of its step are away. Tasks leave one by one, and
-# the next only when the one before is at work again.
+# Users of a lasting task lose it: its VM goes down while too many other tasks
+# of the step are down. Tasks must move one by one, each only after the one
+# before is at work again.
 @pytest.mark.parametrize("strike", [_do_nothing, _kill_holder])
 async def test_wave_keeps_tasks_that_last_at_work(strike, autojump_clock):
     held = emulator.Cluster(6)
--- a/standins/emulator/vms.py
+++ b/standins/emulator/vms.py
@@ -1,6 +1,6 @@
-"""The platform's control of VMs in memory: upkeep in waves.
+"""The platform's VM control in memory: takes VMs down for upkeep, in waves.
 
-A VM keeps its name over all lives of its worker: "w1" runs "w1", then
+A VM keeps its name when its worker is replaced: VM "w1" runs worker "w1", then
 "w1+17", and so on.
 """
 
@@ -15,7 +15,7 @@
 from standins.emulator import rules
 from standins.emulator import worker as workers
 
-# What the VMs judge of the orders that they get.
+# Rules that are checked on the orders of upkeep.
 RULES = frozenset({rules.Rule.AVAIL, rules.Rule.LIMIT_WAVES, rules.Rule.ONE})
 
 WAVES = "op/wave/"
@@ -25,22 +25,22 @@
 
 
 class Host(Protocol):
-    """What the VMs need of the cluster."""
+    """The part of the cluster that the VM control uses."""
 
     workers: dict[str, workers.Worker]
     oracle: oracles.Oracle
 
     def crash_worker(self, name: str) -> None:
-        """End a worker."""
+        """Crash a worker."""
         ...
 
     def add_worker(self, name: str, rack: str) -> None:
-        """Start a worker and list it."""
+        """Start a worker and write its entry."""
         ...
 
 
 def parse_wave(key: str, value: bytes) -> vms.Wave:
-    """Decode a wave."""
+    """Decode a wave as operators write it."""
     number, names, within_s, most = orjson.loads(value)
     return vms.Wave(number, frozenset(names), within_s, most)
 
@@ -53,12 +53,18 @@
 
 
 def build_status(wave: int, is_over: bool) -> tuple[str, bytes]:
-    """Return the key and the body by which operators are told."""
+    """Return the key and the value that report a wave's status to operators."""
     return f"{_STATUS}{wave}", b"completed" if is_over else b"running"
 
 
 class Vms:
-    """All VMs, and the rules of waves."""
+    """All VMs, with checks of the rules on waves.
+
+    Attributes:
+        most_at_once: How many VMs may be down at once.
+        served: Names of the VMs whose upkeep has begun.
+        lost_share: Every second answer is lost if this is above 0.
+    """
 
     def __init__(self, host: Host) -> None:
         self.most_at_once = 1
@@ -71,7 +77,7 @@
         self._lost = 0
 
     def list_all(self) -> tuple[vms.Vm, ...]:
-        """Return all VMs."""
+        """Return all VMs with their states."""
         found = {}
         for name, worker in self._host.workers.items():
             vm = name.partition("+")[0]
@@ -86,12 +92,16 @@
         return tuple(found.values())
 
     def begin(self, holder: str, epoch: int, vm: str) -> vms.Upkeep:
-        """Take a VM down, once for each wave."""
+        """Begin the upkeep of a VM, once for each wave, and check the order."""
         other = self._holders.setdefault((vm, epoch), holder)
         if other != holder:
-            self._note(f"one: {vm} ordered by {other} and {holder}, {epoch}")
+            self._note(
+                f"one: {vm} ordered by {other} and {holder} in epoch {epoch}"
+            )
         if epoch < self._highest.get(vm, 0):
-            self._note(f"one: {vm} ordered under {epoch}, later one known")
+            self._note(
+                f"one: {vm} ordered in epoch {epoch} after a later epoch"
+            )
         self._highest[vm] = max(epoch, self._highest.get(vm, 0))
         if vm in self.served:
             return vms.Upkeep.DONE
@@ -99,7 +109,9 @@
         if held is None or held.state is not vms.VmState.UP:
             return vms.Upkeep.BUSY
         if len(self._down) >= self.most_at_once:
-            self._note(f"limit: {vm} goes down beside {sorted(self._down)}")
+            self._note(
+                f"limit: {vm} goes down while {sorted(self._down)} are down"
+            )
         self._check_away(held.worker)
         self.served.add(vm)
         self._down.add(vm)
@@ -107,7 +119,7 @@
         return vms.Upkeep.DONE
 
     def must_lose(self) -> bool:
-        """Tell whether to lose this answer: each second one, if any."""
+        """Tell whether to lose this answer: every second one, if any."""
         self._lost += 1
         return self.lost_share > 0 and self._lost % 2 == 1
 
@@ -121,11 +133,11 @@
         self._host.add_worker(f"{vm.name}+{life:.0f}", rack)
 
     def _check_away(self, worker: str) -> None:
-        """A VM with a task at work that may not be missed must not go."""
+        """Report running tasks on a worker whose step limits absences."""
         for key in self._host.workers[worker].tasks:
             step = self._host.oracle.jobs[key.job].steps[key.step]
             if step.may_miss:
-                self._note(f"avail: {key} at work on {worker}")
+                self._note(f"avail: {key} still at work on {worker}")
 
     def _note(self, line: str) -> None:
         now = trio.current_time()
@@ -133,21 +145,21 @@
 
 
 class VmsView:
-    """The VMs as one entry meets them; implements `VmPort`."""
+    """The VM control as one entry calls it; implements `VmPort`."""
 
     def __init__(self, vms: Vms, entry: str) -> None:
         self._vms = vms
         self._entry = entry
 
     async def list_vms(self) -> tuple[vms.Vm, ...] | orders.Silent:
-        """Return all VMs."""
+        """Return all VMs with their states."""
         await trio.sleep(_ANSWER_S)
         return self._vms.list_all()
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
     ) -> vms.Upkeep | orders.Silent:
-        """Take a VM down for its upkeep."""
+        """Begin the upkeep of a VM; the answer may be lost."""
         await trio.sleep(_ANSWER_S)
         answer = self._vms.begin(holder, epoch, vm)
         if self._vms.must_lose():
@@ -155,4 +167,4 @@
         return answer
 
     async def aclose(self) -> None:
-        """Close nothing."""
+        """Do nothing: there is no connection to close."""
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -1,4 +1,4 @@
-"""A worker of the platform in memory: leases, fences, rooms and gangs."""
+"""An emulated worker: its leases, epoch checks, room and gangs."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,30 +15,46 @@
 _ORDER_S = 0.001
 _HOLD_MAX_MS = 10_000
 _SLOWEST = 0.98
-# A task that lasts is at work after this.
+# A lasting task reports that it is at work after this time.
 _STARTUP_S = 0.4
-# Tail of a serving task alone, and what one task that fills adds to it.
+# Tail latency of a serving task alone, and what each filling task adds to it.
 _TAIL_MS = 40.0
 _DISTURBANCE_MS = 60.0
-# The payload of a job whose tasks crash each worker that starts them, and how
-# long that takes; at times the worker is gone before it has answered.
+# The payload of a job whose tasks crash each worker that starts them, how long
+# that takes, and the share of such starts that crash before they are answered.
 CRASHING = "crash"
 _CRASH_S = 0.01
 _UNANSWERED_SHARE = 0.3
-# A room that has shrunk counts from then on: nobody can know of it at once.
+# An owner can't know at once that a worker's room has shrunk: until this time
+# has passed, starts that fit the larger room are allowed.
 _SHRUNK_AFTER_S = 4.5
-# A worker that has crashed is listed until three heartbeats are missed.
+# A crashed worker stays listed until it has missed three heartbeats of 1.5 s.
 _UNNOTICED_S = 4.5
-# A new process's clock starts here.
+# The reading of a new process's clock when it starts.
 _FIRST_CLOCK_MS = 1.0
 _UNIX_MS = 1_700_000_000_000
-# The figure is one for the last half second; a step of time is 20 ms.
+# Smoothing of the tail latency: it covers about the last half second, in steps
+# of 20 ms.
 _TAIL_SHARE = 0.08
 
 
 @dataclasses.dataclass
 class Task:
-    """One run here."""
+    """One run of a task on a worker.
+
+    Attributes:
+        key: The task.
+        run: Number of the run.
+        began_at: When the worker started it.
+        works_from: When it began to work; None while a member of a gang waits
+            for the others.
+        ends_at: When it ends by itself; None for a lasting task.
+        stops_at: When it ends because of a stop order; None without one.
+        how: How it ends by itself.
+        lasting: Whether it runs until it is stopped.
+        pace: Its speed in percent, as the owner ordered.
+        crashes: Whether its end crashes the worker.
+    """
 
     key: work.TaskKey
     run: int
@@ -53,24 +69,24 @@
 
 
 class Gangs:
-    """Which members of each run of a gang are present, over all workers."""
+    """The members of each run of a gang that have started, on all workers."""
 
     def __init__(self) -> None:
         self.present: dict[tuple[work.StepKey, int], list[Worker]] = {}
 
     def add(self, key: work.TaskKey, run: int, worker: "Worker") -> int:
-        """Note a member; returns how many are present."""
+        """Add a started member and return how many there are."""
         held = self.present.setdefault((work.StepKey(*key[:3]), run), [])
         held.append(worker)
         return len(held)
 
     def list(self, key: work.TaskKey, run: int) -> list["Worker"]:
-        """Return the workers of a run's members."""
+        """Return the workers on which members of a run have started."""
         return self.present.get((work.StepKey(*key[:3]), run), [])
 
 
 class Worker:
-    """One incarnation of a worker."""
+    """One incarnation of a worker: a process under its id."""
 
     def __init__(
         self,
@@ -98,7 +114,7 @@
         self.drains_since: float | None = None
         self.started_draining: list[tuple[work.TaskKey, float]] = []
         self.fails_all = False
-        # Share of its usual speed at which everything here works.
+        # Speed of all tasks here, as a share of the usual speed.
         self.speed = 1.0
         self._stepped_at: float | None = None
         self.cut_from: set[str] = set()
@@ -117,24 +133,25 @@
         self._news = trio.Event()
 
     def read_clock(self) -> float:
-        """Return this worker's own milliseconds."""
+        """Return the milliseconds of this worker's own clock."""
         return self.offset_ms + trio.current_time() * 1000 * self.rate
 
     def start_anew(self, now: float) -> None:
-        """Begin as the next process under this id, which knows nothing."""
+        """Reset the birth time and the clock to those of a new process."""
         self.born_ms = _UNIX_MS + int(now * 1000)
         self.offset_ms = _FIRST_CLOCK_MS - now * 1000 * self.rate
 
     def step(self, now: float) -> None:
-        """Let time pass: ends, stops, lapses."""
+        """End the runs that are over, stopped, or without a lease."""
         if not self.alive:
             return
         self._hold_back(now)
         self._follow_tail()
         lapsed = self.read_clock() > self.until_ms
         if lapsed:
-            # An end that nobody noted before the lease ended stands for
-            # nothing: the owner could only wait the lease out.
+            # The owner could only wait for the end of the lease. It may not
+            # know of ends that it hasn't confirmed, so it may run those tasks
+            # again.
             self._allow_again()
         for task in list(self.tasks.values()):
             if lapsed:
@@ -151,7 +168,7 @@
                 self._end(task, task.how, now)
 
     def _hold_back(self, now: float) -> None:
-        """Move the ends of all work away, as slow as it is."""
+        """Postpone the ends of all tasks by the time that slowness cost."""
         since = self._stepped_at if self._stepped_at is not None else now
         lost_s = (now - since) * (1.0 - self.speed)
         self._stepped_at = now
@@ -184,8 +201,13 @@
                     worker._end(other, orders.How.BROKEN, now)
 
     def crash_unanswered(self, key: work.TaskKey) -> bool:
-        """Crash before the start of a task is answered, for some of those
-        that crash their workers; True if so.
+        """Crash before the start of a task is answered, at random.
+
+        Args:
+            key: The task; only one that crashes its workers counts.
+
+        Returns:
+            Whether the worker has crashed.
         """
         task = self.tasks.get(key)
         if task is None or not task.crashes:
@@ -204,7 +226,7 @@
         self._news.set()
 
     def crash(self) -> None:
-        """Lose everything that runs or is listed here."""
+        """Crash: lose all runs and all ends that are listed here."""
         self.alive = False
         now = trio.current_time()
         self._crashed_at = now
@@ -228,7 +250,7 @@
     # Orders.
 
     def check(self, epoch: int) -> orders.Rejected | None:
-        """Refuse what an earlier owner orders."""
+        """Reject an order of an earlier owner; remember the epoch otherwise."""
         if epoch < self.fence:
             return orders.Rejected(orders.Why.FENCED, int(self.read_clock()))
         self.fence = epoch
@@ -242,7 +264,14 @@
         *,
         late: bool = False,
     ) -> orders.Taken | orders.Rejected:
-        """Carry a start out; `late` if it was sent seconds ago."""
+        """Carry out a start order.
+
+        Args:
+            epoch: The epoch of the owner that sent it.
+            order: The order.
+            until_ms: When the lease ends, on this worker's clock.
+            late: Whether the order was delayed by seconds on its way.
+        """
         refused = self.check(epoch)
         if refused is not None:
             return refused
@@ -273,7 +302,7 @@
         return orders.Taken(int(clock))
 
     def is_impaired(self, now: float) -> bool:
-        """Tell whether orders to this worker may be lost, late or in vain."""
+        """Tell whether orders to this worker may fail or come late."""
         if not self.alive:
             return now < self._crashed_at + _UNNOTICED_S
         shrunk = any(at + _SHRUNK_AFTER_S > now for at, _ in self._rooms)
@@ -282,17 +311,17 @@
         return shrunk or bool(harmed) or self.entry.draining
 
     def drain(self, now: float) -> None:
-        """Say from now on that this worker leaves."""
+        """Mark this worker as draining."""
         self.entry = dataclasses.replace(self.entry, draining=True)
         self.drains_since = now
 
     def set_room(self, room: work.Room, now: float) -> None:
-        """Change what is there; what runs goes on."""
+        """Change the room of this worker; running tasks go on."""
         self._rooms.append((now, self.entry.room))
         self.entry = dataclasses.replace(self.entry, room=room)
 
     def _check_limit(self, key: work.TaskKey, charge: work.Room) -> None:
-        """Note a start that brings the worker over its room."""
+        """Report a start that exceeds the room of this worker."""
         now = trio.current_time()
         recent = [
             room for until, room in self._rooms if until + _SHRUNK_AFTER_S > now
@@ -307,7 +336,7 @@
         ):
             self.oracle.broken.append(
                 f"{now:.3f} limit: {key} on {self.entry.id}, "
-                f"{charge} where {free} is free"
+                f"needs {charge}, but {free} is free"
             )
 
     def _check_place(self, key: work.TaskKey, now: float) -> None:
@@ -356,7 +385,7 @@
     def halt(
         self, epoch: int, order: orders.Stop
     ) -> orders.Taken | orders.Rejected:
-        """Carry a stop out."""
+        """Carry out a stop order."""
         refused = self.check(epoch)
         if refused is not None:
             return refused
@@ -371,7 +400,13 @@
     def look(
         self, epoch: int, seen: int, until_ms: int | None
     ) -> orders.Report | orders.Rejected:
-        """Carry a look out."""
+        """Report the runs and the ends here, and extend the lease.
+
+        Args:
+            epoch: The epoch of the owner that asks.
+            seen: Number of the last end that the owner has recorded.
+            until_ms: When the lease ends, on this worker's clock.
+        """
         refused = self.check(epoch)
         if refused is not None:
             return refused
@@ -397,11 +432,11 @@
         )
 
     def measure_tail(self, task: Task) -> float:
-        """Return the tail of a serving task's answers in milliseconds."""
+        """Return the tail latency of a serving task in milliseconds."""
         return self._tail_ms if self._find_step(task).target_ms else 0.0
 
     def _follow_tail(self) -> None:
-        """Move the tail towards what fills beside, each by its pace."""
+        """Adapt the tail latency to the filling tasks and their paces."""
         beside = sum(
             other.pace / 100
             for other in self.tasks.values()
@@ -416,7 +451,7 @@
     def set_pace(
         self, epoch: int, order: orders.Pace
     ) -> orders.Taken | orders.Rejected:
-        """Carry a pace out."""
+        """Carry out a pace order."""
         refused = self.check(epoch)
         if refused is not None:
             return refused
@@ -426,13 +461,13 @@
         return orders.Taken(int(self.read_clock()))
 
     async def wait_for_news(self, wait_s: float) -> None:
-        """Wait for an end."""
+        """Wait until a run ends, or for some seconds."""
         with trio.move_on_after(wait_s):
             await self._news.wait()
 
 
 def _measure_percent(task: Task) -> float:
-    """Return how far a task says that it is, in whole percents."""
+    """Return the progress that a task reports, in whole percents."""
     if task.lasting:
         at_work = trio.current_time() >= task.began_at + _STARTUP_S
         return 100.0 if at_work else 0.0
@@ -445,7 +480,7 @@
 class WorkerView:
     """A connection from an entry to a worker; implements `Connection`.
 
-    It ends with the process that answered its first call.
+    It stays with the process that answered its first call.
     """
 
     def __init__(self, find: Callable[[], Worker], entry: str) -> None:
@@ -453,7 +488,7 @@
 
         Args:
             find: Returns the process that answers under the worker's id.
-            entry: Who opens it.
+            entry: Name of the entry that opens it.
         """
         self._find = find
         self._entry = entry
@@ -462,7 +497,7 @@
 
     @property
     def _worker(self) -> Worker:
-        """The process at the other end."""
+        """The process that answered first."""
         if self._met is None:
             self._met = self._find()
         return self._met
@@ -473,7 +508,15 @@
     async def _wait_in_vain(
         self, timeout_s: float, *, sent: bool = False
     ) -> orders.Silent:
-        """Get no answer: at once where connections are refused or break."""
+        """Return the failure of a call that gets no answer.
+
+        It comes at once if the worker's VM refuses connections, else after the
+        timeout.
+
+        Args:
+            timeout_s: How long the caller waits.
+            sent: Whether the order may have been carried out.
+        """
         self.is_open = False
         if self._worker.refuses and self._entry not in self._worker.cut_from:
             await trio.sleep(_ORDER_S)
@@ -484,7 +527,7 @@
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
     ) -> orders.Report | orders.Rejected | orders.Silent:
-        """Look, and wait for an end."""
+        """Fetch a report; wait for an end if there is none."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
             return orders.Rejected(orders.Why.OTHER_INCARNATION)
@@ -502,7 +545,7 @@
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
-        """Start a run; some starts are carried out late."""
+        """Order the start of a run; some starts are carried out late."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
             self._worker.missed_starts += 1
@@ -532,7 +575,7 @@
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
-        """Stop a run."""
+        """Order the stop of a run."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
             return orders.Rejected(orders.Why.OTHER_INCARNATION)
@@ -545,12 +588,12 @@
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
-        """Set a run's pace."""
+        """Order another pace of a run."""
         await trio.sleep(_ORDER_S)
         if not self._is_reachable():
             return await self._wait_in_vain(timeout_s)
         return self._worker.set_pace(epoch, order)
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self.is_open = False
