--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -12,9 +12,9 @@
 
 # `config_apply_ms` and `rollback_slack_ms` of the users' sites; the latter is
 # eight times as long for an entry that was impaired.
-APPLY_S = 2.0
-_SLACK_S = 0.25
-_IMPAIRED_SLACK_S = 8 * _SLACK_S
+CONFIG_APPLY_S = 2.0
+_ROLLBACK_SLACK_S = 0.25
+_IMPAIRED_ROLLBACK_SLACK_S = 8 * _ROLLBACK_SLACK_S
 
 
 class Handling(enum.StrEnum):
@@ -26,7 +26,7 @@
     NOT_DECIDED = "not-decided"
 
 
-_HANDLINGS = {
+_HANDLING_BY_STATUS = {
     200: Handling.SERVED,
     410: Handling.SERVED,
     404: Handling.NO_ROUTE,
@@ -43,11 +43,11 @@
     """
     if status is None:
         return Handling.NOT_DECIDED
-    return _HANDLINGS.get(status, Handling.NOT_DECIDED)
+    return _HANDLING_BY_STATUS.get(status, Handling.NOT_DECIDED)
 
 
 @dataclasses.dataclass(frozen=True)
-class Edition:
+class ConfigVersion:
     """One version of the configuration that the operators wrote.
 
     Attributes:
@@ -130,31 +130,33 @@
         self.unready = 0
         self.latest_s = 0.0
         self._touch = touch
-        self._editions: list[tuple[float, Edition]] = []
+        self._versions: list[tuple[float, ConfigVersion]] = []
         self._withdrawn: set[int] = set()
-        self._seen: dict[tuple[str, int], list[tuple[float, int]]] = (
+        self._versions_seen: dict[tuple[str, int], list[tuple[float, int]]] = (
             collections.defaultdict(list)
         )
 
-    def note_confirmed(self, edition: Edition, now: float) -> None:
+    def note_confirmed(self, version: ConfigVersion, now: float) -> None:
         """Record a version whose write the store has confirmed.
 
         An invalid version replaces the one before in the store. Entries that
         have not had the time to read that one needn't put it in force.
         """
-        if not edition.valid:
+        if not version.valid:
             self._withdrawn |= {
-                before.version
-                for at, before in self._editions
-                if at > now - APPLY_S
+                earlier.version
+                for at, earlier in self._versions
+                if at > now - CONFIG_APPLY_S
             }
-        self._editions.append((now, edition))
+        self._versions.append((now, version))
 
-    def note_answer(self, asked: Asked, status: int | None, now: float) -> None:
+    def note_answer(
+        self, sent_call: Asked, status: int | None, now: float
+    ) -> None:
         """Check a call by the HTTP status of its answer."""
-        sent = dataclasses.asdict(asked)
+        fields = dataclasses.asdict(sent_call)
         handling = read_status(status)
-        self.note_call(Call(**sent, answered_at=now, handling=handling))
+        self.note_call(Call(**fields, answered_at=now, handling=handling))
 
     def note_call(self, call: Call) -> None:
         """Check one answered call."""
@@ -164,60 +166,64 @@
                 self.unready += 1
             return
         self.judged += 1
-        fitting = self._find_fitting(call)
-        if not fitting:
+        matching = self._find_matching_versions(call)
+        if not matching:
             self._report(call, "no valid version handles the call like this")
             return
-        self._check_late(call, fitting)
-        self._check_regress(call, fitting)
+        self._check_delay(call, matching)
+        self._check_rollback(call, matching)
 
-    def _find_fitting(self, call: Call) -> list[int]:
+    def _find_matching_versions(self, call: Call) -> list[int]:
         """Return the versions under which a call may have been handled."""
         return [
-            edition.version
-            for at, edition in self._editions
-            if edition.valid
+            version.version
+            for at, version in self._versions
+            if version.valid
             and at <= call.answered_at
-            and edition.handle(call.route, call.key) is call.handling
+            and version.handle(call.route, call.key) is call.handling
         ]
 
-    def _check_late(self, call: Call, fitting: list[int]) -> None:
-        unheard = [
+    def _check_delay(self, call: Call, matching: list[int]) -> None:
+        later_confirmed_at = [
             at
-            for at, edition in self._editions
-            if edition.valid
-            and edition.version > max(fitting)
-            and edition.version not in self._withdrawn
+            for at, version in self._versions
+            if version.valid
+            and version.version > max(matching)
+            and version.version not in self._withdrawn
         ]
-        if not unheard:
+        if not later_confirmed_at:
             return
-        late_s = call.sent_at - min(unheard)
-        why = self._touch.explain(call.entry, call.sent_at)
-        if not why:
-            self.latest_s = max(self.latest_s, late_s)
-        if late_s <= APPLY_S:
+        delay_s = call.sent_at - min(later_confirmed_at)
+        reason = self._touch.explain(call.entry, call.sent_at)
+        if not reason:
+            self.latest_s = max(self.latest_s, delay_s)
+        if delay_s <= CONFIG_APPLY_S:
             return
-        if why:
-            self.excused[why] += 1
+        if reason:
+            self.excused[reason] += 1
         else:
             self._report(
-                call, f"sent {late_s:.2f} s after a later version was confirmed"
+                call,
+                f"sent {delay_s:.2f} s after a later version was confirmed",
             )
 
-    def _check_regress(self, call: Call, fitting: list[int]) -> None:
-        why = self._touch.explain(call.entry, call.sent_at)
-        before = call.sent_at - (_IMPAIRED_SLACK_S if why else _SLACK_S)
-        seen = self._seen[call.entry, call.life]
-        floor = max((v for at, v in seen if at < before), default=0)
-        if max(fitting) < floor:
+    def _check_rollback(self, call: Call, matching: list[int]) -> None:
+        reason = self._touch.explain(call.entry, call.sent_at)
+        seen_before = call.sent_at - (
+            _IMPAIRED_ROLLBACK_SLACK_S if reason else _ROLLBACK_SLACK_S
+        )
+        seen = self._versions_seen[call.entry, call.life]
+        newest_seen = max((v for at, v in seen if at < seen_before), default=0)
+        if max(matching) < newest_seen:
             self._report(
-                call, f"version {floor} had been in force on the entry before"
+                call,
+                f"version {newest_seen} had been in force on the entry before",
             )
-        if not seen or min(fitting) > seen[-1][1]:
-            seen.append((call.answered_at, min(fitting)))
+        if not seen or min(matching) > seen[-1][1]:
+            seen.append((call.answered_at, min(matching)))
 
-    def _report(self, call: Call, what: str) -> None:
+    def _report(self, call: Call, violation: str) -> None:
         self.broken.append(
             f"{call.sent_at:.3f} config: {call.entry} answered {call.handling} "
-            f"to {call.route} with key {call.key}: {what}"
+            f"to {call.route} with key {call.key}: {violation}"
         )
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -36,34 +36,36 @@
 
 POOL = "match"
 WORKERS = "listed/"
-OPERATORS = "op/"
-CONFIG = OPERATORS + "config"
-HOST = "h"
-PREFIX = "/q/"
-ROOM = work.Room(32_000, 131_072, 8)
-_STEP_S = 0.02
-_PEER_S = 0.001
+OPERATORS_PREFIX = "op/"
+CONFIG_KEY = OPERATORS_PREFIX + "config"
+ROUTE_HOST = "h"
+ROUTE_PREFIX = "/q/"
+WORKER_ROOM = work.Room(32_000, 131_072, 8)
+_CLOCK_STEP_S = 0.02
+_PEER_DELAY_S = 0.001
 # How long after its notice a draining worker may still get new tasks.
-_DRAIN_S = 2.0
+_DRAIN_NOTICE_S = 2.0
 # A crashed worker is replaced after this time; the platform lists the earlier
 # incarnation until three heartbeats of 1.5 s have been missed.
-_RETURN_S = 3.2
-_UNLISTED_S = 4.5
-_WALL = 1_700_000_000.0
+_REPLACEMENT_DELAY_S = 3.2
+_DELISTING_DELAY_S = 4.5
+_WALL_CLOCK_START_S = 1_700_000_000.0
 
 
-def _encode_worker(entry: orders.WorkerEntry, born_ms: int) -> bytes:
+def _encode_worker_entry(
+    worker_entry: orders.WorkerEntry, born_ms: int
+) -> bytes:
     return orjson.dumps(
-        dataclasses.asdict(entry)
+        dataclasses.asdict(worker_entry)
         | {
-            "labels": sorted(entry.labels),
-            "room": list(entry.room),
+            "labels": sorted(worker_entry.labels),
+            "room": list(worker_entry.room),
             "born": born_ms,
         }
     )
 
 
-def _parse_worker(key: str, value: bytes) -> orders.WorkerEntry | None:
+def _parse_worker_entry(key: str, value: bytes) -> orders.WorkerEntry | None:
     try:
         fields = orjson.loads(value)
         fields["room"] = work.Room(*fields["room"])
@@ -82,7 +84,12 @@
     Args:
         guaranteed: Accelerators that each customer is guaranteed.
     """
-    route = {"name": "q", "host": HOST, "prefix": PREFIX, "service": POOL}
+    route = {
+        "name": "q",
+        "host": ROUTE_HOST,
+        "prefix": ROUTE_PREFIX,
+        "service": POOL,
+    }
     tenants = [
         {"name": name, "api_keys": [name], "guaranteed": {"gpu": count}}
         for name, count in guaranteed.items()
@@ -104,7 +111,7 @@
             "raw_path": f"{route}none".encode(),
             "query_string": b"",
             "headers": [
-                (b"host", HOST.encode()),
+                (b"host", ROUTE_HOST.encode()),
                 (b"x-api-key", key.encode()),
             ],
             "server": ("127.0.0.1", 80),
@@ -114,7 +121,7 @@
     )
 
 
-class _Link:
+class _PeerLink:
     """A connection from one entry to another in the same process."""
 
     def __init__(self, cluster: "Cluster", source: str, target: str) -> None:
@@ -128,19 +135,19 @@
 
     async def call(self, message: object, timeout_s: float) -> object:
         """Send a message to the other entry and return its answer."""
-        await trio.sleep(_PEER_S)
+        await trio.sleep(_PEER_DELAY_S)
         suspensions = self._cluster.suspensions
-        async with suspensions.pass_through(self._source):
+        async with suspensions.delay_while_suspended(self._source):
             return await self._exchange(message, timeout_s)
 
     async def _exchange(self, message: object, timeout_s: float) -> object:
         target = self._cluster.entries.get(self._target)
-        cut = {self._source, self._target} & self._cluster.cut_off
-        if target is None or cut:
+        partitioned = {self._source, self._target} & self._cluster.cut_off
+        if target is None or partitioned:
             await trio.sleep(timeout_s)
             raise mesh.PeerUnreachableError("cut", maybe_received=False)
         with trio.move_on_after(timeout_s):
-            await self._cluster.suspensions.wait_awake(self._target)
+            await self._cluster.suspensions.wait_until_resumed(self._target)
             return await target.answer_peer(message)
         raise mesh.PeerUnreachableError("suspended", maybe_received=True)
 
@@ -153,31 +160,31 @@
         seed: int,
         entries: int = 4,
         hosts: int = 6,
-        guards: bool = True,
+        check_room: bool = True,
     ) -> None:
         self.random = random.Random(seed)
-        self._guards = guards
+        self._check_room = check_room
         self.store = stores.Store(seed)
         self.oracle = oracles.Oracle()
         self.gangs = workers.Gangs()
         self.policy = policies.Policy()
-        self.vms = vm_control.Vms(self)
+        self.vms = vm_control.VmControl(self)
         self.workers: dict[str, workers.Worker] = {}
         self.entries: dict[str, pools.PoolEntry] = {}
         self.cut_off: set[str] = set()
         self.suspensions = suspension.Suspensions()
         self.names = [f"e{number}" for number in range(entries)]
-        self._scopes: dict[str, trio.CancelScope] = {}
+        self._cancel_scopes: dict[str, trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
-        self._returning: set[str] = set()
+        self._replaced_workers: set[str] = set()
         self.touch = touches.Touch()
         self.changes = change_rules.Changes(self.touch)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
-            self.store, CONFIG, self.changes, _build_config(guaranteed)
+            self.store, CONFIG_KEY, self.changes, _build_config(guaranteed)
         )
-        self._started: collections.Counter[str] = collections.Counter()
-        self._troubled_at = 0.0
+        self._start_counts: collections.Counter[str] = collections.Counter()
+        self._last_trouble_at = 0.0
         for number in range(hosts):
             self.add_worker(f"w{number}", f"r0-{number // 3}")
         self.operators.write(0.0)
@@ -196,36 +203,38 @@
 
     def restart_worker(self, name: str) -> None:
         """Start a new process of a worker under the same id."""
-        entry = self.workers[name].entry
-        rack = next(label for label in entry.labels if "-" in label)
+        worker_entry = self.workers[name].entry
+        rack = next(label for label in worker_entry.labels if "-" in label)
         self._start_worker(name, rack).start_anew(trio.current_time())
 
     def _start_worker(self, name: str, rack: str) -> workers.Worker:
-        entry = orders.WorkerEntry(
+        worker_entry = orders.WorkerEntry(
             name,
             POOL,
             f"{name}:1",
             "liege",
             False,
-            ROOM,
+            WORKER_ROOM,
             frozenset({"a", rack}),
         )
         seed = self.random.getrandbits(32)
-        held = workers.Worker(entry, self.oracle, self.gangs, self.policy, seed)
-        held.guards = self._guards
-        self.workers[name] = held
-        return held
+        worker = workers.Worker(
+            worker_entry, self.oracle, self.gangs, self.policy, seed
+        )
+        worker.guards = self._check_room
+        self.workers[name] = worker
+        return worker
 
     def list_worker(self, name: str) -> None:
         """Write a worker's entry to the store, as its heartbeat does."""
-        held = self.workers[name]
-        value = _encode_worker(held.entry, held.born_ms)
+        worker = self.workers[name]
+        value = _encode_worker_entry(worker.entry, worker.born_ms)
         self.store.put(WORKERS + name, value)
 
     def drain_worker(self, name: str) -> None:
         """Mark a worker as draining and write its entry."""
-        held = self.workers[name]
-        held.drain(trio.current_time())
+        worker = self.workers[name]
+        worker.drain(trio.current_time())
         self.list_worker(name)
 
     def crash_worker(self, name: str) -> None:
@@ -233,28 +242,28 @@
         self.workers[name].crash()
         self.store.remove(WORKERS + name)
 
-    def bear_again(self, name: str) -> None:
+    def start_replacement(self, name: str) -> None:
         """Start another incarnation that answers at a worker's address."""
-        held = self.workers[name]
-        rack = next(label for label in held.entry.labels if "-" in label)
-        held.reborn = True
+        worker = self.workers[name]
+        rack = next(label for label in worker.entry.labels if "-" in label)
+        worker.superseded = True
         base = name.partition("+")[0]
         self.add_worker(f"{base}+{self.random.getrandbits(16)}", rack)
 
-    async def _return_crashed(self, name: str) -> None:
+    async def _replace_crashed_worker(self, name: str) -> None:
         """Replace a worker that a task has crashed by one of another name."""
-        await trio.sleep(_RETURN_S)
-        self.bear_again(name)
-        await trio.sleep(_UNLISTED_S - _RETURN_S)
+        await trio.sleep(_REPLACEMENT_DELAY_S)
+        self.start_replacement(name)
+        await trio.sleep(_DELISTING_DELAY_S - _REPLACEMENT_DELAY_S)
         self.store.remove(WORKERS + name)
 
     def _step_worker(self, name: str, now: float) -> None:
-        held = self.workers[name]
-        held.step(now)
-        if held.crashed_by_task and name not in self._returning:
+        worker = self.workers[name]
+        worker.step(now)
+        if worker.crashed_by_task and name not in self._replaced_workers:
             assert self._nursery is not None
-            self._returning.add(name)
-            self._nursery.start_soon(self._return_crashed, name)
+            self._replaced_workers.add(name)
+            self._nursery.start_soon(self._replace_crashed_worker, name)
 
     # Entries.
 
@@ -262,46 +271,54 @@
         """Start the process of an entry."""
         assert self._nursery is not None
         clock = pools.Clock(
-            trio.current_time, lambda: _WALL + trio.current_time()
+            trio.current_time, lambda: _WALL_CLOCK_START_S + trio.current_time()
         )
         entry = pools.PoolEntry(
             pools.Identity(name, f"{name}:7000"),
-            self._find_store_view(name),
-            pools.ConfigSource(OPERATORS, CONFIG, platform.parse_config),
+            self._build_store_view(name),
+            pools.ConfigSource(
+                OPERATORS_PREFIX, CONFIG_KEY, platform.parse_config
+            ),
             pools.Platform(
                 WORKERS,
-                _parse_worker,
-                self._find_view(name),
+                _parse_worker_entry,
+                self._build_worker_view_opener(name),
                 make_policy=lambda: policies.PolicyView(self.policy),
                 upkeeping=pools.Upkeeping(
-                    vm_control.WAVES,
+                    vm_control.WAVES_PREFIX,
                     vm_control.parse_wave,
-                    lambda: vm_control.VmsView(self.vms, name),
+                    lambda: vm_control.VmControlView(self.vms, name),
                     vm_control.build_status,
                 ),
             ),
             Metrics(),
             clock,
-            make_link=lambda peer, _: _Link(self, name, peer),
+            make_link=lambda peer, _: _PeerLink(self, name, peer),
         )
         self.entries[name] = entry
-        self._started[name] += 1
+        self._start_counts[name] += 1
         self.touch.note_impaired(name, trio.current_time())
         scope = trio.CancelScope()
-        self._scopes[name] = scope
+        self._cancel_scopes[name] = scope
         self._nursery.start_soon(self._run_entry, entry, scope)
 
-    def _find_store_view(self, name: str) -> port.KeyValueStore:
+    def _build_store_view(self, name: str) -> port.KeyValueStore:
         view = stores.StoreView(self.store, name)
-        held = suspension.Suspendable(view, self.suspensions, name)
-        return cast(port.KeyValueStore, held)
+        suspendable_view = suspension.SuspendablePort(
+            view, self.suspensions, name
+        )
+        return cast(port.KeyValueStore, suspendable_view)
 
-    def _find_view(self, name: str) -> Callable[[str, str], orders.Connection]:
+    def _build_worker_view_opener(
+        self, name: str
+    ) -> Callable[[str, str], orders.Connection]:
         def open_view(incarnation: str, _: str) -> orders.Connection:
-            worker = incarnations.find_worker(incarnation)
-            view = workers.WorkerView(lambda: self.workers[worker], name)
-            held = suspension.Suspendable(view, self.suspensions, name)
-            return cast(orders.Connection, held)
+            worker_id = incarnations.find_worker(incarnation)
+            view = workers.WorkerView(lambda: self.workers[worker_id], name)
+            suspendable_view = suspension.SuspendablePort(
+                view, self.suspensions, name
+            )
+            return cast(orders.Connection, suspendable_view)
 
         return open_view
 
@@ -315,7 +332,7 @@
         """Kill the process of an entry without notice."""
         if name in self.entries:
             del self.entries[name]
-            self._scopes.pop(name).cancel()
+            self._cancel_scopes.pop(name).cancel()
 
     def find_owner(self) -> str | None:
         """Return the name of the entry that owns the pool."""
@@ -324,7 +341,7 @@
                 return name
         return None
 
-    def list_failures(self) -> list[str]:
+    def list_owner_failures(self) -> list[str]:
         """Return a line for each entry whose scheduling ended with an error."""
         return [
             f"{name}: an owner failed"
@@ -348,7 +365,7 @@
         with an unknown outcome may still take effect after a later refusal.
         """
         self.oracle.jobs[job.id] = job
-        may_come = False
+        maybe_accepted = False
         for _ in range(5):
             name = self.random.choice(list(self.entries) or [""])
             entry = self.entries.get(name)
@@ -359,12 +376,12 @@
             if outcome is pools.Stored.STORED:
                 self.oracle.accepted.add(job.id)
                 return "accepted"
-            if outcome is pools.Stored.NOT_STORED and may_come:
+            if outcome is pools.Stored.NOT_STORED and maybe_accepted:
                 return "unknown"
             if outcome is pools.Stored.NOT_STORED:
                 self.oracle.refused.add(job.id)
                 return "refused"
-            may_come = True
+            maybe_accepted = True
             await trio.sleep(0.3)
         return "unknown"
 
@@ -389,27 +406,29 @@
             states[job_id] = str(state) if state is not None else None
         return states
 
-    async def ask_for(self, name: str, route: str, key: str) -> None:
+    async def call_route(self, name: str, route: str, key: str) -> None:
         """Call an entry on a route with a key and have the answer checked."""
         entry = self.entries.get(name)
         if entry is None:
             return
-        life = self._started[name]
-        asked = change_rules.Asked(name, life, route, key, trio.current_time())
-        await self.suspensions.wait_awake(name)
+        incarnation = self._start_counts[name]
+        sent_call = change_rules.Asked(
+            name, incarnation, route, key, trio.current_time()
+        )
+        await self.suspensions.wait_until_resumed(name)
         calls = queue_calls.QueueCalls(entry)
-        rendered = await calls.handle(_build_request(route, key))
-        if self._started[name] != life or name not in self.entries:
+        response = await calls.handle(_build_request(route, key))
+        if self._start_counts[name] != incarnation or name not in self.entries:
             return
         now = trio.current_time()
-        self.changes.note_answer(asked, rendered.status, now)
+        self.changes.note_answer(sent_call, response.status, now)
 
     # Clock steps.
 
     def _note_impairments(self, now: float) -> None:
         """Record which workers and entries are impaired, and the store."""
-        for name, held in self.workers.items():
-            if held.is_impaired(now):
+        for name, worker in self.workers.items():
+            if worker.is_impaired(now):
                 self.touch.note_impaired(name, now)
         if self.store.is_impaired(now):
             self.touch.note_store_impaired(now)
@@ -426,18 +445,18 @@
         in trouble: until then an owner may not have heard of the drain.
         """
         troubled = self.store.fault is not stores.StoreFault.NONE
-        troubled |= self.suspensions.is_any()
+        troubled |= self.suspensions.is_any_suspended()
         if troubled or self.store.turned_away or self.cut_off:
-            self._troubled_at = now
-        for name, held in self.workers.items():
-            starts, held.started_draining = held.started_draining, []
+            self._last_trouble_at = now
+        for name, worker in self.workers.items():
+            starts, worker.started_draining = worker.started_draining, []
             for key, at in starts:
-                assert held.drains_since is not None
-                heard_by = max(held.drains_since, self._troubled_at)
-                if at > heard_by + _DRAIN_S:
+                assert worker.drains_since is not None
+                heard_by = max(worker.drains_since, self._last_trouble_at)
+                if at > heard_by + _DRAIN_NOTICE_S:
                     self.oracle.broken.append(
                         f"{at:.3f} drain: {key} on {name}, draining since "
-                        f"{held.drains_since:.3f}"
+                        f"{worker.drains_since:.3f}"
                     )
 
     async def run(
@@ -458,4 +477,4 @@
                 self.store.note_silences(self.names, now)
                 self._check_drains(now)
                 self.store.expire(now)
-                await trio.sleep(_STEP_S)
+                await trio.sleep(_CLOCK_STEP_S)
--- a/standins/emulator/load.py
+++ b/standins/emulator/load.py
@@ -7,7 +7,7 @@
 from standins.emulator import cluster
 from standins.emulator import worker
 
-_WALL = 1_700_000_000.0
+_WALL_CLOCK_START_S = 1_700_000_000.0
 # Labels in a cluster of six workers: of all of them, and of each rack.
 _LABELS = ("a", "r0-0", "r0-1")
 
@@ -38,31 +38,33 @@
     def draw(self, seed: int) -> list[tuple[float, work.Job]]:
         """Return jobs with the times at which they are submitted."""
         rng = random.Random(seed)
-        drawn: list[tuple[float, work.Job]] = []
+        jobs: list[tuple[float, work.Job]] = []
         at = 0.5
         while at < self.length_s:
-            drawn.append((at, self._draw_job(rng, len(drawn), at)))
+            jobs.append((at, self._draw_job(rng, len(jobs), at)))
             at += rng.expovariate(self.per_s)
-        return drawn
+        return jobs
 
     def _draw_job(self, rng: random.Random, number: int, at: float) -> work.Job:
         priority = rng.choice((0, 1, 1, 2))
-        gang = rng.random() < self.gangs
-        steps = [self._draw_step(rng, gang, ())]
+        is_gang = rng.random() < self.gangs
+        steps = [self._draw_step(rng, is_gang, ())]
         if rng.random() < 0.3:
             steps.append(self._draw_step(rng, False, (0,)))
         if self.restricted > 0 and rng.random() < self.restricted:
             # A gang may have more members than a rack has workers.
-            label = "a" if gang else rng.choice(_LABELS)
-            most = 0 if gang else 1
+            label = "a" if is_gang else rng.choice(_LABELS)
+            most_per_worker = 0 if is_gang else 1
             steps = [
-                dataclasses.replace(step, label=label, per_worker=most)
+                dataclasses.replace(
+                    step, label=label, per_worker=most_per_worker
+                )
                 for step in steps
             ]
         payload = f"job {number}"
         if rng.random() < self.poison:
             payload = "poison"
-        repeats = 3 if rng.random() < 0.1 else 0
+        occurrences = 3 if rng.random() < 0.1 else 0
         # No random number is used if the share is 0, so that days without such
         # jobs stay the same.
         if self.crashing > 0 and rng.random() < self.crashing:
@@ -78,27 +80,27 @@
             1.0,
             payload,
             tuple(steps),
-            _WALL + at,
-            repeats,
-            _WALL + at + 1.0,
+            _WALL_CLOCK_START_S + at,
+            occurrences,
+            _WALL_CLOCK_START_S + at + 1.0,
             2.0,
             advised=self.advised > 0 and rng.random() < self.advised,
         )
 
     def _draw_step(
-        self, rng: random.Random, gang: bool, after: tuple[int, ...]
+        self, rng: random.Random, is_gang: bool, after: tuple[int, ...]
     ) -> work.Step:
         room = work.Room(
             rng.choice((1000, 3700, 13000)),
             rng.choice((4096, 15000)),
             rng.choice((1, 1, 2, 4, 8)),
         )
-        count = rng.randint(2, 4) if gang else rng.randint(1, 6)
+        count = rng.randint(2, 4) if is_gang else rng.randint(1, 6)
         return work.Step(
             count,
             room,
             rng.uniform(0.5, 4.0),
             after,
-            gang,
-            one_rack=gang and rng.random() < 0.5,
+            is_gang,
+            one_rack=is_gang and rng.random() < 0.5,
         )
--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -12,7 +12,7 @@
 ROUTES = ("/r0/", "/r1/", "/r2/")
 KEYS = ("k0", "k1", "k2")
 # Invalid documents, which must not be put in force; "%d" is the version.
-INVALID = (
+INVALID_DOCUMENTS = (
     b"",
     b'{"version": %d',
     b'{"version": "none"}',
@@ -48,8 +48,8 @@
         self._store = store
         self._key = key
         self._base = base
-        self._routes: set[str] = set()
-        self._keys: set[str] = set()
+        self._added_routes: set[str] = set()
+        self._added_keys: set[str] = set()
         self._version = 1
 
     def set_base(self, base: dict[str, Any], now: float) -> None:
@@ -59,20 +59,20 @@
 
     def toggle(self, route: str, key: str, now: float) -> None:
         """Add a route and a key, each if it isn't there, else remove it."""
-        self._routes ^= {route}
-        self._keys ^= {key}
+        self._added_routes ^= {route}
+        self._added_keys ^= {key}
         self.write(now)
 
     def draw_change(self, rng: random.Random, now: float) -> None:
         """Toggle a drawn route, key or both; rarely write an invalid one."""
         if rng.random() < 0.1:
-            self.write_invalid(rng.choice(INVALID), now)
+            self.write_invalid(rng.choice(INVALID_DOCUMENTS), now)
             return
-        changed = rng.choice(("route", "key", "both"))
-        if changed != "key":
-            self._routes ^= {rng.choice(ROUTES)}
-        if changed != "route":
-            self._keys ^= {rng.choice(KEYS)}
+        what = rng.choice(("route", "key", "both"))
+        if what != "key":
+            self._added_routes ^= {rng.choice(ROUTES)}
+        if what != "route":
+            self._added_keys ^= {rng.choice(KEYS)}
         self.write(now)
 
     def write(self, now: float) -> None:
@@ -84,34 +84,34 @@
         customers = document["tenants"]
         keys = (key for row in customers for key in row["api_keys"])
         self.changes.note_confirmed(
-            change_rules.Edition(
+            change_rules.ConfigVersion(
                 self._version, frozenset(prefixes), frozenset(keys)
             ),
             now,
         )
 
-    def write_invalid(self, form: bytes, now: float) -> None:
+    def write_invalid(self, template: bytes, now: float) -> None:
         """Write an invalid document as the next version."""
         self._version += 1
-        document = form.replace(b"%d", str(self._version).encode())
+        document = template.replace(b"%d", str(self._version).encode())
         self._store.put(self._key, document)
         self.changes.note_confirmed(
-            change_rules.Edition(
+            change_rules.ConfigVersion(
                 self._version, frozenset(), frozenset(), valid=False
             ),
             now,
         )
 
     def _build_document(self) -> dict[str, Any]:
-        first = self._base["routes"][0]
-        routes = [
-            first | {"name": f"extra{number}", "prefix": prefix}
-            for number, prefix in enumerate(sorted(self._routes))
+        base_route = self._base["routes"][0]
+        added_routes = [
+            base_route | {"name": f"extra{number}", "prefix": prefix}
+            for number, prefix in enumerate(sorted(self._added_routes))
         ]
-        customer, *others = self._base["tenants"]
-        keys = [*customer["api_keys"], *sorted(self._keys)]
+        customer, *other_customers = self._base["tenants"]
+        keys = [*customer["api_keys"], *sorted(self._added_keys)]
         return self._base | {
             "version": self._version,
-            "routes": [*self._base["routes"], *routes],
-            "tenants": [customer | {"api_keys": keys}, *others],
+            "routes": [*self._base["routes"], *added_routes],
+            "tenants": [customer | {"api_keys": keys}, *other_customers],
         }
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -9,19 +9,19 @@
 
 # A start that was on its way when a cancel was confirmed is allowed for this
 # long.
-_CANCEL_S = 3.0
+_CANCEL_NOTICE_S = 3.0
 _NOTED_S = 1.0
 # How many workers a task may crash, and which further start after that breaks
 # the rule.
-_CRASHES = 3
-_STARTS_AFTER_CRASHES = 3
+_CRASHES_ALLOWED = 3
+_STARTS_TOO_MANY = 3
 # `recovery_s` of the users' sites, the share of submissions that must be served
 # after it, and the number of submissions below which nothing is concluded.
 RECOVERY_S = 12.0
-_SERVED_SHARE = 0.25
-_FEWEST_TRIES = 4
+_ACCEPTED_SHARE = 0.25
+_MIN_SUBMISSIONS = 4
 # How long a started member of a gang waits for the others.
-GANG_S = 3.0
+GANG_WAIT_S = 3.0
 
 
 # Rules that this oracle checks, with the workers that report to it.
@@ -53,17 +53,17 @@
         cancelled: When the cancel of a job was confirmed, by job id.
         asked_to_cancel: Ids of jobs whose cancel was sent; one without an
             answer may be carried out at any later time.
-        excused_alone: How many incomplete gangs were excused by an impairment.
-        alone: Runs of gangs that ended because a member was never started, with
-            the times; `judge_alone` checks them.
+        excused_gangs: How many incomplete gangs were excused by an impairment.
+        incomplete_gangs: Runs of gangs that ended because a member was never
+            started, with the times; `judge_alone` checks them.
         tries: When jobs were submitted, and whether they were accepted.
         back_at: When all entries were last back after the loss of all.
         done: When each finished task was first done.
-        begun: When a task of each job was first started.
+        first_started_at: When a task of each job was first started.
         failed: How often each task has failed.
         crashed_at: Crashes caused by tasks, with their times.
-        crashes: How many workers each task has crashed.
-        crashed_under: How often a worker was crashed by a task while each task
+        crashes_caused: How many workers each task has crashed.
+        crashes_met: How often a worker was crashed by a task while each task
             ran on it, the causing task included.
     """
 
@@ -74,25 +74,27 @@
         self.refused: set[str] = set()
         self.cancelled: dict[str, float] = {}
         self.asked_to_cancel: set[str] = set()
-        self.excused_alone = 0
-        self.alone: list[tuple[float, work.TaskKey]] = []
+        self.excused_gangs = 0
+        self.incomplete_gangs: list[tuple[float, work.TaskKey]] = []
         self.tries: list[tuple[float, bool]] = []
         self.back_at: float | None = None
         self.done: dict[work.TaskKey, float] = {}
-        self.begun: dict[str, float] = {}
+        self.first_started_at: dict[str, float] = {}
         self.failed: collections.Counter[work.TaskKey] = collections.Counter()
-        self._forgotten: collections.Counter[work.TaskKey] = (
+        self._maybe_uncounted: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
         self.crashed_at: list[tuple[float, work.TaskKey]] = []
-        self.crashes: collections.Counter[work.TaskKey] = collections.Counter()
-        self.crashed_under: collections.Counter[work.TaskKey] = (
+        self.crashes_caused: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
-        self._started_after: collections.Counter[work.TaskKey] = (
+        self.crashes_met: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
-        self._again: set[work.TaskKey] = set()
+        self._starts_after_crashes: collections.Counter[work.TaskKey] = (
+            collections.Counter()
+        )
+        self._rerun_allowed: set[work.TaskKey] = set()
         self._running: dict[work.TaskKey, set[tuple[str, int]]] = (
             collections.defaultdict(set)
         )
@@ -105,14 +107,14 @@
         if job is None:
             self.broken.append(f"{now:.3f} unasked: {key} on {worker}")
             return
-        self.begun.setdefault(key.job, now)
+        self.first_started_at.setdefault(key.job, now)
         step = job.steps[key.step]
-        others = self._running[key]
-        if others:
+        running = self._running[key]
+        if running:
             self.broken.append(
-                f"{now:.3f} twice: {key} run {run} on {worker} and on {others}"
+                f"{now:.3f} twice: {key} run {run} on {worker} and on {running}"
             )
-        if key in self.done and key not in self._again:
+        if key in self.done and key not in self._rerun_allowed:
             self.broken.append(
                 f"{now:.3f} twice: {key} run {run} on {worker}, already done"
             )
@@ -121,71 +123,73 @@
                 self.broken.append(
                     f"{now:.3f} order: {key} before step {earlier}"
                 )
-        if self.failed[key] - self._forgotten[key] >= job.max_attempts:
+        if self.failed[key] - self._maybe_uncounted[key] >= job.max_attempts:
             self.broken.append(f"{now:.3f} budget: {key}")
-        self._count_after_crashes(key, now)
+        self._check_starts_after_crashes(key, now)
         cancelled = self.cancelled.get(key.job)
-        if cancelled is not None and now > cancelled + _CANCEL_S:
+        if cancelled is not None and now > cancelled + _CANCEL_NOTICE_S:
             self.broken.append(
                 f"{now:.3f} unasked: {key} after its job was cancelled"
             )
-        others.add((worker, run))
+        running.add((worker, run))
 
-    def check_place(
+    def check_placement(
         self,
         key: work.TaskKey,
-        where: tuple[str, str, frozenset[str]],
-        beside: int,
+        placement: tuple[str, str, frozenset[str]],
+        running_count: int,
         now: float,
     ) -> None:
         """Check that a task may start on a worker.
 
         Args:
             key: The task.
-            where: The worker's name, its pool and its labels.
-            beside: How many tasks of the step run there already.
+            placement: The worker's name, its pool and its labels.
+            running_count: How many tasks of the step run there already.
             now: Time of the start, in seconds.
         """
         job = self.jobs[key.job]
         step = job.steps[key.step]
-        worker, pool, labels = where
-        wrong = []
+        worker, pool, labels = placement
+        faults = []
         if pool != job.pool:
-            wrong.append(f"is of pool {pool}")
+            faults.append(f"is of pool {pool}")
         if step.label and step.label not in labels:
-            wrong.append(f"lacks label {step.label}")
-        if step.per_worker and beside >= step.per_worker:
-            wrong.append(f"already runs {beside} of the step")
-        if wrong:
-            told = ", ".join(wrong)
+            faults.append(f"lacks label {step.label}")
+        if step.per_worker and running_count >= step.per_worker:
+            faults.append(f"already runs {running_count} of the step")
+        if faults:
+            reasons = ", ".join(faults)
             self.broken.append(
-                f"{now:.3f} route: {key} on {worker}, which {told}"
+                f"{now:.3f} route: {key} on {worker}, which {reasons}"
             )
 
-    def _count_after_crashes(self, key: work.TaskKey, now: float) -> None:
-        if self.crashes[key] < _CRASHES:
+    def _check_starts_after_crashes(
+        self, key: work.TaskKey, now: float
+    ) -> None:
+        if self.crashes_caused[key] < _CRASHES_ALLOWED:
             return
-        self._started_after[key] += 1
-        if self._started_after[key] == _STARTS_AFTER_CRASHES:
+        self._starts_after_crashes[key] += 1
+        if self._starts_after_crashes[key] == _STARTS_TOO_MANY:
             self.broken.append(
-                f"{now:.3f} budget: {key} started {_STARTS_AFTER_CRASHES} "
-                f"times more after it had crashed {_CRASHES} workers"
+                f"{now:.3f} budget: {key} started {_STARTS_TOO_MANY} "
+                f"times more after it had crashed {_CRASHES_ALLOWED} workers"
             )
 
     def note_crash(
-        self, key: work.TaskKey, beside: list[work.TaskKey], now: float
+        self, key: work.TaskKey, tasks: list[work.TaskKey], now: float
     ) -> None:
         """Record that a task has crashed its worker.
 
         Args:
             key: The task.
-            beside: All tasks that ran on the worker, with the task itself.
+            tasks: All tasks that ran on the worker, with the task itself.
             now: Seconds.
         """
-        self.crashes[key] += 1
+        self.crashes_caused[key] += 1
         self.crashed_at.append((now, key))
-        for other in beside:
-            self.crashed_under[other] += 1
+        for task in tasks:
+            self.crashes_met[task] += 1
 
     def _is_step_done(
         self, job: work.Job, key: work.TaskKey, earlier: int
@@ -212,7 +216,7 @@
         if job is None:
             return
         if how == "alone":
-            self.alone.append((now, key))
+            self.incomplete_gangs.append((now, key))
         if how == "failed":
             self.failed[key] += 1
         if how == "done":
@@ -230,22 +234,22 @@
         Args:
             is_calm: Tells whether nothing has been impaired since a time.
         """
-        ended, self.alone = self.alone, []
-        for at, key in ended:
+        gangs, self.incomplete_gangs = self.incomplete_gangs, []
+        for at, key in gangs:
             if key.job in self.asked_to_cancel:
                 continue
-            if is_calm(at - GANG_S - touches.STABLE_S):
+            if is_calm(at - GANG_WAIT_S - touches.STABLE_S):
                 self.broken.append(
-                    f"{at:.3f} gang: {key} ran while its gang was incomplete"
+                    f"{at:.3f} gang: {key} waited for missing members"
                 )
             else:
-                self.excused_alone += 1
+                self.excused_gangs += 1
 
     def note_lost(self, worker: str, key: work.TaskKey, run: int) -> None:
         """Record that a run ended because its worker crashed."""
         self._running[key].discard((worker, run))
 
-    def allow_again(self, key: work.TaskKey) -> None:
+    def allow_rerun(self, key: work.TaskKey) -> None:
         """Allow another run of a task that is done, as its end may be lost.
 
         The worker is gone or its lease has ended, and no owner has confirmed
@@ -256,15 +260,15 @@
         step = self.jobs[key.job].steps[key.step]
         indices = range(step.count) if step.gang else (key.position,)
         for index in indices:
-            self._again.add(key._replace(position=index))
+            self._rerun_allowed.add(key._replace(position=index))
 
-    def forget_failure(self, key: work.TaskKey) -> None:
+    def allow_uncounted_failure(self, key: work.TaskKey) -> None:
         """Allow owners not to count a failure whose worker has crashed.
 
         The end was never confirmed. An owner that has received it counts the
         attempt as spent; another one doesn't.
         """
-        self._forgotten[key] += 1
+        self._maybe_uncounted[key] += 1
 
     def check_over(self, states: dict[str, str | None]) -> None:
         """Check the final states of all jobs, once the faults are over.
@@ -272,8 +276,8 @@
         Args:
             states: The state that a caller reads for each accepted job.
         """
-        self._check_recovered()
-        for job_id in self.refused & self.begun.keys():
+        self._check_recovery()
+        for job_id in self.refused & self.first_started_at.keys():
             if job_id not in self.accepted:
                 self.broken.append(
                     f"refused: {job_id} was refused, but has run"
@@ -285,24 +289,33 @@
                     f"mixed: {job_id} is shown as done, but isn't whole"
                 )
                 continue
-            wanted = self._find_wanted(job_id)
-            if state not in wanted:
+            expected = self._find_expected(job_id)
+            if state not in expected:
                 self.broken.append(
-                    f"lost: {job_id} is {state}, expected one of {wanted}"
+                    f"lost: {job_id} is {state}, expected one of {expected}"
                 )
 
-    def _check_recovered(self) -> None:
+    def _check_recovery(self) -> None:
         if self.back_at is None:
             return
         after = self.back_at + RECOVERY_S
-        later = [served for at, served in self.tries if at > after]
-        before = [served for at, served in self.tries if at < self.back_at]
-        if len(later) < _FEWEST_TRIES or len(before) < _FEWEST_TRIES:
+        outcomes_later = [accepted for at, accepted in self.tries if at > after]
+        outcomes_before = [
+            accepted for at, accepted in self.tries if at < self.back_at
+        ]
+        if (
+            len(outcomes_later) < _MIN_SUBMISSIONS
+            or len(outcomes_before) < _MIN_SUBMISSIONS
+        ):
             return
-        share, earlier = (sum(tries) / len(tries) for tries in (later, before))
-        if share < _SERVED_SHARE <= earlier:
+        share, earlier_share = (
+            sum(outcomes) / len(outcomes)
+            for outcomes in (outcomes_later, outcomes_before)
+        )
+        if share < _ACCEPTED_SHARE <= earlier_share:
             self.broken.append(
-                f"{after:.3f} recover: {share:.2f} of {len(later)} accepted"
+                f"{after:.3f} recover: {share:.2f} of "
+                f"{len(outcomes_later)} accepted"
             )
 
     def _list_tasks(self, job_id: str) -> list[work.TaskKey]:
@@ -314,39 +327,48 @@
             for index in range(step.count)
         ]
 
-    def _may_be_given_up(self, tasks: list[work.TaskKey]) -> bool:
+    def _may_give_up(self, tasks: list[work.TaskKey]) -> bool:
         """Tell whether an owner may give up a job because of crashes.
 
         That takes a task of the job that crashes workers, and a task of it that
         was on two workers when they crashed. The tasks may differ: other tasks
         may run beside one that crashes workers at any time.
         """
-        crashes = any(self.crashes[key] for key in tasks)
-        return crashes and any(self.crashed_under[key] > 1 for key in tasks)
+        crashes_workers = any(self.crashes_caused[key] for key in tasks)
+        return crashes_workers and any(
+            self.crashes_met[key] > 1 for key in tasks
+        )
 
     def _is_job_done(self, job_id: str) -> bool:
         return all(key in self.done for key in self._list_tasks(job_id))
 
-    def _find_wanted(self, job_id: str) -> set[str]:
+    def _find_expected(self, job_id: str) -> set[str]:
         job = self.jobs[job_id]
         if job_id in self.cancelled:
             return {"cancelled", "done", "failed"}
-        asked = {"cancelled"} if job_id in self.asked_to_cancel else set()
+        maybe_cancelled = (
+            {"cancelled"} if job_id in self.asked_to_cancel else set()
+        )
         if self._is_job_done(job_id):
-            return {"done"} | asked
+            return {"done"} | maybe_cancelled
         tasks = self._list_tasks(job_id)
         limit = job.max_attempts
-        spent = [_sum_gang(job, key, self.failed) for key in tasks]
-        forgotten = [_sum_gang(job, key, self._forgotten) for key in tasks]
-        wanted = asked
-        if self._may_be_given_up(tasks):
-            wanted.add("failed")
-        if any(count >= limit for count in spent):
-            wanted.add("failed")
-        certain = zip(spent, forgotten, strict=True)
-        if not any(count - lost >= limit for count, lost in certain):
-            wanted.add("done")
-        return wanted
+        failures = [_sum_gang(job, key, self.failed) for key in tasks]
+        uncounted = [
+            _sum_gang(job, key, self._maybe_uncounted) for key in tasks
+        ]
+        expected = maybe_cancelled
+        if self._may_give_up(tasks):
+            expected.add("failed")
+        if any(count >= limit for count in failures):
+            expected.add("failed")
+        counts = zip(failures, uncounted, strict=True)
+        if not any(
+            count - maybe_uncounted >= limit
+            for count, maybe_uncounted in counts
+        ):
+            expected.add("done")
+        return expected
 
 
 def _sum_gang(
--- a/standins/emulator/policy.py
+++ b/standins/emulator/policy.py
@@ -12,15 +12,15 @@
 from crocusrouter import work
 from crocusrouter.work import orders
 
-_DECIDE_S = 0.05
-_PER_WORKER_S = 0.005
-_VALID_S = 3.0
-_SHARE_ALLOWED = 0.3
-_HOSTS = 6
+_ANSWER_DELAY_S = 0.05
+_DELAY_PER_WORKER_S = 0.005
+_TICKET_LIFETIME_S = 3.0
+_ALLOWED_SHARE = 0.3
+_WORKERS = 6
 _LARGEST_GANG = 4
 
 
-def _draw(text: str) -> int:
+def _hash_text(text: str) -> int:
     """Return a number below 0x10000 that depends only on a text."""
     digest = hashlib.blake2b(text.encode(), digest_size=2).digest()
     return int.from_bytes(digest, "big")
@@ -31,39 +31,45 @@
 
     def __init__(self) -> None:
         self.questions = 0
-        self._until: dict[str, float] = {}
-        self._turn = trio.Lock()
+        self._valid_until: dict[str, float] = {}
+        self._answer_lock = trio.Lock()
 
     def may_run(self, step: work.StepKey, worker: str) -> bool:
         """Tell whether the policy allows a worker to run a step."""
         # Some workers are always allowed, enough for the largest gang: a step
         # that too few workers may run would never end.
-        first = _draw(str(step))
-        homes = {f"w{(first + n) % _HOSTS}" for n in range(_LARGEST_GANG)}
-        if worker.partition("+")[0] in homes:
+        first_allowed = _hash_text(str(step))
+        always_allowed = {
+            f"w{(first_allowed + n) % _WORKERS}" for n in range(_LARGEST_GANG)
+        }
+        if worker.partition("+")[0] in always_allowed:
             return True
-        return _draw(f"{step} {worker}") / 0x10000 < _SHARE_ALLOWED
+        return _hash_text(f"{step} {worker}") / 0x10000 < _ALLOWED_SHARE
 
     async def answer(
         self, step: work.StepKey, workers: tuple[str, ...]
     ) -> orders.PolicyAnswer:
         """Answer one question, after all earlier ones."""
-        async with self._turn:
+        async with self._answer_lock:
             self.questions += 1
-            await trio.sleep(_DECIDE_S + _PER_WORKER_S * len(workers))
-            until = trio.current_time() + _VALID_S
+            await trio.sleep(
+                _ANSWER_DELAY_S + _DELAY_PER_WORKER_S * len(workers)
+            )
+            valid_until = trio.current_time() + _TICKET_LIFETIME_S
             tickets = {}
             for worker in workers:
                 if self.may_run(step, worker):
-                    ticket = f"{step} {worker} {until}"
-                    self._until[ticket] = until
+                    ticket = f"{step} {worker} {valid_until}"
+                    self._valid_until[ticket] = valid_until
                     tickets[worker] = ticket
-            return orders.PolicyAnswer(tickets, _VALID_S)
+            return orders.PolicyAnswer(tickets, _TICKET_LIFETIME_S)
 
     def is_valid(self, ticket: str, step: work.StepKey, worker: str) -> bool:
         """Tell whether a ticket is valid now for a step on a worker."""
-        fits = ticket.startswith(f"{step} {worker} ")
-        return fits and trio.current_time() <= self._until.get(ticket, 0.0)
+        is_for_step = ticket.startswith(f"{step} {worker} ")
+        return is_for_step and trio.current_time() <= self._valid_until.get(
+            ticket, 0.0
+        )
 
 
 class PolicyView:
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -10,12 +10,12 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 
-_ANSWER_S = 0.004
-_LATEST_S = 6.0
+_ANSWER_DELAY_S = 0.004
+_MAX_WRITE_DELAY_S = 6.0
 # How much longer than a watch's time the real client waits for an answer.
 _WATCH_TIMEOUT_S = 1.5
 # Watches get no changes for this time before the history is dropped.
-_DEAF_S = 1.0
+_COMPACTION_PAUSE_S = 1.0
 
 
 class StoreFault(enum.StrEnum):
@@ -40,8 +40,8 @@
     """Keys, leases, history and faults, shared by all views.
 
     Attributes:
-        dropped_to: Revision up to which the history has been dropped.
-        deaf_until: Until when watches get no changes.
+        compacted_revision: Revision up to which the history has been dropped.
+        watches_paused_until: Until when watches get no changes.
         lapses: Whether leases expire while the service is unavailable.
         turned_away: Faults of calls of single entries, by the entry's name.
         spares_quiet_watches: Whether a silence loses only the answers that are
@@ -56,13 +56,13 @@
         self.revision = 1
         self.leases: dict[int, tuple[float, float]] = {}
         self.history: list[records.Event] = []
-        self.dropped_to = 0
-        self.deaf_until = 0.0
+        self.compacted_revision = 0
+        self.watches_paused_until = 0.0
         self.fault = StoreFault.NONE
         self.lapses = True
-        self._expired_at = 0.0
+        self._last_expiry_at = 0.0
         self.turned_away: dict[str, StoreFault] = {}
-        self._silences: dict[str, float] = {}
+        self._last_silence_at: dict[str, float] = {}
         self.spares_quiet_watches = False
         self.refused_watches: set[str] = set()
         self.calls = 0
@@ -79,17 +79,19 @@
         """Remove one key, as the end of its lease does."""
         if key in self.items:
             self.revision += 1
-            self._drop(key)
+            self._delete(key)
 
     def _set(self, key: str, value: bytes, lease: int) -> None:
         self.items[key] = _Item(value, self.revision, lease)
-        self._tell(records.Changed(records.Record(key, value, self.revision)))
+        self._publish(
+            records.Changed(records.Record(key, value, self.revision))
+        )
 
-    def _drop(self, key: str) -> None:
+    def _delete(self, key: str) -> None:
         del self.items[key]
-        self._tell(records.Removed(key, self.revision))
+        self._publish(records.Removed(key, self.revision))
 
-    def _tell(self, event: records.Event) -> None:
+    def _publish(self, event: records.Event) -> None:
         self.history.append(event)
         self._changed.set()
         self._changed = trio.Event()
@@ -100,7 +102,9 @@
 
     def is_impaired(self, now: float) -> bool:
         """Tell whether a fault or a compaction affects all entries."""
-        return self.fault is not StoreFault.NONE or now < self.deaf_until
+        return (
+            self.fault is not StoreFault.NONE or now < self.watches_paused_until
+        )
 
     def note_silences(self, entries: list[str], now: float) -> None:
         """Record which entries get no answers now.
@@ -110,23 +114,23 @@
         """
         for entry in entries:
             if self.find_fault(entry) is StoreFault.SILENT:
-                self._silences[entry] = now
+                self._last_silence_at[entry] = now
 
     def was_silent(self, entry: str, since: float) -> bool:
         """Tell whether answers to an entry have been lost since a time."""
         if self.spares_quiet_watches:
             return self.find_fault(entry) is StoreFault.SILENT
-        return self._silences.get(entry, -1.0) >= since
+        return self._last_silence_at.get(entry, -1.0) >= since
 
-    async def forget_history_later(self) -> None:
+    async def compact_after_pause(self) -> None:
         """Send watches no changes for a second, then drop the history."""
-        self.deaf_until = trio.current_time() + _DEAF_S
-        await trio.sleep(_DEAF_S)
+        self.watches_paused_until = trio.current_time() + _COMPACTION_PAUSE_S
+        await trio.sleep(_COMPACTION_PAUSE_S)
         self.forget_history()
 
     def forget_history(self) -> None:
         """Drop the history of changes, as a compaction does."""
-        self.dropped_to = self.revision
+        self.compacted_revision = self.revision
         self.history.clear()
         self._changed.set()
         self._changed = trio.Event()
@@ -137,19 +141,19 @@
 
     def expire(self, now: float) -> None:
         """Remove the keys of expired leases; called on each clock step."""
-        passed, self._expired_at = now - self._expired_at, now
-        away = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
-        if away and not self.lapses:
+        elapsed_s, self._last_expiry_at = now - self._last_expiry_at, now
+        is_unavailable = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
+        if is_unavailable and not self.lapses:
             # Leases pause: each keeps its remaining time.
             self.leases = {
-                number: (ttl_s, end + passed)
+                number: (ttl_s, end + elapsed_s)
                 for number, (ttl_s, end) in self.leases.items()
             }
             return
-        gone = {n for n, (_, end) in self.leases.items() if end <= now}
-        for number in gone:
+        expired = {n for n, (_, end) in self.leases.items() if end <= now}
+        for number in expired:
             del self.leases[number]
-        for key in [k for k, i in self.items.items() if i.lease in gone]:
+        for key in [k for k, i in self.items.items() if i.lease in expired]:
             self.remove(key)
 
     def apply(
@@ -160,8 +164,8 @@
     ) -> port.WriteOutcome:
         """Apply a write if all its guards hold, else nothing of it."""
         for guard in guards:
-            held = self.items.get(guard.key)
-            if (held.revision if held else 0) != guard.revision:
+            item = self.items.get(guard.key)
+            if (item.revision if item else 0) != guard.revision:
                 return port.Mismatched(
                     {
                         g.key: self.read(g.key)
@@ -176,13 +180,13 @@
             self._set(write.key, write.value, write.lease)
         for key in removals:
             if key in self.items:
-                self._drop(key)
+                self._delete(key)
         return port.Written(self.revision)
 
     def read(self, key: str) -> records.Record:
         """Return the record of a key that exists."""
-        held = self.items[key]
-        return records.Record(key, held.value, held.revision)
+        item = self.items[key]
+        return records.Record(key, item.value, item.revision)
 
 
 class StoreView:
@@ -192,21 +196,23 @@
         self._store = store
         self._entry = entry
 
-    async def _arrive(self) -> StoreFault:
+    async def _delay_call(self) -> StoreFault:
         """Delay a call and return the fault that it meets."""
         fault = self._store.find_fault(self._entry)
-        slow = 75 if fault is StoreFault.SLOW else 1
-        await trio.sleep(_ANSWER_S * slow * self._store.random.uniform(0.5, 1))
-        if fault is StoreFault.SLOW and _ANSWER_S * slow > 1:
+        slowdown = 75 if fault is StoreFault.SLOW else 1
+        await trio.sleep(
+            _ANSWER_DELAY_S * slowdown * self._store.random.uniform(0.5, 1)
+        )
+        if fault is StoreFault.SLOW and _ANSWER_DELAY_S * slowdown > 1:
             raise client.StoreUnavailableError("slow")
         return fault
 
-    async def _fetch(self) -> None:
+    async def _begin_call(self) -> None:
         self._store.calls += 1
-        await self._answer()
+        await self._delay_or_fail()
 
-    async def _answer(self) -> None:
-        fault = await self._arrive()
+    async def _delay_or_fail(self) -> None:
+        fault = await self._delay_call()
         if fault is StoreFault.BUSY:
             raise client.StoreUnavailableError("busy")
         if fault is StoreFault.SILENT:
@@ -215,12 +221,12 @@
 
     async def read(self, key: str) -> records.Record | None:
         """Return a key's record, if any."""
-        await self._fetch()
+        await self._begin_call()
         return self._store.read(key) if key in self._store.items else None
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
         """Return all records under a prefix."""
-        await self._fetch()
+        await self._begin_call()
         found = (k for k in sorted(self._store.items) if k.startswith(prefix))
         return records.Snapshot(
             tuple(map(self._store.read, found)), self._store.revision
@@ -236,14 +242,14 @@
     ) -> port.WriteOutcome:
         """Write all or nothing; the answer is lost under some faults."""
         self._store.calls += 1
-        fault = await self._arrive()
+        fault = await self._delay_call()
         if fault is StoreFault.BUSY:
             return port.NotWritten("busy")
         if fault is StoreFault.SILENT:
             await trio.sleep(timeout_s)
             return port.MaybeWritten("silent")
-        lossy = fault in (StoreFault.LOST, StoreFault.LATE)
-        if lossy and self._store.random.random() < 1 / 3:
+        loses_answers = fault in (StoreFault.LOST, StoreFault.LATE)
+        if loses_answers and self._store.random.random() < 1 / 3:
             if fault is StoreFault.LATE:
                 trio.lowlevel.spawn_system_task(
                     self._apply_late, guards, writes, removals
@@ -253,7 +259,7 @@
             await trio.sleep(timeout_s)
             return port.MaybeWritten("lost")
         outcome = self._store.apply(guards, writes, removals)
-        await trio.sleep(_ANSWER_S / 2)
+        await trio.sleep(_ANSWER_DELAY_S / 2)
         return outcome
 
     async def _apply_late(
@@ -262,42 +268,42 @@
         writes: tuple[port.Write, ...],
         removals: tuple[str, ...],
     ) -> None:
-        await trio.sleep(self._store.random.uniform(1.0, _LATEST_S))
+        await trio.sleep(self._store.random.uniform(1.0, _MAX_WRITE_DELAY_S))
         self._store.apply(guards, writes, removals)
 
     async def watch(
         self, prefix: str, revision: int, wait_s: float
     ) -> port.Changes:
         """Wait for changes under a prefix after a revision."""
-        began = trio.current_time()
-        await self._fetch()
+        started_at = trio.current_time()
+        await self._begin_call()
         if prefix in self._store.refused_watches:
             raise client.StoreUnavailableError("status 429")
         with trio.move_on_after(wait_s):
             while True:
-                if revision < self._store.dropped_to:
+                if revision < self._store.compacted_revision:
                     raise port.HistoryGoneError(prefix)
-                if self._is_deaf():
-                    await trio.sleep_until(self._store.deaf_until)
+                if self._are_watches_paused():
+                    await trio.sleep_until(self._store.watches_paused_until)
                 elif self._find_events(prefix, revision):
                     break
                 else:
                     await self._store.wait_for_change()
         self._store.note_silences([self._entry], trio.current_time())
-        if self._store.was_silent(self._entry, began):
-            await trio.sleep_until(began + wait_s + _WATCH_TIMEOUT_S)
+        if self._store.was_silent(self._entry, started_at):
+            await trio.sleep_until(started_at + wait_s + _WATCH_TIMEOUT_S)
             raise client.StoreUnavailableError("the answer was lost")
-        await self._answer()
-        if self._is_deaf():
+        await self._delay_or_fail()
+        if self._are_watches_paused():
             return port.Changes((), revision)
-        if revision < self._store.dropped_to:
+        if revision < self._store.compacted_revision:
             # The history was dropped while the answer was on its way.
             raise port.HistoryGoneError(prefix)
         found = self._find_events(prefix, revision)
         return port.Changes(found, self._store.revision)
 
-    def _is_deaf(self) -> bool:
-        return trio.current_time() < self._store.deaf_until
+    def _are_watches_paused(self) -> bool:
+        return trio.current_time() < self._store.watches_paused_until
 
     def _find_events(
         self, prefix: str, revision: int
@@ -311,7 +317,7 @@
 
     async def grant(self, ttl_s: float) -> int:
         """Grant a lease."""
-        await self._fetch()
+        await self._begin_call()
         self._store.revision += 1
         number = self._store.revision
         self._store.leases[number] = (ttl_s, trio.current_time() + ttl_s)
@@ -319,7 +325,7 @@
 
     async def keep(self, lease: int) -> bool:
         """Renew a lease; return False if it has expired."""
-        await self._fetch()
+        await self._begin_call()
         self._store.expire(trio.current_time())
         if lease not in self._store.leases:
             return False
--- a/standins/emulator/suspension.py
+++ b/standins/emulator/suspension.py
@@ -16,55 +16,57 @@
     """Tracks which entries are suspended."""
 
     def __init__(self) -> None:
-        self._wakes_at: dict[str, float] = {}
+        self._resumes_at: dict[str, float] = {}
 
-    async def suspend(self, entry: str, for_s: float) -> None:
+    async def suspend(self, entry: str, duration_s: float) -> None:
         """Suspend an entry for some seconds; a longer suspension stays."""
-        wakes_at = trio.current_time() + for_s
-        self._wakes_at[entry] = max(wakes_at, self._wakes_at.get(entry, 0.0))
-        await trio.sleep(for_s)
+        resumes_at = trio.current_time() + duration_s
+        self._resumes_at[entry] = max(
+            resumes_at, self._resumes_at.get(entry, 0.0)
+        )
+        await trio.sleep(duration_s)
 
     def is_suspended(self, entry: str) -> bool:
         """Tell whether an entry is suspended."""
-        return self._wakes_at.get(entry, 0.0) > trio.current_time()
+        return self._resumes_at.get(entry, 0.0) > trio.current_time()
 
-    def is_any(self) -> bool:
+    def is_any_suspended(self) -> bool:
         """Tell whether any entry is suspended."""
         now = trio.current_time()
-        return any(at > now for at in self._wakes_at.values())
+        return any(at > now for at in self._resumes_at.values())
 
-    async def wait_awake(self, entry: str) -> None:
+    async def wait_until_resumed(self, entry: str) -> None:
         """Wait until an entry is not suspended."""
-        while self._wakes_at.get(entry, 0.0) > trio.current_time():
-            await trio.sleep_until(self._wakes_at[entry])
+        while self._resumes_at.get(entry, 0.0) > trio.current_time():
+            await trio.sleep_until(self._resumes_at[entry])
 
     @contextlib.asynccontextmanager
-    async def pass_through(self, entry: str) -> AsyncIterator[None]:
+    async def delay_while_suspended(self, entry: str) -> AsyncIterator[None]:
         """Delay the body, and then its result, while an entry is suspended."""
-        await self.wait_awake(entry)
+        await self.wait_until_resumed(entry)
         try:
             yield
         finally:
-            await self.wait_awake(entry)
+            await self.wait_until_resumed(entry)
 
 
-class Suspendable:
+class SuspendablePort:
     """Wraps a port of an entry; its calls wait while the entry is suspended."""
 
     def __init__(
-        self, port: object, suspensions: Suspensions, entry: str
+        self, wrapped: object, suspensions: Suspensions, entry: str
     ) -> None:
-        self._port = port
+        self._wrapped = wrapped
         self._suspensions = suspensions
         self._entry = entry
 
     def __getattr__(self, name: str) -> Any:
-        call = getattr(self._port, name)
-        if not callable(call):
-            return call
+        attribute = getattr(self._wrapped, name)
+        if not callable(attribute):
+            return attribute
 
-        async def pass_on(*args: Any, **options: Any) -> Any:
-            async with self._suspensions.pass_through(self._entry):
-                return await call(*args, **options)
+        async def call_delayed(*args: Any, **kwargs: Any) -> Any:
+            async with self._suspensions.delay_while_suspended(self._entry):
+                return await attribute(*args, **kwargs)
 
-        return pass_on
+        return call_delayed
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -18,23 +18,25 @@
 from standins.emulator import touch as touches
 from standins.emulator.tests import test_histories
 
-_SETTLED_S = 6.35
+_SETTLE_S = 6.35
 # From the fault to the change. Heartbeats come every second; an entry reads the
 # configuration itself every three seconds unless a peer has told it.
-_WAITS_S = tuple(1.0 + 0.35 * number for number in range(9))
-_ASKING_S = 0.05
-_SEEDS = int(os.environ.get("CROCUSROUTER_DAYS", "12"))
+_DELAYS_S = tuple(1.0 + 0.35 * number for number in range(9))
+_CALL_INTERVAL_S = 0.05
+_SEED_COUNT = int(os.environ.get("CROCUSROUTER_DAYS", "12"))
 _ROUTE, _KEY = operators.ROUTES[0], operators.KEYS[0]
 
 
-async def _ask_for_a_while(held, for_s):
-    with trio.move_on_after(for_s):
-        await faults.ask_all(held, 1)
+async def _call_entries_for(cluster, duration_s):
+    with trio.move_on_after(duration_s):
+        await faults.call_all_entries(cluster, 1)
 
 
 # Returns the oracle after some calls. Version 2 has the route only, version 3
 # also the key; version 4 is invalid.
-def _judge(sent_at, handling, *, impaired_at=None, earlier=(), hidden_at=12.0):
+def _check_calls(
+    sent_at, handling, *, impaired_at=None, earlier=(), invalid_at=12.0
+):
     touch = touches.Touch()
     if impaired_at is not None:
         touch.note_impaired("e0", impaired_at)
@@ -42,17 +44,19 @@
     for at, version, routes, keys, valid in (
         (0.0, 2, {_ROUTE}, set(), True),
         (10.0, 3, {_ROUTE}, {_KEY}, True),
-        (hidden_at, 4, set(), set(), False),
+        (invalid_at, 4, set(), set(), False),
     ):
         changes.note_confirmed(
-            change_rules.Edition(
+            change_rules.ConfigVersion(
                 version, frozenset(routes), frozenset(keys), valid=valid
             ),
             at,
         )
-    for at, said in (*earlier, (sent_at, handling)):
+    for at, call_handling in (*earlier, (sent_at, handling)):
         changes.note_call(
-            change_rules.Call("e0", 1, _ROUTE, _KEY, at, at + 0.01, said)
+            change_rules.Call(
+                "e0", 1, _ROUTE, _KEY, at, at + 0.01, call_handling
+            )
         )
     return changes
 
@@ -74,138 +78,147 @@
         (12.1, change_rules.Handling.NOT_DECIDED, None, (), False),
     ],
 )
-def test_oracle_of_changes(sent_at, handling, impaired_at, earlier, broken):
-    past = [(at, change_rules.Handling(said)) for at, said in earlier]
-    changes = _judge(sent_at, handling, impaired_at=impaired_at, earlier=past)
+def test_oracle_checks_calls(sent_at, handling, impaired_at, earlier, broken):
+    earlier_calls = [
+        (at, change_rules.Handling(call_handling))
+        for at, call_handling in earlier
+    ]
+    changes = _check_calls(
+        sent_at, handling, impaired_at=impaired_at, earlier=earlier_calls
+    )
     assert bool(changes.broken) is broken
 
 
 @pytest.mark.parametrize(
-    ("hidden_at", "broken"), [(11.9, False), (12.0, True), (13.0, True)]
+    ("invalid_at", "broken"), [(11.9, False), (12.0, True), (13.0, True)]
 )
-def test_oracle_asks_for_no_version_that_nobody_could_read(hidden_at, broken):
-    changes = _judge(12.5, change_rules.Handling.NO_KEY, hidden_at=hidden_at)
+def test_oracle_ignores_versions_that_are_replaced_at_once(invalid_at, broken):
+    changes = _check_calls(
+        12.5, change_rules.Handling.NO_KEY, invalid_at=invalid_at
+    )
     assert bool(changes.broken) is broken
 
 
-async def _silence(held, names, for_s):
+async def _lose_store_answers(cluster, names, duration_s):
     """Lose the store's answers to some entries for some seconds."""
     for name in names:
-        held.store.turned_away[name] = stores.StoreFault.SILENT
-    await trio.sleep(for_s)
+        cluster.store.turned_away[name] = stores.StoreFault.SILENT
+    await trio.sleep(duration_s)
     for name in names:
-        del held.store.turned_away[name]
+        del cluster.store.turned_away[name]
 
 
-async def _play(trouble, wait_s):
+async def _play(disturb, delay_s):
     """Inject a fault, add a route and a key, and call all entries."""
-    held = clusters.Cluster(5)
+    cluster = clusters.Cluster(5)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
-        await trio.sleep(_SETTLED_S)
-        await trouble(held, nursery, wait_s)
-        held.operators.toggle(_ROUTE, _KEY, trio.current_time())
+        await nursery.start(cluster.run)
+        await trio.sleep(_SETTLE_S)
+        await disturb(cluster, nursery, delay_s)
+        cluster.operators.toggle(_ROUTE, _KEY, trio.current_time())
         with trio.move_on_after(6.0):
             while True:
-                for name in held.names:
-                    nursery.start_soon(held.ask_for, name, _ROUTE, _KEY)
-                await trio.sleep(_ASKING_S)
+                for name in cluster.names:
+                    nursery.start_soon(cluster.call_route, name, _ROUTE, _KEY)
+                await trio.sleep(_CALL_INTERVAL_S)
         nursery.cancel_scope.cancel()
-    assert held.changes.judged > 50
-    return held
+    assert cluster.changes.judged > 50
+    return cluster
 
 
-def _find_follower(held):
-    return next(name for name in held.names if name != held.find_owner())
+def _find_non_owner(cluster):
+    return next(name for name in cluster.names if name != cluster.find_owner())
 
 
-async def _lose_an_answer_then_peers(held, nursery, wait_s):
-    name = _find_follower(held)
-    await _silence(held, [name], 0.1)
-    await trio.sleep(wait_s)
-    held.cut_off.add(name)
+async def _lose_answers_then_cut_non_owner(cluster, nursery, delay_s):
+    name = _find_non_owner(cluster)
+    await _lose_store_answers(cluster, [name], 0.1)
+    await trio.sleep(delay_s)
+    cluster.cut_off.add(name)
 
 
-async def _lose_an_answer_then_owner_its_peers(held, nursery, wait_s):
-    name = held.find_owner()
-    await _silence(held, [name], 0.1)
-    await trio.sleep(wait_s)
-    held.cut_off.add(name)
+async def _lose_answers_then_cut_owner(cluster, nursery, delay_s):
+    name = cluster.find_owner()
+    await _lose_store_answers(cluster, [name], 0.1)
+    await trio.sleep(delay_s)
+    cluster.cut_off.add(name)
 
 
-async def _let_peers_stand_still(held, nursery, wait_s, for_s=5.0):
-    name = _find_follower(held)
-    await _silence(held, [name], 0.1)
-    await trio.sleep(wait_s)
-    for other in held.names:
+async def _lose_answers_then_suspend_peers(
+    cluster, nursery, delay_s, duration_s=5.0
+):
+    name = _find_non_owner(cluster)
+    await _lose_store_answers(cluster, [name], 0.1)
+    await trio.sleep(delay_s)
+    for other in cluster.names:
         if other != name:
-            nursery.start_soon(held.suspensions.suspend, other, for_s)
-    await trio.sleep(_ASKING_S)
+            nursery.start_soon(cluster.suspensions.suspend, other, duration_s)
+    await trio.sleep(_CALL_INTERVAL_S)
 
 
-async def _hold_heartbeats_up(held, nursery, wait_s):
+async def _lose_answers_then_delay_heartbeats(cluster, nursery, delay_s):
     """Delay the peers' heartbeats, but less than the entry waits for them."""
-    await _let_peers_stand_still(held, nursery, wait_s, 2.4)
+    await _lose_answers_then_suspend_peers(cluster, nursery, delay_s, 2.4)
 
 
-async def _refuse_watches(held, nursery, wait_s):
-    held.store.refused_watches.add(clusters.OPERATORS)
-    await trio.sleep(wait_s)
+async def _reject_watches(cluster, nursery, delay_s):
+    cluster.store.refused_watches.add(clusters.OPERATORS_PREFIX)
+    await trio.sleep(delay_s)
 
 
-async def _refuse_watches_then_cut_peers(held, nursery, wait_s):
-    await _refuse_watches(held, nursery, wait_s)
-    held.cut_off.add(_find_follower(held))
+async def _reject_watches_then_cut_non_owner(cluster, nursery, delay_s):
+    await _reject_watches(cluster, nursery, delay_s)
+    cluster.cut_off.add(_find_non_owner(cluster))
 
 
-async def _lose_answers_of_all(held, nursery, wait_s):
-    await _silence(held, held.names, 0.1)
-    await trio.sleep(wait_s)
+async def _lose_answers_to_all(cluster, nursery, delay_s):
+    await _lose_store_answers(cluster, cluster.names, 0.1)
+    await trio.sleep(delay_s)
 
 
 # Callers are told that a route or a key doesn't exist, seconds after its
 # version was confirmed: neither a watch nor a peer has told the entry of the
 # change.
-@pytest.mark.parametrize("wait_s", _WAITS_S)
+@pytest.mark.parametrize("delay_s", _DELAYS_S)
 @pytest.mark.parametrize(
-    "trouble",
+    "disturb",
     [
-        _lose_an_answer_then_peers,
-        _lose_an_answer_then_owner_its_peers,
-        _let_peers_stand_still,
-        _hold_heartbeats_up,
-        _refuse_watches,
-        _refuse_watches_then_cut_peers,
-        _lose_answers_of_all,
+        _lose_answers_then_cut_non_owner,
+        _lose_answers_then_cut_owner,
+        _lose_answers_then_suspend_peers,
+        _lose_answers_then_delay_heartbeats,
+        _reject_watches,
+        _reject_watches_then_cut_non_owner,
+        _lose_answers_to_all,
     ],
 )
-async def test_change_that_no_watch_brings_is_in_force_in_time(
-    trouble, wait_s, autojump_clock
+async def test_change_missed_by_the_watch_is_applied_in_time(
+    disturb, delay_s, autojump_clock
 ):
-    held = await _play(trouble, wait_s)
-    assert held.changes.broken == []
-    assert held.changes.unready == 0
+    cluster = await _play(disturb, delay_s)
+    assert cluster.changes.broken == []
+    assert cluster.changes.unready == 0
 
 
 # Every entry answers 503 from then on, because operators have written an
 # invalid configuration.
-@pytest.mark.parametrize("form", operators.INVALID)
+@pytest.mark.parametrize("document", operators.INVALID_DOCUMENTS)
 async def test_invalid_configuration_leaves_the_last_valid_one_in_force(
-    form, autojump_clock
+    document, autojump_clock
 ):
-    held = clusters.Cluster(5)
+    cluster = clusters.Cluster(5)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
-        await trio.sleep(_SETTLED_S)
-        held.operators.toggle(_ROUTE, _KEY, trio.current_time())
+        await nursery.start(cluster.run)
+        await trio.sleep(_SETTLE_S)
+        cluster.operators.toggle(_ROUTE, _KEY, trio.current_time())
         await trio.sleep(1.0)
-        held.operators.write_invalid(form, trio.current_time())
-        await _ask_for_a_while(held, 12.0)
-        held.operators.toggle(_ROUTE, _KEY, trio.current_time())
-        await _ask_for_a_while(held, 4.0)
+        cluster.operators.write_invalid(document, trio.current_time())
+        await _call_entries_for(cluster, 12.0)
+        cluster.operators.toggle(_ROUTE, _KEY, trio.current_time())
+        await _call_entries_for(cluster, 4.0)
         nursery.cancel_scope.cancel()
-    assert held.changes.broken == []
-    assert held.changes.unready == 0
+    assert cluster.changes.broken == []
+    assert cluster.changes.unready == 0
 
 
 # Any history of changes and faults, checked by the answers to callers.
@@ -216,7 +229,7 @@
     per_s=strategies.sampled_from((0.3, 1.0, 3.0)),
 )
 def test_machine_of_changes_keeps_the_rules(seed, events, per_s):
-    held = trio.run(
+    cluster = trio.run(
         lambda: emulator.play(
             seed,
             emulator.Load(1.0, 12.0),
@@ -225,14 +238,16 @@
         ),
         clock=trio.testing.MockClock(autojump_threshold=0),
     )
-    assert held.oracle.broken == []
-    assert held.changes.judged > 50
+    assert cluster.oracle.broken == []
+    assert cluster.changes.judged > 50
 
 
-@pytest.mark.parametrize("seed", range(_SEEDS))
+@pytest.mark.parametrize("seed", range(_SEED_COUNT))
 async def test_drawn_days_with_changes_keep_the_rules(seed, autojump_clock):
     load = emulator.Load()
-    drawn = emulator.choose_faults(seed, 6, load.length_s, list(faults.EARLIER))
-    held = await emulator.play(seed, load, drawn, changes_per_s=1.0)
-    assert held.oracle.broken == []
-    assert held.changes.judged > 50
+    events = emulator.choose_faults(
+        seed, 6, load.length_s, list(faults.FAULTS_BEFORE_RESTARTS)
+    )
+    cluster = await emulator.play(seed, load, events, changes_per_s=1.0)
+    assert cluster.oracle.broken == []
+    assert cluster.changes.judged > 50
--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -18,14 +18,14 @@
 from standins.emulator import faults
 from standins.emulator import store as stores
 
-_SETTLED_S = 6.0
+_SETTLE_S = 6.0
 _POLL_S = 0.01
 # Peers report a missed change in their heartbeats, which they send each second
 # to owners, to neighbours and to a random peer.
-_TOLD_S = 2.5
+_PEER_REPORT_S = 2.5
 
 
-def _put_job(held):
+def _put_job(cluster):
     step = work.Step(1, work.Room(1000, 512, 1), 1.0)
     job = work.Job(
         "00000000000000aa",
@@ -40,24 +40,24 @@
         (step,),
         1_700_000_000.0,
     )
-    held.oracle.jobs[job.id] = job
-    held.oracle.accepted.add(job.id)
-    held.store.put(keys.build_job_key(job.id), codec.pack(job))
+    cluster.oracle.jobs[job.id] = job
+    cluster.oracle.accepted.add(job.id)
+    cluster.store.put(keys.build_job_key(job.id), codec.pack(job))
 
 
-def _hears_job(held):
-    owner = held.entries.get(held.find_owner() or "")
+def _knows_job(cluster):
+    owner = cluster.entries.get(cluster.find_owner() or "")
     return owner is not None and (
         "00000000000000aa" in owner.owned[clusters.POOL].book.jobs
     )
 
 
-def _drain(held):
-    held.drain_worker("w1")
+def _drain(cluster):
+    cluster.drain_worker("w1")
 
 
-def _hears_drain(held):
-    owner = held.entries.get(held.find_owner() or "")
+def _knows_drain(cluster):
+    owner = cluster.entries.get(cluster.find_owner() or "")
     if owner is None:
         return False
     book = owner.owned[clusters.POOL].book
@@ -65,59 +65,62 @@
     return found is not None and found.sealed
 
 
-def _configure(held):
-    held.put_config({"a": 8, "b": 16})
+def _configure(cluster):
+    cluster.put_config({"a": 8, "b": 16})
 
 
-def _hears_configuration(held):
+def _knows_configuration(cluster):
     return all(
-        entry.configuration.version == 3 for entry in held.entries.values()
+        entry.configuration.version == 3 for entry in cluster.entries.values()
     )
 
 
-def _add_member(held):
-    held.store.put(keys.build_member_key("new"), b"10.0.0.9:7000")
+def _add_member(cluster):
+    cluster.store.put(keys.build_member_key("new"), b"10.0.0.9:7000")
 
 
-def _hears_member(held):
+def _knows_member(cluster):
     return all(
-        "new" in entry.peers.list_members() for entry in held.entries.values()
+        "new" in entry.peers.list_members()
+        for entry in cluster.entries.values()
     )
 
 
 _FOLLOWERS = {
-    "jobs": (_put_job, _hears_job),
-    "workers": (_drain, _hears_drain),
-    "configuration": (_configure, _hears_configuration),
-    "members": (_add_member, _hears_member),
+    "jobs": (_put_job, _knows_job),
+    "workers": (_drain, _knows_drain),
+    "configuration": (_configure, _knows_configuration),
+    "members": (_add_member, _knows_member),
 }
 
 
-async def _measure(held, follower, trouble, for_s):
+async def _measure_delay(cluster, follower, fault, duration_s):
     """Return the seconds from the end of a fault until a change is known."""
-    change, hears = _FOLLOWERS[follower]
+    change, knows_change = _FOLLOWERS[follower]
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
-        held.store.lapses = False
-        await trio.sleep(_SETTLED_S)
-        assert held.find_owner() is not None
-        async with trio.open_nursery() as striking:
-            striking.start_soon(
-                faults.strike, held, faults.Event(0.0, trouble, for_s)
+        await nursery.start(cluster.run)
+        cluster.store.lapses = False
+        await trio.sleep(_SETTLE_S)
+        assert cluster.find_owner() is not None
+        async with trio.open_nursery() as fault_nursery:
+            fault_nursery.start_soon(
+                faults.inject_fault,
+                cluster,
+                faults.FaultEvent(0.0, fault, duration_s),
             )
-            await trio.sleep(for_s / 2)
-            change(held)
-        ended = trio.current_time()
+            await trio.sleep(duration_s / 2)
+            change(cluster)
+        fault_ended_at = trio.current_time()
         with trio.move_on_after(30.0):
-            while not hears(held):
+            while not knows_change(cluster):
                 await trio.sleep(_POLL_S)
         nursery.cancel_scope.cancel()
-    return trio.current_time() - ended
+    return trio.current_time() - fault_ended_at
 
 
 @pytest.mark.parametrize("follower", list(_FOLLOWERS))
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [
         emulator.Fault.STORE_SILENT,
         emulator.Fault.STORE_BUSY,
@@ -130,37 +133,37 @@
         emulator.Fault.CUT_OWNER,
     ],
 )
-async def test_followers_hear_of_changes_after_trouble(
-    trouble, follower, autojump_clock
+async def test_followers_learn_of_changes_after_a_fault(
+    fault, follower, autojump_clock
 ):
     """A change is made in the middle of a fault of four seconds."""
-    held = clusters.Cluster(5)
-    behind_s = await _measure(held, follower, trouble, 4.0)
-    assert behind_s <= intake.DEAF_S
+    cluster = clusters.Cluster(5)
+    delay_s = await _measure_delay(cluster, follower, fault, 4.0)
+    assert delay_s <= intake.DEAF_S
 
 
-@pytest.mark.parametrize("for_s", [0.3, 0.8, 1.5])
+@pytest.mark.parametrize("duration_s", [0.3, 0.8, 1.5])
 @pytest.mark.parametrize(
     ("follower", "bound_s"),
     [
         ("jobs", intake.DEAF_S),
         ("workers", intake.DEAF_S),
-        ("configuration", _TOLD_S),
-        ("members", _TOLD_S),
+        ("configuration", _PEER_REPORT_S),
+        ("members", _PEER_REPORT_S),
     ],
 )
-async def test_followers_hear_after_silence_that_few_calls_met(
-    follower, bound_s, for_s, autojump_clock
+async def test_followers_learn_of_changes_after_a_short_silence(
+    follower, bound_s, duration_s, autojump_clock
 ):
     """The silence is so short that most entries make no call during it.
 
     Only the answers to their open watches are lost, and they can't notice it.
     """
-    held = clusters.Cluster(5)
-    behind_s = await _measure(
-        held, follower, emulator.Fault.STORE_SILENT, for_s
+    cluster = clusters.Cluster(5)
+    delay_s = await _measure_delay(
+        cluster, follower, emulator.Fault.STORE_SILENT, duration_s
     )
-    assert behind_s <= bound_s
+    assert delay_s <= bound_s
 
 
 async def test_silence_of_one_entry_alone(autojump_clock):
@@ -168,16 +171,16 @@
 
     Its peers learn of a new member and report it in their heartbeats.
     """
-    held = clusters.Cluster(5)
+    cluster = clusters.Cluster(5)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
-        await trio.sleep(_SETTLED_S)
-        name = next(n for n in held.entries if n != held.find_owner())
-        held.store.turned_away[name] = stores.StoreFault.SILENT
+        await nursery.start(cluster.run)
+        await trio.sleep(_SETTLE_S)
+        name = next(n for n in cluster.entries if n != cluster.find_owner())
+        cluster.store.turned_away[name] = stores.StoreFault.SILENT
         await trio.sleep(0.2)
-        _add_member(held)
+        _add_member(cluster)
         await trio.sleep(0.2)
-        del held.store.turned_away[name]
-        await trio.sleep(_TOLD_S)
-        assert "new" in held.entries[name].peers.list_members()
+        del cluster.store.turned_away[name]
+        await trio.sleep(_PEER_REPORT_S)
+        assert "new" in cluster.entries[name].peers.list_members()
         nursery.cancel_scope.cancel()
--- a/standins/emulator/tests/test_histories.py
+++ b/standins/emulator/tests/test_histories.py
@@ -12,10 +12,10 @@
 _LENGTH_S = 12.0
 EVENTS = strategies.lists(
     strategies.builds(
-        faults.Event,
+        faults.FaultEvent,
         at=strategies.integers(4, 48).map(lambda quarter: quarter / 4),
         fault=strategies.sampled_from(list(emulator.Fault)),
-        for_s=strategies.integers(2, 20).map(lambda quarter: quarter / 4),
+        duration_s=strategies.integers(2, 20).map(lambda quarter: quarter / 4),
     ),
     max_size=7,
 )
@@ -46,32 +46,32 @@
     seed=20,
     load=emulator.Load(2.0, _LENGTH_S, 0.8),
     events=[
-        faults.Event(2.0, emulator.Fault.CUT_OWNER_FROM_STORE, 3.5),
-        faults.Event(3.5, emulator.Fault.CUT_WORKER, 4.5),
-        faults.Event(7.0, emulator.Fault.STORE_LOST, 2.75),
-        faults.Event(7.0, emulator.Fault.CRASH_WORKER, 2.25),
-        faults.Event(10.75, emulator.Fault.CUT_OWNER, 5.0),
-        faults.Event(10.75, emulator.Fault.REBORN_WORKER, 2.75),
-        faults.Event(11.75, emulator.Fault.CUT_OWNER_FROM_STORE, 0.5),
+        faults.FaultEvent(2.0, emulator.Fault.CUT_OWNER_FROM_STORE, 3.5),
+        faults.FaultEvent(3.5, emulator.Fault.CUT_WORKER, 4.5),
+        faults.FaultEvent(7.0, emulator.Fault.STORE_LOST, 2.75),
+        faults.FaultEvent(7.0, emulator.Fault.CRASH_WORKER, 2.25),
+        faults.FaultEvent(10.75, emulator.Fault.CUT_OWNER, 5.0),
+        faults.FaultEvent(10.75, emulator.Fault.REBORN_WORKER, 2.75),
+        faults.FaultEvent(11.75, emulator.Fault.CUT_OWNER_FROM_STORE, 0.5),
     ],
 )
 @hypothesis.example(
     seed=424,
     load=emulator.Load(2.0, _LENGTH_S, 0.8, advised=0.3),
     events=[
-        faults.Event(1.25, emulator.Fault.CUT_WORKER, 4.75),
-        faults.Event(5.0, emulator.Fault.STORE_SILENT, 5.0),
-        faults.Event(5.75, emulator.Fault.STORE_LATE, 2.75),
-        faults.Event(6.25, emulator.Fault.STORE_BUSY, 1.25),
-        faults.Event(8.0, emulator.Fault.CANCEL_MANY, 1.5),
-        faults.Event(11.5, emulator.Fault.DRAIN_WORKER, 5.0),
-        faults.Event(11.75, emulator.Fault.COMPACT, 1.25),
+        faults.FaultEvent(1.25, emulator.Fault.CUT_WORKER, 4.75),
+        faults.FaultEvent(5.0, emulator.Fault.STORE_SILENT, 5.0),
+        faults.FaultEvent(5.75, emulator.Fault.STORE_LATE, 2.75),
+        faults.FaultEvent(6.25, emulator.Fault.STORE_BUSY, 1.25),
+        faults.FaultEvent(8.0, emulator.Fault.CANCEL_MANY, 1.5),
+        faults.FaultEvent(11.5, emulator.Fault.DRAIN_WORKER, 5.0),
+        faults.FaultEvent(11.75, emulator.Fault.COMPACT, 1.25),
     ],
 )
 @hypothesis.example(
     seed=5,
     load=emulator.Load(2.0, _LENGTH_S, 0.8, advised=0.3),
-    events=[faults.Event(4.0, emulator.Fault.CANCEL_MANY, 1.25)],
+    events=[faults.FaultEvent(4.0, emulator.Fault.CANCEL_MANY, 1.25)],
 )
 @hypothesis.example(
     seed=728,
@@ -82,19 +82,19 @@
     seed=11,
     load=emulator.Load(2.0, _LENGTH_S, 0.1, advised=0.3),
     events=[
-        faults.Event(3.5, emulator.Fault.STORE_BUSY, 1.5),
-        faults.Event(11.75, emulator.Fault.CUT_OWNER, 1.25),
+        faults.FaultEvent(3.5, emulator.Fault.STORE_BUSY, 1.5),
+        faults.FaultEvent(11.75, emulator.Fault.CUT_OWNER, 1.25),
     ],
 )
 @fuzzing.build_settings(20)
 @hypothesis.given(seed=strategies.integers(0, 1000), load=_LOADS, events=EVENTS)
 def test_machine_of_days_keeps_the_rules(seed, load, events):
     played = sorted(events, key=lambda event: event.at)
-    held = trio.run(
+    cluster = trio.run(
         emulator.play,
         seed,
         load,
         played,
         clock=trio.testing.MockClock(autojump_threshold=0),
     )
-    assert held.oracle.broken == []
+    assert cluster.oracle.broken == []
--- a/standins/emulator/tests/test_restarts.py
+++ b/standins/emulator/tests/test_restarts.py
@@ -7,32 +7,34 @@
 from standins import emulator
 from standins.emulator import faults
 
-_MOMENTS = 5
-_SEEDS = int(os.environ.get("CROCUSROUTER_DAYS", "4"))
+_FAULT_COUNT = 5
+_SEED_COUNT = int(os.environ.get("CROCUSROUTER_DAYS", "4"))
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("way", faults.RESTARTS)
+@pytest.mark.parametrize("kind", faults.RESTART_FAULTS)
 async def test_ends_of_a_restarted_worker_are_not_confirmed_unread(
-    way, seed, autojump_clock
+    kind, seed, autojump_clock
 ):
     """Tasks ran again whose ends a new process had listed under the old id."""
     load = emulator.Load(per_s=2.0)
-    drawn = emulator.choose_faults(seed, _MOMENTS, load.length_s, [way])
-    held = await emulator.play(seed, load, drawn)
-    assert held.oracle.broken == []
-    assert len(held.oracle.accepted) > 5
+    events = emulator.choose_faults(seed, _FAULT_COUNT, load.length_s, [kind])
+    cluster = await emulator.play(seed, load, events)
+    assert cluster.oracle.broken == []
+    assert len(cluster.oracle.accepted) > 5
 
 
-@pytest.mark.parametrize("seed", range(_SEEDS))
+@pytest.mark.parametrize("seed", range(_SEED_COUNT))
 async def test_days_with_restarts_among_all_faults_keep_the_rules(
     seed, autojump_clock
 ):
     """Owners change and entries fail while workers' processes restart."""
     load = emulator.Load(per_s=2.0)
-    drawn = emulator.choose_faults(seed, 4, load.length_s, faults.RESTARTS)
-    drawn += emulator.choose_faults(
-        seed + _MOMENTS, 4, load.length_s, list(emulator.Fault)
+    events = emulator.choose_faults(
+        seed, 4, load.length_s, faults.RESTART_FAULTS
     )
-    held = await emulator.play(seed, load, drawn)
-    assert held.oracle.broken == []
+    events += emulator.choose_faults(
+        seed + _FAULT_COUNT, 4, load.length_s, list(emulator.Fault)
+    )
+    cluster = await emulator.play(seed, load, events)
+    assert cluster.oracle.broken == []
--- a/standins/emulator/tests/test_rooms.py
+++ b/standins/emulator/tests/test_rooms.py
@@ -13,7 +13,7 @@
 from standins.emulator import faults
 
 _FAULT = faults.Fault
-_SHRINKING = (
+_KINDS = (
     *[_FAULT.SHRINK_WORKER] * 6,
     _FAULT.KILL_OWNER,
     _FAULT.CANCEL_MANY,
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", [0, 3, 8, 21])
-async def test_no_start_brings_a_worker_over_its_room(seed, autojump_clock):
+async def test_no_start_exceeds_the_room_of_a_worker(seed, autojump_clock):
     """A worker with 8 accelerators ran tasks that needed 13, and all of them
     slowed down or ran out of memory.
 
@@ -38,9 +38,9 @@
     Here rooms also shrink and grow.
     """
     load = emulator.Load(per_s=2.0)
-    drawn = emulator.choose_faults(seed, 10, load.length_s, _SHRINKING)
-    held = await emulator.play(seed, load, drawn, guards=False)
-    assert held.oracle.broken == []
+    events = emulator.choose_faults(seed, 10, load.length_s, _KINDS)
+    cluster = await emulator.play(seed, load, events, check_room=False)
+    assert cluster.oracle.broken == []
 
 
 @pytest.mark.parametrize(
@@ -48,19 +48,19 @@
     [(5.0, 4, 1), (4.0, 4, 0), (5.0, 2, 0)],
     ids=["over", "not-known-yet", "fits"],
 )
-async def test_start_over_a_room_that_has_shrunk_is_seen(
+async def test_start_beyond_a_shrunk_room_is_reported(
     shrunk_for_s, gpu, broken, autojump_clock
 ):
-    held = clusters.Cluster(1, guards=False)
+    cluster = clusters.Cluster(1, check_room=False)
     step = work.Step(1, work.Room(1000, 1000, gpu))
-    held.oracle.jobs["j"] = work.Job(
+    cluster.oracle.jobs["j"] = work.Job(
         "j", "q", clusters.POOL, "a", 1, 2, 1.0, 1.0, "", (step,), 0.0
     )
-    worker = held.workers["w0"]
+    worker = cluster.workers["w0"]
     room = work.Room(8000, 65_536, 2)
     worker.set_room(room, 0.0)
     await trio.sleep(shrunk_for_s - trio.current_time())
     until_ms = int(worker.read_clock()) + 5000
     order = orders.Start(work.TaskKey("j", 0, 0, 0), 1, "")
-    assert isinstance(worker.begin(1, order, until_ms), orders.Taken)
-    assert len(held.oracle.broken) == broken
+    assert isinstance(worker.start_run(1, order, until_ms), orders.Taken)
+    assert len(cluster.oracle.broken) == broken
--- a/standins/emulator/tests/test_sharing.py
+++ b/standins/emulator/tests/test_sharing.py
@@ -7,8 +7,8 @@
 from standins import emulator
 
 _TARGET_MS = 90
-_HARM_S = 4.0
-_WALL = 1_700_000_000.0
+_MAX_HARM_S = 4.0
+_WALL_CLOCK_S = 1_700_000_000.0
 
 
 def _make_job(number, *steps):
@@ -23,7 +23,7 @@
         1.0,
         "text",
         steps,
-        _WALL,
+        _WALL_CLOCK_S,
     )
 
 
@@ -35,53 +35,57 @@
 
 def _is_harmed(worker):
     """Tell whether filling tasks push a serving task over its target."""
-    tails = [worker.measure_tail(task) for task in worker.tasks.values()]
-    works_on = any(
+    tails_ms = [worker.measure_tail(task) for task in worker.tasks.values()]
+    is_filling = any(
         task.pace
         for task in worker.tasks.values()
         if worker.oracle.jobs[task.key.job].steps[task.key.step].fills
     )
-    return works_on and max(tails, default=0.0) > _TARGET_MS
+    return is_filling and max(tails_ms, default=0.0) > _TARGET_MS
 
 
-async def _watch(held, longest):
+async def _track_harm(cluster, longest_harm_s):
     """Track the longest uninterrupted time of harm on each worker."""
-    since = {}
+    harmed_since = {}
     while True:
         now = trio.current_time()
-        for name, worker in held.workers.items():
+        for name, worker in cluster.workers.items():
             if not _is_harmed(worker):
-                since.pop(name, None)
+                harmed_since.pop(name, None)
                 continue
-            since.setdefault(name, now)
-            longest[name] = max(longest.get(name, 0.0), now - since[name])
+            harmed_since.setdefault(name, now)
+            longest_harm_s[name] = max(
+                longest_harm_s.get(name, 0.0), now - harmed_since[name]
+            )
         await trio.sleep(0.05)
 
 
 # Users of a serving task get slow answers while filling tasks on its worker run
 # at full pace; two of them are enough here. An owner that takes over doesn't
 # know the paces and must derive them from the tail latency alone.
-@pytest.mark.parametrize("kill", [False, True])
-async def test_what_fills_harms_nobody_for_long(kill, autojump_clock):
-    held = emulator.Cluster(3)
-    longest = {}
+@pytest.mark.parametrize("kills_owner", [False, True])
+async def test_filling_tasks_harm_serving_tasks_only_briefly(
+    kills_owner, autojump_clock
+):
+    cluster = emulator.Cluster(3)
+    longest_harm_s = {}
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(2.0)
-        await held.submit(_make_job(1, _SERVING))
+        await cluster.submit(_make_job(1, _SERVING))
         await trio.sleep(3.0)
-        nursery.start_soon(_watch, held, longest)
-        await held.submit(_make_job(2, _FILLING))
+        nursery.start_soon(_track_harm, cluster, longest_harm_s)
+        await cluster.submit(_make_job(2, _FILLING))
         await trio.sleep(8.0)
-        if kill:
-            held.kill_entry(held.find_owner())
+        if kills_owner:
+            cluster.kill_entry(cluster.find_owner())
         await trio.sleep(15.0)
         paces = [
             task.pace
-            for worker in held.workers.values()
+            for worker in cluster.workers.values()
             for task in worker.tasks.values()
             if task.key.job.endswith("2")
         ]
         nursery.cancel_scope.cancel()
-    assert longest and max(longest.values()) < _HARM_S
+    assert longest_harm_s and max(longest_harm_s.values()) < _MAX_HARM_S
     assert len(paces) == 12 and sum(paces) > 0
--- a/standins/emulator/tests/test_store.py
+++ b/standins/emulator/tests/test_store.py
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     "wait_s", [0.2, 0.5, 0.985, 0.99, 0.992, 0.994, 0.996, 0.998, 1.0, 1.5]
 )
-async def test_watch_never_passes_over_a_dropped_change(wait_s, autojump_clock):
+async def test_watch_never_skips_a_dropped_change(wait_s, autojump_clock):
     """Watches get no changes for a second, then the history is dropped.
 
     A watch that timed out in the last 4 ms of that second was answered with no
@@ -20,14 +20,14 @@
     store = stores.Store(1)
     view = stores.StoreView(store, "e0")
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(store.forget_history_later)
+        nursery.start_soon(store.compact_after_pause)
         await trio.sleep(0.001)
-        before = store.revision
+        revision_before = store.revision
         store.put("job/1", b"")
-        heard = before
+        known_revision = revision_before
         try:
-            changes = await view.watch("job/", before, wait_s)
-            heard = changes.revision
+            changes = await view.watch("job/", revision_before, wait_s)
+            known_revision = changes.revision
         except port.HistoryGoneError:
             return
-    assert changes.events or heard == before
+    assert changes.events or known_revision == revision_before
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -10,7 +10,7 @@
 
 _OUTAGE_S = 1.5
 # An entry owns the pool 0.2 s after the entries are back.
-_PROMPT_S = 1.0
+_START_LIMIT_S = 1.0
 
 
 def _make_job(number, tasks=1, **changes):
@@ -31,21 +31,21 @@
     return work.Job(f"{number:016x}", steps=(step,), **(fields | changes))
 
 
-async def _lose_all_entries(held, dark_s=_OUTAGE_S):
-    for name in list(held.entries):
-        held.kill_entry(name)
-    await trio.sleep(dark_s)
-    for name in held.names:
-        held.start_entry(name)
+async def _lose_all_entries(cluster, outage_s=_OUTAGE_S):
+    for name in list(cluster.entries):
+        cluster.kill_entry(name)
+    await trio.sleep(outage_s)
+    for name in cluster.names:
+        cluster.start_entry(name)
 
 
-async def _wait_for_owner(held):
-    while held.find_owner() is None:
+async def _wait_for_owner(cluster):
+    while cluster.find_owner() is None:
         await trio.sleep(0.02)
 
 
 @pytest.mark.parametrize(("entries", "workers"), [(4, 6), (97, 270)])
-async def test_jobs_that_nothing_ran_of_start_although_a_worker_is_silent(
+async def test_jobs_without_runs_start_although_a_worker_is_silent(
     entries, workers, autojump_clock
 ):
     """All workers are busy and more jobs wait. All entries lose power;
@@ -54,34 +54,40 @@
     No entry could ask that worker for its runs, so any older job might have run
     there: all waiting jobs waited 8 s for its lease to end while workers idled.
     """
-    held = emulator.Cluster(3, entries=entries, hosts=workers)
-    waiting = [_make_job(1000 + n) for n in range(workers // 2)]
+    cluster = emulator.Cluster(3, entries=entries, hosts=workers)
+    waiting_jobs = [_make_job(1000 + n) for n in range(workers // 2)]
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
-        await held.submit(_make_job(1, workers, expected_s=5.0))
+        await cluster.submit(_make_job(1, workers, expected_s=5.0))
         await trio.sleep(0.5)
-        for job in waiting:
-            assert await held.submit(job) == "accepted"
+        for job in waiting_jobs:
+            assert await cluster.submit(job) == "accepted"
         await trio.sleep(2.5)
-        assert not any(job.id in held.oracle.begun for job in waiting)
-        held.workers["w0"].cut_from = set(held.names)
-        await _lose_all_entries(held)
-        await _wait_for_owner(held)
-        await trio.sleep(_PROMPT_S)
-        begun = [job for job in waiting if job.id in held.oracle.begun]
-        assert len(begun) >= len(waiting) - 1
-        held.workers["w0"].cut_from = set()
+        assert not any(
+            job.id in cluster.oracle.first_started_at for job in waiting_jobs
+        )
+        cluster.workers["w0"].unreachable_from = set(cluster.names)
+        await _lose_all_entries(cluster)
+        await _wait_for_owner(cluster)
+        await trio.sleep(_START_LIMIT_S)
+        started = [
+            job
+            for job in waiting_jobs
+            if job.id in cluster.oracle.first_started_at
+        ]
+        assert len(started) >= len(waiting_jobs) - 1
+        cluster.workers["w0"].unreachable_from = set()
         await trio.sleep(15.0)
-        held.oracle.check_over(await held.read_states())
+        cluster.oracle.check_over(await cluster.read_states())
         nursery.cancel_scope.cancel()
-    assert held.oracle.broken == []
-    assert held.list_failures() == []
+    assert cluster.oracle.broken == []
+    assert cluster.list_owner_failures() == []
 
 
-@pytest.mark.parametrize("ran_s", [0.0, 0.02, 0.1, 0.5, 1.0])
+@pytest.mark.parametrize("run_s", [0.0, 0.02, 0.1, 0.5, 1.0])
 async def test_parked_job_that_was_started_is_not_started_again(
-    ran_s, autojump_clock
+    run_s, autojump_clock
 ):
     """A waiting job is recorded as parked: none of its tasks runs. It is
     started on a worker; then the owner dies, and that worker is cut off.
@@ -89,61 +95,61 @@
     A successor that still found the job in the record would start it on another
     worker, while the first run goes on unseen.
     """
-    held = emulator.Cluster(3, hosts=2)
-    filler = _make_job(1, 2, expected_s=3.5)
-    waiting = _make_job(2, expected_s=6.0)
+    cluster = emulator.Cluster(3, hosts=2)
+    running_job = _make_job(1, 2, expected_s=3.5)
+    waiting_job = _make_job(2, expected_s=6.0)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
-        await held.submit(filler)
+        await cluster.submit(running_job)
         await trio.sleep(0.3)
-        await held.submit(waiting)
+        await cluster.submit(waiting_job)
         await trio.sleep(2.5)
-        assert waiting.id not in held.oracle.begun
+        assert waiting_job.id not in cluster.oracle.first_started_at
         with trio.fail_after(5.0):
-            while waiting.id not in held.oracle.begun:
+            while waiting_job.id not in cluster.oracle.first_started_at:
                 await trio.sleep(0.005)
-        await trio.sleep(ran_s)
-        for worker in held.workers.values():
+        await trio.sleep(run_s)
+        for worker in cluster.workers.values():
             if worker.tasks:
-                worker.cut_from = set(held.names)
-        await _lose_all_entries(held)
+                worker.unreachable_from = set(cluster.names)
+        await _lose_all_entries(cluster)
         await trio.sleep(12.0)
-        for worker in held.workers.values():
-            worker.cut_from = set()
+        for worker in cluster.workers.values():
+            worker.unreachable_from = set()
         await trio.sleep(15.0)
-        held.oracle.check_over(await held.read_states())
+        cluster.oracle.check_over(await cluster.read_states())
         nursery.cancel_scope.cancel()
-    assert held.oracle.broken == []
+    assert cluster.oracle.broken == []
 
 
-async def test_start_that_the_record_holds_up_is_planned_anew(autojump_clock):
+async def test_start_blocked_by_a_lost_record_is_planned_again(autojump_clock):
     """The store loses the answers to the owner as a parked job is due to start.
 
     Its start was never sent, so its room must not stay reserved, and it must
     run once the store answers again.
     """
-    held = emulator.Cluster(3, hosts=1)
-    filler, waiting = _make_job(1, expected_s=3.5), _make_job(2)
+    cluster = emulator.Cluster(3, hosts=1)
+    running_job, waiting_job = _make_job(1, expected_s=3.5), _make_job(2)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
-        await held.submit(filler)
+        await cluster.submit(running_job)
         await trio.sleep(0.3)
-        await held.submit(waiting)
+        await cluster.submit(waiting_job)
         await trio.sleep(2.5)
-        owner = held.find_owner()
-        held.store.turned_away[owner] = stores.StoreFault.SILENT
+        owner = cluster.find_owner()
+        cluster.store.turned_away[owner] = stores.StoreFault.SILENT
         await trio.sleep(1.5)
-        held.store.turned_away.clear()
+        cluster.store.turned_away.clear()
         await trio.sleep(10.0)
-        held.oracle.check_over(await held.read_states())
+        cluster.oracle.check_over(await cluster.read_states())
         nursery.cancel_scope.cancel()
-    assert held.oracle.broken == []
-    assert held.oracle.done.keys() >= {work.TaskKey(waiting.id, 0, 0, 0)}
+    assert cluster.oracle.broken == []
+    assert cluster.oracle.done.keys() >= {work.TaskKey(waiting_job.id, 0, 0, 0)}
 
 
-async def test_workers_that_left_empty_hold_nothing_back(autojump_clock):
+async def test_drained_idle_workers_delay_no_jobs(autojump_clock):
     """Two workers drain, end their tasks, and are gone while all entries are
     without power. The platform lists them for some seconds more.
 
@@ -151,33 +157,35 @@
     that they might run any job. It started no older job until their leases had
     ended, for 8 s, while other workers idled.
     """
-    held = emulator.Cluster(3)
-    filler = _make_job(1, len(held.workers) - 2, expected_s=3.0)
-    waiting = [_make_job(10 + number) for number in range(4)]
+    cluster = emulator.Cluster(3)
+    running_job = _make_job(1, len(cluster.workers) - 2, expected_s=3.0)
+    waiting_jobs = [_make_job(10 + number) for number in range(4)]
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
-        await held.submit(_make_job(2, 2, expected_s=1.0))
+        await cluster.submit(_make_job(2, 2, expected_s=1.0))
         await trio.sleep(0.5)
-        leaving = [n for n, worker in held.workers.items() if worker.tasks]
-        assert len(leaving) == 2
-        for name in leaving:
-            held.drain_worker(name)
+        draining = [n for n, worker in cluster.workers.items() if worker.tasks]
+        assert len(draining) == 2
+        for name in draining:
+            cluster.drain_worker(name)
         await trio.sleep(1.5)
-        await held.submit(filler)
-        for job in waiting:
-            assert await held.submit(job) == "accepted"
+        await cluster.submit(running_job)
+        for job in waiting_jobs:
+            assert await cluster.submit(job) == "accepted"
         # The jobs were just accepted and are not in the record of parked jobs.
         await trio.sleep(0.2)
-        for name in leaving:
-            held.workers[name].crash()
-        await _lose_all_entries(held)
-        await _wait_for_owner(held)
+        for name in draining:
+            cluster.workers[name].crash()
+        await _lose_all_entries(cluster)
+        await _wait_for_owner(cluster)
         await trio.sleep(3.0)
-        assert all(job.id in held.oracle.begun for job in waiting)
+        assert all(
+            job.id in cluster.oracle.first_started_at for job in waiting_jobs
+        )
         nursery.cancel_scope.cancel()
-    assert held.oracle.broken == []
-    assert held.list_failures() == []
+    assert cluster.oracle.broken == []
+    assert cluster.list_owner_failures() == []
 
 
 async def test_owner_that_restarts_does_not_wait_for_its_own_lease(
@@ -188,23 +196,23 @@
     When the store answers again, the former owner's key still has up to 1.8 s
     to live. Jobs accepted in that time had to wait until it expired.
     """
-    held = emulator.Cluster(3)
-    held.store.lapses = False
+    cluster = emulator.Cluster(3)
+    cluster.store.lapses = False
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
-        before = held.find_owner()
-        held.store.fault = stores.StoreFault.BUSY
+        owner_before = cluster.find_owner()
+        cluster.store.fault = stores.StoreFault.BUSY
         await trio.sleep(1.0)
-        await _lose_all_entries(held)
+        await _lose_all_entries(cluster)
         await trio.sleep(2.0)
-        assert held.find_owner() is None
-        held.store.fault = stores.StoreFault.NONE
+        assert cluster.find_owner() is None
+        cluster.store.fault = stores.StoreFault.NONE
         with trio.fail_after(1.2):
-            await _wait_for_owner(held)
-        assert held.find_owner() == before
-        assert await held.submit(_make_job(1)) == "accepted"
+            await _wait_for_owner(cluster)
+        assert cluster.find_owner() == owner_before
+        assert await cluster.submit(_make_job(1)) == "accepted"
         await trio.sleep(15.0)
-        held.oracle.check_over(await held.read_states())
+        cluster.oracle.check_over(await cluster.read_states())
         nursery.cancel_scope.cancel()
-    assert held.oracle.broken == []
+    assert cluster.oracle.broken == []
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -14,8 +14,8 @@
 from standins.emulator import cluster as clusters
 from standins.emulator import faults
 
-_SETTLED_S = 6.0
-_LEAVING = "w1"
+_SETTLE_S = 6.0
+_DRAINING_WORKER = "w1"
 
 
 def _make_wide_job(job_id, tasks=36):
@@ -36,20 +36,24 @@
     )
 
 
-def _count_begun(held):
-    return {name: worker.begun for name, worker in held.workers.items()}
+def _count_starts(cluster):
+    return {
+        name: worker.started_runs for name, worker in cluster.workers.items()
+    }
 
 
-def _check_where_begun(held, before):
+def _check_used_workers(cluster, starts_before):
     """Check that all workers but the draining one got tasks."""
-    assert held.list_failures() == []
-    assert held.oracle.broken == []
-    begun = _count_begun(held)
-    used = {name for name in before if begun[name] > before[name]}
-    assert used == set(held.workers) - {_LEAVING}
+    assert cluster.list_owner_failures() == []
+    assert cluster.oracle.broken == []
+    starts = _count_starts(cluster)
+    used_workers = {
+        name for name in starts_before if starts[name] > starts_before[name]
+    }
+    assert used_workers == set(cluster.workers) - {_DRAINING_WORKER}
 
 
-async def test_worker_that_leaves_after_a_silent_outage(autojump_clock):
+async def test_worker_that_drains_after_a_silent_outage(autojump_clock):
     """The store accepted calls and answered none for 4.6 s.
 
     The answer to the owner's watch of the workers was lost on an open
@@ -61,32 +65,32 @@
     `worker:state` (draining since 24.1) at 34.97, `job:seen` 26 times from
     22.82 to 34.74.
     """
-    held = emulator.Cluster(5)
-    held.store.lapses = False
-    held.store.spares_quiet_watches = True
+    cluster = emulator.Cluster(5)
+    cluster.store.lapses = False
+    cluster.store.spares_quiet_watches = True
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
-        await trio.sleep(_SETTLED_S)
-        async with trio.open_nursery() as striking:
-            silence = faults.Event(0.0, emulator.Fault.STORE_SILENT, 4.6)
-            striking.start_soon(faults.strike, held, silence)
+        await nursery.start(cluster.run)
+        await trio.sleep(_SETTLE_S)
+        async with trio.open_nursery() as fault_nursery:
+            silence = faults.FaultEvent(0.0, emulator.Fault.STORE_SILENT, 4.6)
+            fault_nursery.start_soon(faults.inject_fault, cluster, silence)
             await trio.sleep(2.3)
-            held.list_worker("w2")
+            cluster.list_worker("w2")
         await trio.sleep(1.5)
-        held.drain_worker(_LEAVING)
+        cluster.drain_worker(_DRAINING_WORKER)
         await trio.sleep(4.5)
-        before = _count_begun(held)
-        assert await held.submit(_make_wide_job("00000000000000aa")) == (
+        starts_before = _count_starts(cluster)
+        assert await cluster.submit(_make_wide_job("00000000000000aa")) == (
             "accepted"
         )
         await trio.sleep(1.0)
         nursery.cancel_scope.cancel()
-    _check_where_begun(held, before)
+    _check_used_workers(cluster, starts_before)
 
 
-@pytest.mark.parametrize("for_s", [2.0, 5.0, 9.0])
-async def test_owner_whose_watch_of_workers_alone_is_refused(
-    for_s, autojump_clock
+@pytest.mark.parametrize("duration_s", [2.0, 5.0, 9.0])
+async def test_owner_whose_watch_of_workers_is_rejected(
+    duration_s, autojump_clock
 ):
     """The store rejects the owner's watches of the workers, as it does beyond
     its rate limit, but serves lease renewals and the watch of jobs. A worker
@@ -96,40 +100,40 @@
     the last list. Once the watch is served again, the job must start on all
     other workers.
     """
-    held = emulator.Cluster(5)
+    cluster = emulator.Cluster(5)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
-        await trio.sleep(_SETTLED_S)
-        held.store.refused_watches.add(clusters.WORKERS)
+        await nursery.start(cluster.run)
+        await trio.sleep(_SETTLE_S)
+        cluster.store.refused_watches.add(clusters.WORKERS)
         await trio.sleep(1.5)
-        held.drain_worker(_LEAVING)
-        await trio.sleep(for_s)
-        before = _count_begun(held)
-        await held.submit(_make_wide_job("00000000000000aa"))
+        cluster.drain_worker(_DRAINING_WORKER)
+        await trio.sleep(duration_s)
+        starts_before = _count_starts(cluster)
+        await cluster.submit(_make_wide_job("00000000000000aa"))
         await trio.sleep(1.0)
-        held.store.refused_watches.clear()
+        cluster.store.refused_watches.clear()
         await trio.sleep(1.5)
         nursery.cancel_scope.cancel()
-    _check_where_begun(held, before)
+    _check_used_workers(cluster, starts_before)
 
 
-async def test_owner_whose_watch_of_jobs_alone_is_refused(autojump_clock):
+async def test_owner_whose_watch_of_jobs_is_rejected(autojump_clock):
     """The store rejects only the owner's watches of jobs. A caller cancels a
     job and gets a confirmation, but the owner doesn't hear of it: whenever a
     task of the job ended, it started the next one.
     """
-    held = emulator.Cluster(5)
+    cluster = emulator.Cluster(5)
     job = _make_wide_job("00000000000000aa", tasks=240)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
-        await trio.sleep(_SETTLED_S)
-        assert await held.submit(job) == "accepted"
+        await nursery.start(cluster.run)
+        await trio.sleep(_SETTLE_S)
+        assert await cluster.submit(job) == "accepted"
         await trio.sleep(1.0)
-        held.store.refused_watches.add(keys.JOBS)
+        cluster.store.refused_watches.add(keys.JOBS)
         await trio.sleep(1.0)  # The open watch ends.
-        await held.cancel(job.id)
-        assert job.id in held.oracle.cancelled
+        await cluster.cancel(job.id)
+        assert job.id in cluster.oracle.cancelled
         await trio.sleep(6.0)
         nursery.cancel_scope.cancel()
-    assert held.list_failures() == []
-    assert held.oracle.broken == []
+    assert cluster.list_owner_failures() == []
+    assert cluster.oracle.broken == []
--- a/standins/emulator/tests/test_upkeep.py
+++ b/standins/emulator/tests/test_upkeep.py
@@ -9,7 +9,7 @@
 from standins.emulator import vms as vm_control
 
 _STATUS = "status/wave/1"
-_LIMIT_S = 90.0
+_WAVE_LIMIT_S = 90.0
 
 
 def _make_lasting(count, may_miss):
@@ -31,67 +31,69 @@
     )
 
 
-def _is_completed(held):
-    found = held.store.items.get(_STATUS)
-    return found is not None and found.value == b"completed"
+def _is_completed(cluster):
+    record = cluster.store.items.get(_STATUS)
+    return record is not None and record.value == b"completed"
 
 
-async def _play(held, strike, job=None):
+async def _play(cluster, disturb, job=None):
     """Order a wave of four VMs, two at once, and wait until it is over."""
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(2.0)
         if job is not None:
-            assert await held.submit(job) == "accepted"
+            assert await cluster.submit(job) == "accepted"
         await trio.sleep(6.0)
         wave = vms.Wave(1, frozenset({"w0", "w1", "w2", "w3"}), 20.0, 2)
-        held.vms.most_at_once = wave.most_at_once
-        held.store.put(f"{vm_control.WAVES}1", vm_control.dump_wave(wave))
-        nursery.start_soon(strike, held)
-        with trio.move_on_after(_LIMIT_S):
-            while not _is_completed(held):
+        cluster.vms.most_at_once = wave.most_at_once
+        cluster.store.put(
+            f"{vm_control.WAVES_PREFIX}1", vm_control.dump_wave(wave)
+        )
+        nursery.start_soon(disturb, cluster)
+        with trio.move_on_after(_WAVE_LIMIT_S):
+            while not _is_completed(cluster):
                 await trio.sleep(0.25)
         nursery.cancel_scope.cancel()
 
 
-async def _do_nothing(held):
+async def _do_nothing(cluster):
     pass
 
 
-async def _kill_holder(held):
+async def _kill_holder(cluster):
     await trio.sleep(1.2)
     for _ in range(2):
-        owner = held.find_owner()
+        owner = cluster.find_owner()
         if owner is not None:
-            held.kill_entry(owner)
+            cluster.kill_entry(owner)
         await trio.sleep(5.0)
         if owner is not None:
-            held.start_entry(owner)
+            cluster.start_entry(owner)
 
 
-async def _lose_answers(held):
-    held.vms.lost_share = 0.5
+async def _lose_answers(cluster):
+    cluster.vms.lost_answer_share = 0.5
 
 
 # Operators see the wave reported as completed while a VM has not had its
 # upkeep, or more VMs down at once than they allowed. The holder is killed
 # between an order and its record, or an order is carried out but its answer is
 # lost.
-@pytest.mark.parametrize("strike", [_do_nothing, _kill_holder, _lose_answers])
-async def test_wave_ends_whole_and_within_its_limit(strike, autojump_clock):
-    held = emulator.Cluster(5)
-    await _play(held, strike)
-    assert held.oracle.broken == []
-    assert _is_completed(held)
-    assert held.vms.served == {"w0", "w1", "w2", "w3"}
+@pytest.mark.parametrize("disturb", [_do_nothing, _kill_holder, _lose_answers])
+async def test_wave_ends_whole_and_within_its_limit(disturb, autojump_clock):
+    cluster = emulator.Cluster(5)
+    await _play(cluster, disturb)
+    assert cluster.oracle.broken == []
+    assert _is_completed(cluster)
+    assert cluster.vms.upkeep_begun == {"w0", "w1", "w2", "w3"}
 
 
 # Users of a lasting task lose it: its VM goes down while too many other tasks
 # of the step are down. Tasks must move one by one, each only after the one
 # before is at work again.
-@pytest.mark.parametrize("strike", [_do_nothing, _kill_holder])
-async def test_wave_keeps_tasks_that_last_at_work(strike, autojump_clock):
-    held = emulator.Cluster(6)
-    await _play(held, strike, _make_lasting(6, 1))
-    assert held.oracle.broken == []
-    assert held.vms.served == {"w0", "w1", "w2", "w3"}
+@pytest.mark.parametrize("disturb", [_do_nothing, _kill_holder])
+async def test_wave_keeps_tasks_that_last_at_work(disturb, autojump_clock):
+    cluster = emulator.Cluster(6)
+    await _play(cluster, disturb, _make_lasting(6, 1))
+    assert cluster.oracle.broken == []
+    assert cluster.vms.upkeep_begun == {"w0", "w1", "w2", "w3"}
--- a/standins/emulator/vms.py
+++ b/standins/emulator/vms.py
@@ -18,13 +18,13 @@
 # Rules that are checked on the orders of upkeep.
 RULES = frozenset({rules.Rule.AVAIL, rules.Rule.LIMIT_WAVES, rules.Rule.ONE})
 
-WAVES = "op/wave/"
-_STATUS = "status/wave/"
-_UPKEEP_S = 2.0
-_ANSWER_S = 0.005
+WAVES_PREFIX = "op/wave/"
+_STATUS_PREFIX = "status/wave/"
+_UPKEEP_DURATION_S = 2.0
+_ANSWER_DELAY_S = 0.005
 
 
-class Host(Protocol):
+class ClusterPort(Protocol):
     """The part of the cluster that the VM control uses."""
 
     workers: dict[str, workers.Worker]
@@ -54,117 +54,125 @@
 
 def build_status(wave: int, is_over: bool) -> tuple[str, bytes]:
     """Return the key and the value that report a wave's status to operators."""
-    return f"{_STATUS}{wave}", b"completed" if is_over else b"running"
+    return f"{_STATUS_PREFIX}{wave}", b"completed" if is_over else b"running"
 
 
-class Vms:
+class VmControl:
     """All VMs, with checks of the rules on waves.
 
     Attributes:
         most_at_once: How many VMs may be down at once.
-        served: Names of the VMs whose upkeep has begun.
-        lost_share: Every second answer is lost if this is above 0.
+        upkeep_begun: Names of the VMs whose upkeep has begun.
+        lost_answer_share: Every second answer is lost if this is above 0.
     """
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, cluster: ClusterPort) -> None:
         self.most_at_once = 1
-        self.served: set[str] = set()
-        self.lost_share = 0.0
-        self._host = host
-        self._down: set[str] = set()
-        self._highest: dict[str, int] = {}
+        self.upkeep_begun: set[str] = set()
+        self.lost_answer_share = 0.0
+        self._cluster = cluster
+        self._vms_down: set[str] = set()
+        self._highest_epochs: dict[str, int] = {}
         self._holders: dict[tuple[str, int], str] = {}
-        self._lost = 0
+        self._answers_counted = 0
 
     def list_all(self) -> tuple[vms.Vm, ...]:
         """Return all VMs with their states."""
-        found = {}
-        for name, worker in self._host.workers.items():
+        vms_by_name = {}
+        for name, worker in self._cluster.workers.items():
             vm = name.partition("+")[0]
             if worker.alive:
                 state = vms.VmState.UP
-                found[vm] = vms.Vm(vm, worker.entry.pool, state, name)
+                vms_by_name[vm] = vms.Vm(vm, worker.entry.pool, state, name)
             else:
-                found.setdefault(
+                vms_by_name.setdefault(
                     vm,
                     vms.Vm(vm, worker.entry.pool, vms.VmState.UPKEEP, ""),
                 )
-        return tuple(found.values())
+        return tuple(vms_by_name.values())
 
     def begin(self, holder: str, epoch: int, vm: str) -> vms.Upkeep:
         """Begin the upkeep of a VM, once for each wave, and check the order."""
-        other = self._holders.setdefault((vm, epoch), holder)
-        if other != holder:
-            self._note(
-                f"one: {vm} ordered by {other} and {holder} in epoch {epoch}"
+        first_holder = self._holders.setdefault((vm, epoch), holder)
+        if first_holder != holder:
+            self._report(
+                f"one: {vm} ordered by {first_holder} and {holder} "
+                f"in epoch {epoch}"
             )
-        if epoch < self._highest.get(vm, 0):
-            self._note(
+        if epoch < self._highest_epochs.get(vm, 0):
+            self._report(
                 f"one: {vm} ordered in epoch {epoch} after a later epoch"
             )
-        self._highest[vm] = max(epoch, self._highest.get(vm, 0))
-        if vm in self.served:
+        self._highest_epochs[vm] = max(epoch, self._highest_epochs.get(vm, 0))
+        if vm in self.upkeep_begun:
             return vms.Upkeep.DONE
-        held = next((row for row in self.list_all() if row.name == vm), None)
-        if held is None or held.state is not vms.VmState.UP:
+        vm_row = next(
+            (
+                candidate
+                for candidate in self.list_all()
+                if candidate.name == vm
+            ),
+            None,
+        )
+        if vm_row is None or vm_row.state is not vms.VmState.UP:
             return vms.Upkeep.BUSY
-        if len(self._down) >= self.most_at_once:
-            self._note(
-                f"limit: {vm} goes down while {sorted(self._down)} are down"
+        if len(self._vms_down) >= self.most_at_once:
+            self._report(
+                f"limit: {vm} goes down while {sorted(self._vms_down)} are down"
             )
-        self._check_away(held.worker)
-        self.served.add(vm)
-        self._down.add(vm)
-        trio.lowlevel.spawn_system_task(self._serve, held)
+        self._check_absence(vm_row.worker)
+        self.upkeep_begun.add(vm)
+        self._vms_down.add(vm)
+        trio.lowlevel.spawn_system_task(self._run_upkeep, vm_row)
         return vms.Upkeep.DONE
 
-    def must_lose(self) -> bool:
+    def should_lose_answer(self) -> bool:
         """Tell whether to lose this answer: every second one, if any."""
-        self._lost += 1
-        return self.lost_share > 0 and self._lost % 2 == 1
+        self._answers_counted += 1
+        return self.lost_answer_share > 0 and self._answers_counted % 2 == 1
 
-    async def _serve(self, vm: vms.Vm) -> None:
-        worker = self._host.workers[vm.worker]
+    async def _run_upkeep(self, vm: vms.Vm) -> None:
+        worker = self._cluster.workers[vm.worker]
         rack = next(label for label in worker.entry.labels if "-" in label)
-        self._host.crash_worker(vm.worker)
-        await trio.sleep(_UPKEEP_S)
-        self._down.discard(vm.name)
-        life = trio.current_time()
-        self._host.add_worker(f"{vm.name}+{life:.0f}", rack)
+        self._cluster.crash_worker(vm.worker)
+        await trio.sleep(_UPKEEP_DURATION_S)
+        self._vms_down.discard(vm.name)
+        restarted_at = trio.current_time()
+        self._cluster.add_worker(f"{vm.name}+{restarted_at:.0f}", rack)
 
-    def _check_away(self, worker: str) -> None:
+    def _check_absence(self, worker: str) -> None:
         """Report running tasks on a worker whose step limits absences."""
-        for key in self._host.workers[worker].tasks:
-            step = self._host.oracle.jobs[key.job].steps[key.step]
+        for key in self._cluster.workers[worker].tasks:
+            step = self._cluster.oracle.jobs[key.job].steps[key.step]
             if step.may_miss:
-                self._note(f"avail: {key} still at work on {worker}")
+                self._report(f"avail: {key} still at work on {worker}")
 
-    def _note(self, line: str) -> None:
+    def _report(self, line: str) -> None:
         now = trio.current_time()
-        self._host.oracle.broken.append(f"{now:.3f} {line}")
+        self._cluster.oracle.broken.append(f"{now:.3f} {line}")
 
 
-class VmsView:
+class VmControlView:
     """The VM control as one entry calls it; implements `VmPort`."""
 
-    def __init__(self, vms: Vms, entry: str) -> None:
-        self._vms = vms
+    def __init__(self, control: VmControl, entry: str) -> None:
+        self._control = control
         self._entry = entry
 
     async def list_vms(self) -> tuple[vms.Vm, ...] | orders.Silent:
         """Return all VMs with their states."""
-        await trio.sleep(_ANSWER_S)
-        return self._vms.list_all()
+        await trio.sleep(_ANSWER_DELAY_S)
+        return self._control.list_all()
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
     ) -> vms.Upkeep | orders.Silent:
         """Begin the upkeep of a VM; the answer may be lost."""
-        await trio.sleep(_ANSWER_S)
-        answer = self._vms.begin(holder, epoch, vm)
-        if self._vms.must_lose():
+        await trio.sleep(_ANSWER_DELAY_S)
+        outcome = self._control.begin(holder, epoch, vm)
+        if self._control.should_lose_answer():
             return orders.Silent("lost")
-        return answer
+        return outcome
 
     async def aclose(self) -> None:
         """Do nothing: there is no connection to close."""
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -11,61 +11,61 @@
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
 
-_STOP_S = 0.15
-_ORDER_S = 0.001
-_HOLD_MAX_MS = 10_000
-_SLOWEST = 0.98
+_STOP_DELAY_S = 0.15
+_ORDER_DELAY_S = 0.001
+_MAX_LEASE_MS = 10_000
+_SLOWEST_CLOCK_RATE = 0.98
 # A lasting task reports that it is at work after this time.
 _STARTUP_S = 0.4
 # Tail latency of a serving task alone, and what each filling task adds to it.
-_TAIL_MS = 40.0
-_DISTURBANCE_MS = 60.0
+_BASE_TAIL_MS = 40.0
+_TAIL_PER_FILLING_TASK_MS = 60.0
 # The payload of a job whose tasks crash each worker that starts them, how long
 # that takes, and the share of such starts that crash before they are answered.
 CRASHING = "crash"
-_CRASH_S = 0.01
+_CRASH_DELAY_S = 0.01
 _UNANSWERED_SHARE = 0.3
 # An owner can't know at once that a worker's room has shrunk: until this time
 # has passed, starts that fit the larger room are allowed.
-_SHRUNK_AFTER_S = 4.5
+_ROOM_NOTICE_S = 4.5
 # A crashed worker stays listed until it has missed three heartbeats of 1.5 s.
-_UNNOTICED_S = 4.5
+_DELISTING_DELAY_S = 4.5
 # The reading of a new process's clock when it starts.
-_FIRST_CLOCK_MS = 1.0
-_UNIX_MS = 1_700_000_000_000
+_NEW_CLOCK_MS = 1.0
+_UNIX_START_MS = 1_700_000_000_000
 # Smoothing of the tail latency: it covers about the last half second, in steps
 # of 20 ms.
-_TAIL_SHARE = 0.08
+_TAIL_SMOOTHING = 0.08
 
 
 @dataclasses.dataclass
-class Task:
+class TaskRun:
     """One run of a task on a worker.
 
     Attributes:
         key: The task.
         run: Number of the run.
-        began_at: When the worker started it.
-        works_from: When it began to work; None while a member of a gang waits
-            for the others.
+        started_at: When the worker started it.
+        working_since: When it began to work; None while a member of a gang
+            waits for the others.
         ends_at: When it ends by itself; None for a lasting task.
         stops_at: When it ends because of a stop order; None without one.
-        how: How it ends by itself.
+        end_kind: How it ends by itself.
         lasting: Whether it runs until it is stopped.
         pace: Its speed in percent, as the owner ordered.
-        crashes: Whether its end crashes the worker.
+        crashes_worker: Whether its end crashes the worker.
     """
 
     key: work.TaskKey
     run: int
-    began_at: float
-    works_from: float | None
+    started_at: float
+    working_since: float | None
     ends_at: float | None
     stops_at: float | None = None
-    how: orders.How = orders.How.DONE
+    end_kind: orders.How = orders.How.DONE
     lasting: bool = False
     pace: int = 100
-    crashes: bool = False
+    crashes_worker: bool = False
 
 
 class Gangs:
@@ -76,11 +76,11 @@
 
     def add(self, key: work.TaskKey, run: int, worker: "Worker") -> int:
         """Add a started member and return how many there are."""
-        held = self.present.setdefault((work.StepKey(*key[:3]), run), [])
-        held.append(worker)
-        return len(held)
+        members = self.present.setdefault((work.StepKey(*key[:3]), run), [])
+        members.append(worker)
+        return len(members)
 
-    def list(self, key: work.TaskKey, run: int) -> list["Worker"]:
+    def list_workers(self, key: work.TaskKey, run: int) -> list["Worker"]:
         """Return the workers on which members of a run have started."""
         return self.present.get((work.StepKey(*key[:3]), run), [])
 
@@ -103,104 +103,115 @@
         self.gangs = gangs
         self.random = random.Random(seed)
         self.guards = True
-        self._rooms: list[tuple[float, work.Room]] = []
+        self._past_rooms: list[tuple[float, work.Room]] = []
         self.alive = True
         self._crashed_at = 0.0
-        self.reborn = False
+        self.superseded = False
         self.refuses = False
         self.crashed_by_task = False
-        self.missed_starts = 0
-        self.begun = 0
+        self.misdirected_starts = 0
+        self.started_runs = 0
         self.drains_since: float | None = None
         self.started_draining: list[tuple[work.TaskKey, float]] = []
         self.fails_all = False
         # Speed of all tasks here, as a share of the usual speed.
         self.speed = 1.0
-        self._stepped_at: float | None = None
-        self.cut_from: set[str] = set()
-        self.late_share = 0.0
-        self.fence = 0
-        self.until_ms = 0.0
-        self.tasks: dict[work.TaskKey, Task] = {}
+        self._last_step_at: float | None = None
+        self.unreachable_from: set[str] = set()
+        self.late_start_share = 0.0
+        self.highest_epoch = 0
+        self.lease_end_ms = 0.0
+        self.tasks: dict[work.TaskKey, TaskRun] = {}
         self.ended: list[orders.Ended] = []
-        self.highest: dict[work.TaskKey, int] = {}
-        self.numbers = 0
-        self.noted = 0
-        self.offset_ms = self.random.uniform(1e5, 1e6)
-        self.rate = self.random.uniform(_SLOWEST, 1.0)
-        self.born_ms = _UNIX_MS
-        self._tail_ms = _TAIL_MS
-        self._news = trio.Event()
+        self.highest_runs: dict[work.TaskKey, int] = {}
+        self.last_end_number = 0
+        self.confirmed_number = 0
+        self.clock_offset_ms = self.random.uniform(1e5, 1e6)
+        self.clock_rate = self.random.uniform(_SLOWEST_CLOCK_RATE, 1.0)
+        self.born_ms = _UNIX_START_MS
+        self._tail_ms = _BASE_TAIL_MS
+        self._end_listed = trio.Event()
 
     def read_clock(self) -> float:
         """Return the milliseconds of this worker's own clock."""
-        return self.offset_ms + trio.current_time() * 1000 * self.rate
+        return (
+            self.clock_offset_ms + trio.current_time() * 1000 * self.clock_rate
+        )
 
     def start_anew(self, now: float) -> None:
         """Reset the birth time and the clock to those of a new process."""
-        self.born_ms = _UNIX_MS + int(now * 1000)
-        self.offset_ms = _FIRST_CLOCK_MS - now * 1000 * self.rate
+        self.born_ms = _UNIX_START_MS + int(now * 1000)
+        self.clock_offset_ms = _NEW_CLOCK_MS - now * 1000 * self.clock_rate
 
     def step(self, now: float) -> None:
         """End the runs that are over, stopped, or without a lease."""
         if not self.alive:
             return
-        self._hold_back(now)
-        self._follow_tail()
-        lapsed = self.read_clock() > self.until_ms
+        self._slow_down_tasks(now)
+        self._update_tail()
+        lapsed = self.read_clock() > self.lease_end_ms
         if lapsed:
             # The owner could only wait for the end of the lease. It may not
             # know of ends that it hasn't confirmed, so it may run those tasks
             # again.
-            self._allow_again()
-        for task in list(self.tasks.values()):
+            self._allow_reruns()
+        for task_run in list(self.tasks.values()):
             if lapsed:
-                self._end(task, orders.How.LAPSED, now)
-            elif task.stops_at is not None and now >= task.stops_at:
-                self._end(task, orders.How.STOPPED, now)
-            elif task.works_from is None:
-                if now > task.began_at + oracles.GANG_S:
-                    self._end(task, orders.How.ALONE, now)
-            elif task.ends_at is not None and now >= task.ends_at:
-                if task.crashes:
-                    self._crash_under(task, now)
+                self._end_run(task_run, orders.How.LAPSED, now)
+            elif task_run.stops_at is not None and now >= task_run.stops_at:
+                self._end_run(task_run, orders.How.STOPPED, now)
+            elif task_run.working_since is None:
+                if now > task_run.started_at + oracles.GANG_WAIT_S:
+                    self._end_run(task_run, orders.How.ALONE, now)
+            elif task_run.ends_at is not None and now >= task_run.ends_at:
+                if task_run.crashes_worker:
+                    self._crash_because_of(task_run, now)
                     return
-                self._end(task, task.how, now)
+                self._end_run(task_run, task_run.end_kind, now)
 
-    def _hold_back(self, now: float) -> None:
+    def _slow_down_tasks(self, now: float) -> None:
         """Postpone the ends of all tasks by the time that slowness cost."""
-        since = self._stepped_at if self._stepped_at is not None else now
-        lost_s = (now - since) * (1.0 - self.speed)
-        self._stepped_at = now
-        for task in self.tasks.values():
-            if task.works_from is not None:
-                task.works_from += lost_s
-            if task.ends_at is not None:
-                task.ends_at += lost_s
-
-    def _end(self, task: Task, how: orders.How, now: float) -> None:
-        if self.tasks.get(task.key) is not task:
+        last_step_at = (
+            self._last_step_at if self._last_step_at is not None else now
+        )
+        delay_s = (now - last_step_at) * (1.0 - self.speed)
+        self._last_step_at = now
+        for task_run in self.tasks.values():
+            if task_run.working_since is not None:
+                task_run.working_since += delay_s
+            if task_run.ends_at is not None:
+                task_run.ends_at += delay_s
+
+    def _end_run(self, task_run: TaskRun, how: orders.How, now: float) -> None:
+        if self.tasks.get(task_run.key) is not task_run:
             return
-        del self.tasks[task.key]
-        self.numbers += 1
-        self.highest[task.key] = task.run
+        del self.tasks[task_run.key]
+        self.last_end_number += 1
+        self.highest_runs[task_run.key] = task_run.run
         self.ended.append(
-            orders.Ended(self.numbers, task.key, task.run, how, "")
+            orders.Ended(
+                self.last_end_number, task_run.key, task_run.run, how, ""
+            )
         )
-        self.oracle.note_end(self.entry.id, task.key, task.run, how, now)
-        self._news.set()
-        self._news = trio.Event()
-        step = self.oracle.jobs[task.key.job].steps[task.key.step]
+        self.oracle.note_end(
+            self.entry.id, task_run.key, task_run.run, how, now
+        )
+        self._end_listed.set()
+        self._end_listed = trio.Event()
+        step = self.oracle.jobs[task_run.key.job].steps[task_run.key.step]
         if step.gang and how is not orders.How.DONE:
-            self._break_gang(task, now)
+            self._break_gang(task_run, now)
 
-    def _break_gang(self, task: Task, now: float) -> None:
-        for worker in self.gangs.list(task.key, task.run):
+    def _break_gang(self, task_run: TaskRun, now: float) -> None:
+        for worker in self.gangs.list_workers(task_run.key, task_run.run):
             for other in list(worker.tasks.values()):
-                if other.run == task.run and other.key[:3] == task.key[:3]:
-                    worker._end(other, orders.How.BROKEN, now)
+                if (
+                    other.run == task_run.run
+                    and other.key[:3] == task_run.key[:3]
+                ):
+                    worker._end_run(other, orders.How.BROKEN, now)
 
-    def crash_unanswered(self, key: work.TaskKey) -> bool:
+    def crash_before_answer(self, key: work.TaskKey) -> bool:
         """Crash before the start of a task is answered, at random.
 
         Args:
@@ -209,54 +220,60 @@
         Returns:
             Whether the worker has crashed.
         """
-        task = self.tasks.get(key)
-        if task is None or not task.crashes:
+        task_run = self.tasks.get(key)
+        if task_run is None or not task_run.crashes_worker:
             return False
         if self.random.random() >= _UNANSWERED_SHARE:
             return False
-        self._crash_under(task, trio.current_time())
+        self._crash_because_of(task_run, trio.current_time())
         return True
 
-    def _crash_under(self, task: Task, now: float) -> None:
+    def _crash_because_of(self, task_run: TaskRun, now: float) -> None:
         """Crash because of a task; the VM stays up and refuses connections."""
-        self.oracle.note_crash(task.key, list(self.tasks), now)
+        self.oracle.note_crash(task_run.key, list(self.tasks), now)
         self.refuses = True
         self.crashed_by_task = True
         self.crash()
-        self._news.set()
+        self._end_listed.set()
 
     def crash(self) -> None:
         """Crash: lose all runs and all ends that are listed here."""
         self.alive = False
         now = trio.current_time()
         self._crashed_at = now
-        for task in list(self.tasks.values()):
-            self.oracle.note_lost(self.entry.id, task.key, task.run)
-            step = self.oracle.jobs[task.key.job].steps[task.key.step]
-            self.tasks.pop(task.key, None)
+        for task_run in list(self.tasks.values()):
+            self.oracle.note_lost(self.entry.id, task_run.key, task_run.run)
+            step = self.oracle.jobs[task_run.key.job].steps[task_run.key.step]
+            self.tasks.pop(task_run.key, None)
             if step.gang:
-                self._break_gang(task, now)
-        self._allow_again()
+                self._break_gang(task_run, now)
+        self._allow_reruns()
         for ended in self.ended:
-            if ended.number > self.noted and ended.how is orders.How.FAILED:
-                self.oracle.forget_failure(ended.key)
+            if (
+                ended.number > self.confirmed_number
+                and ended.how is orders.How.FAILED
+            ):
+                self.oracle.allow_uncounted_failure(ended.key)
         self.ended.clear()
 
-    def _allow_again(self) -> None:
+    def _allow_reruns(self) -> None:
         for ended in self.ended:
-            if ended.number > self.noted and ended.how is orders.How.DONE:
-                self.oracle.allow_again(ended.key)
+            if (
+                ended.number > self.confirmed_number
+                and ended.how is orders.How.DONE
+            ):
+                self.oracle.allow_rerun(ended.key)
 
     # Orders.
 
-    def check(self, epoch: int) -> orders.Rejected | None:
+    def check_epoch(self, epoch: int) -> orders.Rejected | None:
         """Reject an order of an earlier owner; remember the epoch otherwise."""
-        if epoch < self.fence:
+        if epoch < self.highest_epoch:
             return orders.Rejected(orders.Why.FENCED, int(self.read_clock()))
-        self.fence = epoch
+        self.highest_epoch = epoch
         return None
 
-    def begin(
+    def start_run(
         self,
         epoch: int,
         order: orders.Start,
@@ -272,31 +289,33 @@
             until_ms: When the lease ends, on this worker's clock.
             late: Whether the order was delayed by seconds on its way.
         """
-        refused = self.check(epoch)
-        if refused is not None:
-            return refused
+        rejection = self.check_epoch(epoch)
+        if rejection is not None:
+            return rejection
         clock = self.read_clock()
         if until_ms <= clock:
             return orders.Rejected(orders.Why.LATE, int(clock))
-        self.until_ms = max(self.until_ms, min(until_ms, clock + _HOLD_MAX_MS))
-        held = self.tasks.get(order.key)
-        if held is not None and held.run == order.run:
+        self.lease_end_ms = max(
+            self.lease_end_ms, min(until_ms, clock + _MAX_LEASE_MS)
+        )
+        task_run = self.tasks.get(order.key)
+        if task_run is not None and task_run.run == order.run:
             return orders.Taken(int(clock))
-        if order.run <= self.highest.get(order.key, 0):
+        if order.run <= self.highest_runs.get(order.key, 0):
             return orders.Rejected(orders.Why.OLD, int(clock))
         job = self.oracle.jobs[order.key.job]
         step = job.steps[order.key.step]
-        if self.guards and not self._find_free().holds(step.charge):
+        if self.guards and not self._compute_free_room().holds(step.charge):
             return orders.Rejected(orders.Why.NO_ROOM, int(clock))
-        asked = work.StepKey(*order.key[:3])
+        step_key = work.StepKey(*order.key[:3])
         if job.advised and not self.policy.is_valid(
-            order.ticket, asked, self.entry.id
+            order.ticket, step_key, self.entry.id
         ):
             self.refused_tickets += 1
             return orders.Rejected(orders.Why.NO_TICKET, int(clock))
         if not self.guards and not late:
-            self._check_limit(order.key, step.charge)
-        self._add(order, job, step)
+            self._check_room(order.key, step.charge)
+        self._add_run(order, job, step)
         if self.drains_since is not None and not late:
             self.started_draining.append((order.key, trio.current_time()))
         return orders.Taken(int(clock))
@@ -304,11 +323,13 @@
     def is_impaired(self, now: float) -> bool:
         """Tell whether orders to this worker may fail or come late."""
         if not self.alive:
-            return now < self._crashed_at + _UNNOTICED_S
-        shrunk = any(at + _SHRUNK_AFTER_S > now for at, _ in self._rooms)
-        harmed = self.cut_from or self.late_share or self.fails_all
-        harmed = harmed or self.speed < 1.0
-        return shrunk or bool(harmed) or self.entry.draining
+            return now < self._crashed_at + _DELISTING_DELAY_S
+        shrunk = any(at + _ROOM_NOTICE_S > now for at, _ in self._past_rooms)
+        impaired = (
+            self.unreachable_from or self.late_start_share or self.fails_all
+        )
+        impaired = impaired or self.speed < 1.0
+        return shrunk or bool(impaired) or self.entry.draining
 
     def drain(self, now: float) -> None:
         """Mark this worker as draining."""
@@ -317,164 +338,174 @@
 
     def set_room(self, room: work.Room, now: float) -> None:
         """Change the room of this worker; running tasks go on."""
-        self._rooms.append((now, self.entry.room))
+        self._past_rooms.append((now, self.entry.room))
         self.entry = dataclasses.replace(self.entry, room=room)
 
-    def _check_limit(self, key: work.TaskKey, charge: work.Room) -> None:
+    def _check_room(self, key: work.TaskKey, charge: work.Room) -> None:
         """Report a start that exceeds the room of this worker."""
         now = trio.current_time()
         recent = [
-            room for until, room in self._rooms if until + _SHRUNK_AFTER_S > now
+            room
+            for changed_at, room in self._past_rooms
+            if changed_at + _ROOM_NOTICE_S > now
         ]
-        limits = [self.entry.room, *recent]
-        room = work.Room(*map(max, zip(*limits, strict=True)))
-        free = room.minus(self.entry.room).plus(self._find_free())
+        rooms = [self.entry.room, *recent]
+        room = work.Room(*map(max, zip(*rooms, strict=True)))
+        free = room.minus(self.entry.room).plus(self._compute_free_room())
         if any(
-            asked > left
-            for asked, left in zip(charge, free, strict=True)
-            if asked
+            needed > available
+            for needed, available in zip(charge, free, strict=True)
+            if needed
         ):
             self.oracle.broken.append(
                 f"{now:.3f} limit: {key} on {self.entry.id}, "
                 f"needs {charge}, but {free} is free"
             )
 
-    def _check_place(self, key: work.TaskKey, now: float) -> None:
-        asked = work.StepKey(*key[:3])
-        beside = sum(work.StepKey(*k[:3]) == asked for k in self.tasks)
+    def _check_placement(self, key: work.TaskKey, now: float) -> None:
+        step_key = work.StepKey(*key[:3])
+        running_count = sum(
+            work.StepKey(*k[:3]) == step_key for k in self.tasks
+        )
         entry = self.entry
         where = entry.id, entry.pool, entry.labels
-        self.oracle.check_place(key, where, beside, now)
+        self.oracle.check_placement(key, where, running_count, now)
 
-    def _find_free(self) -> work.Room:
+    def _compute_free_room(self) -> work.Room:
         free = self.entry.room
         for key in self.tasks:
             step = self.oracle.jobs[key.job].steps[key.step]
             free = free.minus(step.charge)
         return free
 
-    def _add(self, order: orders.Start, job: work.Job, step: work.Step) -> None:
+    def _add_run(
+        self, order: orders.Start, job: work.Job, step: work.Step
+    ) -> None:
         now = trio.current_time()
-        self._check_place(order.key, now)
-        task = Task(order.key, order.run, now, now, None)
-        task.lasting = step.lasting
-        task.ends_at = None if step.lasting else now + step.expected_s
+        self._check_placement(order.key, now)
+        task_run = TaskRun(order.key, order.run, now, now, None)
+        task_run.lasting = step.lasting
+        task_run.ends_at = None if step.lasting else now + step.expected_s
         poisoned = job.payload == "poison"
         if poisoned or self.fails_all:
-            task.how = orders.How.FAILED
-            task.ends_at = now + 0.2
+            task_run.end_kind = orders.How.FAILED
+            task_run.ends_at = now + 0.2
         if job.payload == CRASHING:
-            task.crashes = True
-            task.ends_at = now + _CRASH_S
-        self.tasks[order.key] = task
-        self.begun += 1
+            task_run.crashes_worker = True
+            task_run.ends_at = now + _CRASH_DELAY_S
+        self.tasks[order.key] = task_run
+        self.started_runs += 1
         self.oracle.note_start(self.entry.id, order.key, order.run, now)
         if not step.gang:
             return
-        task.works_from = None
+        task_run.working_since = None
         if self.gangs.add(order.key, order.run, self) < step.count:
             return
-        for worker in self.gangs.list(order.key, order.run):
+        for worker in self.gangs.list_workers(order.key, order.run):
             for other in worker.tasks.values():
                 if other.run == order.run and other.key[:3] == order.key[:3]:
-                    other.works_from = now
+                    other.working_since = now
                     other.ends_at = (
-                        now + (other.ends_at or now) - other.began_at
+                        now + (other.ends_at or now) - other.started_at
                     )
 
-    def halt(
+    def stop_run(
         self, epoch: int, order: orders.Stop
     ) -> orders.Taken | orders.Rejected:
         """Carry out a stop order."""
-        refused = self.check(epoch)
-        if refused is not None:
-            return refused
-        highest = self.highest.get(order.key, 0)
-        held = self.tasks.get(order.key)
-        if held is not None and held.run == order.run:
-            held.stops_at = trio.current_time() + _STOP_S
+        rejection = self.check_epoch(epoch)
+        if rejection is not None:
+            return rejection
+        highest_run = self.highest_runs.get(order.key, 0)
+        task_run = self.tasks.get(order.key)
+        if task_run is not None and task_run.run == order.run:
+            task_run.stops_at = trio.current_time() + _STOP_DELAY_S
         else:
-            self.highest[order.key] = max(highest, order.run)
+            self.highest_runs[order.key] = max(highest_run, order.run)
         return orders.Taken(int(self.read_clock()))
 
-    def look(
-        self, epoch: int, seen: int, until_ms: int | None
+    def build_report(
+        self, epoch: int, confirmed: int, until_ms: int | None
     ) -> orders.Report | orders.Rejected:
         """Report the runs and the ends here, and extend the lease.
 
         Args:
             epoch: The epoch of the owner that asks.
-            seen: Number of the last end that the owner has recorded.
+            confirmed: Number of the last end that the owner has recorded.
             until_ms: When the lease ends, on this worker's clock.
         """
-        refused = self.check(epoch)
-        if refused is not None:
-            return refused
+        rejection = self.check_epoch(epoch)
+        if rejection is not None:
+            return rejection
         clock = self.read_clock()
         if until_ms is not None:
-            self.until_ms = max(
-                self.until_ms, min(until_ms, clock + _HOLD_MAX_MS)
+            self.lease_end_ms = max(
+                self.lease_end_ms, min(until_ms, clock + _MAX_LEASE_MS)
             )
-        self.noted = max(self.noted, seen)
-        self.ended = [e for e in self.ended if e.number > self.noted]
+        self.confirmed_number = max(self.confirmed_number, confirmed)
+        self.ended = [e for e in self.ended if e.number > self.confirmed_number]
         running = tuple(
             orders.Running(
-                task.key,
-                task.run,
+                task_run.key,
+                task_run.run,
                 "",
-                _measure_percent(task),
-                self.measure_tail(task),
+                _measure_progress(task_run),
+                self.measure_tail(task_run),
             )
-            for task in self.tasks.values()
+            for task_run in self.tasks.values()
         )
         return orders.Report(
             int(clock), running, tuple(self.ended), self.born_ms
         )
 
-    def measure_tail(self, task: Task) -> float:
+    def measure_tail(self, task_run: TaskRun) -> float:
         """Return the tail latency of a serving task in milliseconds."""
-        return self._tail_ms if self._find_step(task).target_ms else 0.0
+        return self._tail_ms if self._find_step(task_run).target_ms else 0.0
 
-    def _follow_tail(self) -> None:
+    def _update_tail(self) -> None:
         """Adapt the tail latency to the filling tasks and their paces."""
-        beside = sum(
+        filling_load = sum(
             other.pace / 100
             for other in self.tasks.values()
             if self._find_step(other).fills
         )
-        wanted = _TAIL_MS + _DISTURBANCE_MS * beside
-        self._tail_ms += _TAIL_SHARE * (wanted - self._tail_ms)
+        target_tail_ms = (
+            _BASE_TAIL_MS + _TAIL_PER_FILLING_TASK_MS * filling_load
+        )
+        self._tail_ms += _TAIL_SMOOTHING * (target_tail_ms - self._tail_ms)
 
-    def _find_step(self, task: Task) -> work.Step:
-        return self.oracle.jobs[task.key.job].steps[task.key.step]
+    def _find_step(self, task_run: TaskRun) -> work.Step:
+        return self.oracle.jobs[task_run.key.job].steps[task_run.key.step]
 
     def set_pace(
         self, epoch: int, order: orders.Pace
     ) -> orders.Taken | orders.Rejected:
         """Carry out a pace order."""
-        refused = self.check(epoch)
-        if refused is not None:
-            return refused
-        held = self.tasks.get(order.key)
-        if held is not None and held.run == order.run:
-            held.pace = order.percent
+        rejection = self.check_epoch(epoch)
+        if rejection is not None:
+            return rejection
+        task_run = self.tasks.get(order.key)
+        if task_run is not None and task_run.run == order.run:
+            task_run.pace = order.percent
         return orders.Taken(int(self.read_clock()))
 
-    async def wait_for_news(self, wait_s: float) -> None:
+    async def wait_for_end(self, wait_s: float) -> None:
         """Wait until a run ends, or for some seconds."""
         with trio.move_on_after(wait_s):
-            await self._news.wait()
+            await self._end_listed.wait()
 
 
-def _measure_percent(task: Task) -> float:
+def _measure_progress(task_run: TaskRun) -> float:
     """Return the progress that a task reports, in whole percents."""
-    if task.lasting:
-        at_work = trio.current_time() >= task.began_at + _STARTUP_S
-        return 100.0 if at_work else 0.0
-    if task.works_from is None or task.ends_at is None:
+    if task_run.lasting:
+        is_at_work = trio.current_time() >= task_run.started_at + _STARTUP_S
+        return 100.0 if is_at_work else 0.0
+    if task_run.working_since is None or task_run.ends_at is None:
         return 0.0
-    whole = max(0.01, task.ends_at - task.works_from)
-    return float(int(100 * (trio.current_time() - task.works_from) / whole))
+    duration_s = max(0.01, task_run.ends_at - task_run.working_since)
+    return float(
+        int(100 * (trio.current_time() - task_run.working_since) / duration_s)
+    )
 
 
 class WorkerView:
@@ -490,22 +521,25 @@
             find: Returns the process that answers under the worker's id.
             entry: Name of the entry that opens it.
         """
-        self._find = find
+        self._find_process = find
         self._entry = entry
-        self._met: Worker | None = None
+        self._first_process: Worker | None = None
         self.is_open = True
 
     @property
     def _worker(self) -> Worker:
         """The process that answered first."""
-        if self._met is None:
-            self._met = self._find()
-        return self._met
+        if self._first_process is None:
+            self._first_process = self._find_process()
+        return self._first_process
 
     def _is_reachable(self) -> bool:
-        return self._worker.alive and self._entry not in self._worker.cut_from
+        return (
+            self._worker.alive
+            and self._entry not in self._worker.unreachable_from
+        )
 
-    async def _wait_in_vain(
+    async def _wait_without_answer(
         self, timeout_s: float, *, sent: bool = False
     ) -> orders.Silent:
         """Return the failure of a call that gets no answer.
@@ -518,8 +552,11 @@
             sent: Whether the order may have been carried out.
         """
         self.is_open = False
-        if self._worker.refuses and self._entry not in self._worker.cut_from:
-            await trio.sleep(_ORDER_S)
+        if (
+            self._worker.refuses
+            and self._entry not in self._worker.unreachable_from
+        ):
+            await trio.sleep(_ORDER_DELAY_S)
             return orders.Silent("refused", maybe_done=sent)
         await trio.sleep(timeout_s)
         return orders.Silent("cut")
@@ -528,70 +565,70 @@
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
     ) -> orders.Report | orders.Rejected | orders.Silent:
         """Fetch a report; wait for an end if there is none."""
-        await trio.sleep(_ORDER_S)
-        if self._worker.reborn:
+        await trio.sleep(_ORDER_DELAY_S)
+        if self._worker.superseded:
             return orders.Rejected(orders.Why.OTHER_INCARNATION)
         if not self._is_reachable():
-            return await self._wait_in_vain(wait_s + 0.6)
-        report = self._worker.look(epoch, seen, until_ms)
+            return await self._wait_without_answer(wait_s + 0.6)
+        report = self._worker.build_report(epoch, seen, until_ms)
         if isinstance(report, orders.Report) and not report.ended and wait_s:
-            await self._worker.wait_for_news(wait_s)
+            await self._worker.wait_for_end(wait_s)
             if not self._is_reachable():
-                return await self._wait_in_vain(0.6, sent=True)
-            report = self._worker.look(epoch, seen, None)
-        await trio.sleep(_ORDER_S)
+                return await self._wait_without_answer(0.6, sent=True)
+            report = self._worker.build_report(epoch, seen, None)
+        await trio.sleep(_ORDER_DELAY_S)
         return report
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
         """Order the start of a run; some starts are carried out late."""
-        await trio.sleep(_ORDER_S)
-        if self._worker.reborn:
-            self._worker.missed_starts += 1
+        await trio.sleep(_ORDER_DELAY_S)
+        if self._worker.superseded:
+            self._worker.misdirected_starts += 1
             return orders.Rejected(orders.Why.OTHER_INCARNATION)
         if not self._is_reachable():
-            return await self._wait_in_vain(timeout_s)
-        if self._worker.random.random() < self._worker.late_share:
+            return await self._wait_without_answer(timeout_s)
+        if self._worker.random.random() < self._worker.late_start_share:
             trio.lowlevel.spawn_system_task(
-                self._begin_late, epoch, order, until_ms
+                self._start_late, epoch, order, until_ms
             )
             self.is_open = False
             await trio.sleep(timeout_s)
             return orders.Silent("late")
-        outcome = self._worker.begin(epoch, order, until_ms)
-        if self._worker.crash_unanswered(order.key):
-            return await self._wait_in_vain(timeout_s, sent=True)
-        await trio.sleep(_ORDER_S)
+        outcome = self._worker.start_run(epoch, order, until_ms)
+        if self._worker.crash_before_answer(order.key):
+            return await self._wait_without_answer(timeout_s, sent=True)
+        await trio.sleep(_ORDER_DELAY_S)
         return outcome
 
-    async def _begin_late(
+    async def _start_late(
         self, epoch: int, order: orders.Start, until_ms: int
     ) -> None:
         await trio.sleep(self._worker.random.uniform(2.0, 12.0))
         if self._worker.alive:
-            self._worker.begin(epoch, order, until_ms, late=True)
+            self._worker.start_run(epoch, order, until_ms, late=True)
 
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
         """Order the stop of a run."""
-        await trio.sleep(_ORDER_S)
-        if self._worker.reborn:
+        await trio.sleep(_ORDER_DELAY_S)
+        if self._worker.superseded:
             return orders.Rejected(orders.Why.OTHER_INCARNATION)
         if not self._is_reachable():
-            return await self._wait_in_vain(timeout_s)
-        outcome = self._worker.halt(epoch, order)
-        await trio.sleep(_ORDER_S)
+            return await self._wait_without_answer(timeout_s)
+        outcome = self._worker.stop_run(epoch, order)
+        await trio.sleep(_ORDER_DELAY_S)
         return outcome
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
         """Order another pace of a run."""
-        await trio.sleep(_ORDER_S)
+        await trio.sleep(_ORDER_DELAY_S)
         if not self._is_reachable():
-            return await self._wait_in_vain(timeout_s)
+            return await self._wait_without_answer(timeout_s)
         return self._worker.set_pace(epoch, order)
 
     async def aclose(self) -> None:
