--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -160,10 +160,10 @@
         seed: int,
         entries: int = 4,
         hosts: int = 6,
-        check_room: bool = True,
+        workers_check_room: bool = True,
     ) -> None:
         self.random = random.Random(seed)
-        self._check_room = check_room
+        self._workers_check_room = workers_check_room
         self.store = stores.Store(seed)
         self.oracle = oracles.Oracle()
         self.gangs = workers.Gangs()
@@ -184,7 +184,7 @@
             self.store, CONFIG_KEY, self.changes, _build_config(guaranteed)
         )
         self._start_counts: collections.Counter[str] = collections.Counter()
-        self._last_trouble_at = 0.0
+        self._last_fault_at = 0.0
         for number in range(hosts):
             self.add_worker(f"w{number}", f"r0-{number // 3}")
         self.operators.write(0.0)
@@ -221,7 +221,7 @@
         worker = workers.Worker(
             worker_entry, self.oracle, self.gangs, self.policy, seed
         )
-        worker.guards = self._check_room
+        worker.guards = self._workers_check_room
         self.workers[name] = worker
         return worker
 
@@ -441,19 +441,20 @@
     def _check_drains(self, now: float) -> None:
         """Report starts on workers that have been draining for too long.
 
-        The time counts from the last moment at which the store or an entry was
-        in trouble: until then an owner may not have heard of the drain.
+        The time counts from the last fault of the store, of a suspension or of
+        a partition, if that is later: until then an owner may not have learnt
+        of the drain.
         """
-        troubled = self.store.fault is not stores.StoreFault.NONE
-        troubled |= self.suspensions.is_any_suspended()
-        if troubled or self.store.turned_away or self.cut_off:
-            self._last_trouble_at = now
+        has_fault = self.store.fault is not stores.StoreFault.NONE
+        has_fault |= self.suspensions.is_any_suspended()
+        if has_fault or self.store.turned_away or self.cut_off:
+            self._last_fault_at = now
         for name, worker in self.workers.items():
             starts, worker.started_draining = worker.started_draining, []
             for key, at in starts:
                 assert worker.drains_since is not None
-                heard_by = max(worker.drains_since, self._last_trouble_at)
-                if at > heard_by + _DRAIN_NOTICE_S:
+                known_at = max(worker.drains_since, self._last_fault_at)
+                if at > known_at + _DRAIN_NOTICE_S:
                     self.oracle.broken.append(
                         f"{at:.3f} drain: {key} on {name}, draining since "
                         f"{worker.drains_since:.3f}"
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -23,8 +23,8 @@
 _HEARTBEAT_S = 1.5
 _DELISTING_DELAY_S = 3 * _HEARTBEAT_S
 _RESTART_DELAY_S = 1.5
-# How long a restarting worker's process is away, and how many workers restart
-# at once at most.
+# How long a restarting worker's process is down, and how many workers restart at
+# once at most.
 _RESTART_RANGE_S = (0.2, 1.5)
 _RESTART_RANGE_BEHIND_CUT_S = (1.0, 4.0)
 _MAX_RESTARTED = 3
@@ -191,7 +191,7 @@
     leases_expire: bool = True,
     entries: int = 4,
     hosts: int = 6,
-    check_room: bool = True,
+    workers_check_room: bool = True,
     changes_per_s: float = 0.0,
 ) -> clusters.Cluster:
     """Play a day with load and faults, and check the final states.
@@ -200,17 +200,19 @@
         seed: Seed of the jobs, the callers and the workers.
         load: The jobs that callers submit.
         faults: The faults to inject.
-        leases_expire: Whether leases of the store expire while it is unavailable.
+        leases_expire: Whether leases of the store expire while it is
+            unavailable.
         entries: How many entries.
         hosts: How many workers.
-        check_room: Whether workers reject tasks that they have no room for.
+        workers_check_room: Whether workers reject tasks that they have no room
+            for.
         changes_per_s: How often the configuration changes. Calls on the routes
             and keys that it adds and removes are made only if it does.
 
     Returns:
         The cluster; its oracle lists the broken rules.
     """
-    cluster = clusters.Cluster(seed, entries, hosts, check_room)
+    cluster = clusters.Cluster(seed, entries, hosts, workers_check_room)
     cluster.store.lapses = leases_expire
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -177,8 +177,8 @@
 
 
 # Callers are told that a route or a key doesn't exist, seconds after its
-# version was confirmed: neither a watch nor a peer has told the entry of the
-# change.
+# version was confirmed: the entry has learnt of the change neither from a watch
+# nor from a peer.
 @pytest.mark.parametrize("delay_s", _DELAYS_S)
 @pytest.mark.parametrize(
     "disturb",
--- a/standins/emulator/tests/test_days.py
+++ b/standins/emulator/tests/test_days.py
@@ -15,7 +15,7 @@
 # Environment variable: how many days with hundreds of VMs to play. Each takes
 # about ten seconds.
 _LARGE_DAYS_VARIABLE = "CROCUSROUTER_LARGE_DAYS"
-# Seeds of days on which no owner heard of an accepted job.
+# Seeds of days on which no owner learnt of an accepted job.
 _KEPT_SEEDS = (25, 44)
 
 
--- a/standins/emulator/tests/test_rooms.py
+++ b/standins/emulator/tests/test_rooms.py
@@ -39,7 +39,7 @@
     """
     load = emulator.Load(per_s=2.0)
     events = emulator.choose_faults(seed, 10, load.length_s, _KINDS)
-    cluster = await emulator.play(seed, load, events, check_room=False)
+    cluster = await emulator.play(seed, load, events, workers_check_room=False)
     assert cluster.oracle.broken == []
 
 
@@ -51,7 +51,7 @@
 async def test_start_beyond_a_shrunk_room_is_reported(
     shrunk_for_s, gpu, broken, autojump_clock
 ):
-    cluster = clusters.Cluster(1, check_room=False)
+    cluster = clusters.Cluster(1, workers_check_room=False)
     step = work.Step(1, work.Room(1000, 1000, gpu))
     cluster.oracle.jobs["j"] = work.Job(
         "j", "q", clusters.POOL, "a", 1, 2, 1.0, 1.0, "", (step,), 0.0
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -1,7 +1,7 @@
-"""Owners start no task against a drain or a cancel that they couldn't hear of.
+"""Owners start no task against a drain or a cancel that they missed.
 
 The cluster reports each start on a worker that has been draining for more than
-2 s, counted from the end of the store's trouble if that is later. The oracle
+2 s, counted from the end of the store's fault if that is later. The oracle
 reports each start of a job that was cancelled more than 3 s before.
 """
 
