--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -23,8 +23,8 @@
 _HEARTBEAT_S = 1.5
 _DELISTING_DELAY_S = 3 * _HEARTBEAT_S
 _RESTART_DELAY_S = 1.5
-# How long a restarting worker's process is down, and how many workers restart at
-# once at most.
+# How long a restarting worker's process is down, and how many workers restart
+# at once at most.
 _RESTART_RANGE_S = (0.2, 1.5)
 _RESTART_RANGE_BEHIND_CUT_S = (1.0, 4.0)
 _MAX_RESTARTED = 3
