--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -157,7 +157,7 @@
 
 
 async def _lose_answers_then_delay_heartbeats(cluster, nursery, delay_s):
-    """Delay the peers' heartbeats, but less than the entry waits for them."""
+    """Delay the peers' heartbeats until just before the entry's own read."""
     await _lose_answers_then_suspend_peers(cluster, nursery, delay_s, 2.4)
 
 
--- a/standins/emulator/tests/test_crashes.py
+++ b/standins/emulator/tests/test_crashes.py
@@ -98,7 +98,7 @@
     of the task at 48.971 and 52.269 s, but no `run:ended`.
     """
     sound_jobs = [
-        (at, _make_job(f"{number + 1:02x}", 2, crashes=False))
+        (at, _make_job(f"{number + 1:02x}", 2, crashing=False))
         for number, at in enumerate((0.0, 1.0, 2.0, 4.0, 6.0, 9.0, 12.0))
     ]
     cluster = await _play([*sound_jobs, (3.0, job)], events, seed)
