--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -118,11 +118,7 @@
     """
 
     def __init__(self, touch: touches.Touch) -> None:
-        """Prepare without any version.
-
-        Args:
-            touch: Tells which entries are in touch.
-        """
+        """Prepare without any version."""
         self.broken: list[str] = []
         self.judged = 0
         self.excused: collections.Counter[str] = collections.Counter()
