--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -1,4 +1,4 @@
-"""Checks the rules on changes of the configuration from callers' answers."""
+"""Checks the rules on configuration changes from the answers to callers."""
 
 import collections
 import dataclasses
@@ -7,18 +7,18 @@
 from standins.emulator import rules
 from standins.emulator import touch as touches
 
-# What the oracle of changes judges.
+# Rules that this oracle checks.
 RULES = frozenset({rules.Rule.CONFIG, rules.Rule.ROUTE_CALLS})
 
 # `config_apply_ms` and `rollback_slack_ms` of the users' sites; the latter is
 # eight times as long for an entry that was impaired.
-APPLY_S = 2.0
-_SLACK_S = 0.25
-_IMPAIRED_SLACK_S = 8 * _SLACK_S
+CONFIG_APPLY_S = 2.0
+_ROLLBACK_SLACK_S = 0.25
+_IMPAIRED_ROLLBACK_SLACK_S = 8 * _ROLLBACK_SLACK_S
 
 
 class Handling(enum.StrEnum):
-    """How a call was handled, as far as the configuration decides it."""
+    """What the answer to a call tells about the configuration in force."""
 
     SERVED = "served"
     NO_ROUTE = "no-route"
@@ -26,7 +26,7 @@
     NOT_DECIDED = "not-decided"
 
 
-_HANDLINGS = {
+_HANDLING_BY_STATUS = {
     200: Handling.SERVED,
     410: Handling.SERVED,
     404: Handling.NO_ROUTE,
@@ -36,25 +36,25 @@
 
 
 def read_status(status: int | None) -> Handling:
-    """Tell what an HTTP status says about the configuration.
+    """Return what an HTTP status tells about the configuration in force.
 
     >>> read_status(404)
     <Handling.NO_ROUTE: 'no-route'>
     """
     if status is None:
         return Handling.NOT_DECIDED
-    return _HANDLINGS.get(status, Handling.NOT_DECIDED)
+    return _HANDLING_BY_STATUS.get(status, Handling.NOT_DECIDED)
 
 
 @dataclasses.dataclass(frozen=True)
-class Edition:
-    """One document that the operators wrote.
+class ConfigVersion:
+    """One version of the configuration that the operators wrote.
 
     Attributes:
         version: Its number.
-        routes: Prefixes that it routes.
-        keys: Keys that it knows.
-        valid: Whether it may be put in force.
+        routes: Path prefixes that it routes.
+        keys: API keys that it accepts.
+        valid: Whether entries may put it in force.
     """
 
     version: int
@@ -63,7 +63,7 @@
     valid: bool = True
 
     def handle(self, route: str, key: str) -> Handling:
-        """Return how a call is handled by this document."""
+        """Return how a call is handled under this version."""
         if route not in self.routes:
             return Handling.NO_ROUTE
         return Handling.SERVED if key in self.keys else Handling.NO_KEY
@@ -71,13 +71,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Asked:
-    """A call as it was sent.
+    """A call that a caller has sent.
 
     Attributes:
-        entry: Name of the entry that was asked.
-        life: Tells the incarnations of its process apart.
+        entry: Name of the called entry.
+        life: Number of the incarnation of the entry's process.
         route: Prefix of the path.
-        key: The key that it carried.
+        key: The API key of the call.
         sent_at: Seconds.
     """
 
@@ -90,11 +90,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call(Asked):
-    """A call and its answer, as its caller sees them.
+    """A call and its answer, as the caller sees them.
 
     Attributes:
         answered_at: Seconds.
-        handling: What the answer says.
+        handling: What the answer tells about the configuration.
     """
 
     answered_at: float
@@ -102,21 +102,23 @@
 
 
 class Changes:
-    """Collects broken rules on the configuration, each as one line.
+    """Checks the rules on the configuration and collects the broken ones.
+
+    `Touch` defines when an entry is in touch.
 
     Attributes:
-        broken: What was broken by entries in touch.
-        judged: How many calls were judged.
-        excused: How many calls were handled too late by entries that were not
-            in touch, by why they were not.
-        undecided: How many answers said nothing about the configuration.
+        broken: The broken rules, each as one line.
+        judged: How many calls were checked.
+        excused: How many calls were handled by an outdated version on entries
+            that were not in touch, by the reason why they were not.
+        undecided: How many answers tell nothing about the configuration.
         unready: How many of these came from entries in touch.
-        latest_s: Longest time after a confirmation at which an entry in touch
-            was sent a call that it handled without it.
+        latest_s: Longest time from a version's confirmation to a call that
+            an entry in touch handled by an earlier version.
     """
 
     def __init__(self, touch: touches.Touch) -> None:
-        """Begin without any version."""
+        """Prepare without any version."""
         self.broken: list[str] = []
         self.judged = 0
         self.excused: collections.Counter[str] = collections.Counter()
@@ -124,89 +126,100 @@
         self.unready = 0
         self.latest_s = 0.0
         self._touch = touch
-        self._editions: list[tuple[float, Edition]] = []
+        self._versions: list[tuple[float, ConfigVersion]] = []
         self._withdrawn: set[int] = set()
-        self._seen: dict[tuple[str, int], list[tuple[float, int]]] = (
+        self._versions_seen: dict[tuple[str, int], list[tuple[float, int]]] = (
             collections.defaultdict(list)
         )
 
-    def note_confirmed(self, edition: Edition, now: float) -> None:
-        """Take note of a document that the service has confirmed.
+    def note_confirmed(self, version: ConfigVersion, now: float) -> None:
+        """Record a version whose write the store has confirmed.
 
-        An invalid one hides versions that nobody has had the time to read.
+        An invalid version replaces the one before in the store. Entries that
+        have not had the time to read that one needn't put it in force.
         """
-        if not edition.valid:
+        if not version.valid:
             self._withdrawn |= {
-                before.version
-                for at, before in self._editions
-                if at > now - APPLY_S
+                earlier.version
+                for at, earlier in self._versions
+                if at > now - CONFIG_APPLY_S
             }
-        self._editions.append((now, edition))
+        self._versions.append((now, version))
 
-    def note_answer(self, asked: Asked, status: int | None, now: float) -> None:
-        """Judge a call by the HTTP status of its answer."""
-        sent = dataclasses.asdict(asked)
+    def note_answer(
+        self, sent_call: Asked, status: int | None, now: float
+    ) -> None:
+        """Check a call by the HTTP status of its answer."""
+        fields = dataclasses.asdict(sent_call)
         handling = read_status(status)
-        self.note_call(Call(**sent, answered_at=now, handling=handling))
+        self.note_call(Call(**fields, answered_at=now, handling=handling))
 
     def note_call(self, call: Call) -> None:
-        """Judge one call."""
+        """Check one answered call."""
         if call.handling is Handling.NOT_DECIDED:
             self.undecided += 1
             if not self._touch.explain(call.entry, call.sent_at):
                 self.unready += 1
             return
         self.judged += 1
-        fitting = self._find_fitting(call)
-        if not fitting:
-            self._report(call, "handled as no valid version allows")
+        matching = self._find_matching_versions(call)
+        if not matching:
+            self._report(call, "no valid version handles the call like this")
             return
-        self._check_late(call, fitting)
-        self._check_regress(call, fitting)
+        self._check_delay(call, matching)
+        self._check_rollback(call, matching)
 
-    def _find_fitting(self, call: Call) -> list[int]:
-        """Return the versions by which the call may have been handled."""
+    def _find_matching_versions(self, call: Call) -> list[int]:
+        """Return the versions under which a call may have been handled."""
         return [
-            edition.version
-            for at, edition in self._editions
-            if edition.valid
+            version.version
+            for at, version in self._versions
+            if version.valid
             and at <= call.answered_at
-            and edition.handle(call.route, call.key) is call.handling
+            and version.handle(call.route, call.key) is call.handling
         ]
 
-    def _check_late(self, call: Call, fitting: list[int]) -> None:
-        unheard = [
+    def _check_delay(self, call: Call, matching: list[int]) -> None:
+        later_confirmed_at = [
             at
-            for at, edition in self._editions
-            if edition.valid
-            and edition.version > max(fitting)
-            and edition.version not in self._withdrawn
+            for at, version in self._versions
+            if version.valid
+            and version.version > max(matching)
+            and version.version not in self._withdrawn
         ]
-        if not unheard:
+        if not later_confirmed_at:
             return
-        late_s = call.sent_at - min(unheard)
-        why = self._touch.explain(call.entry, call.sent_at)
-        if not why:
-            self.latest_s = max(self.latest_s, late_s)
-        if late_s <= APPLY_S:
+        delay_s = call.sent_at - min(later_confirmed_at)
+        reason = self._touch.explain(call.entry, call.sent_at)
+        if not reason:
+            self.latest_s = max(self.latest_s, delay_s)
+        if delay_s <= CONFIG_APPLY_S:
             return
-        if why:
-            self.excused[why] += 1
+        if reason:
+            self.excused[reason] += 1
         else:
-            self._report(call, f"sent {late_s:.2f} s after a confirmation")
-
-    def _check_regress(self, call: Call, fitting: list[int]) -> None:
-        why = self._touch.explain(call.entry, call.sent_at)
-        before = call.sent_at - (_IMPAIRED_SLACK_S if why else _SLACK_S)
-        seen = self._seen[call.entry, call.life]
-        floor = max((v for at, v in seen if at < before), default=0)
-        if max(fitting) < floor:
-            self._report(call, f"version {floor} was in force there before")
-        if not seen or min(fitting) > seen[-1][1]:
-            seen.append((call.answered_at, min(fitting)))
-
-    def _report(self, call: Call, what: str) -> None:
+            self._report(
+                call,
+                f"sent {delay_s:.2f} s after a later version was confirmed",
+            )
+
+    def _check_rollback(self, call: Call, matching: list[int]) -> None:
+        reason = self._touch.explain(call.entry, call.sent_at)
+        seen_before = call.sent_at - (
+            _IMPAIRED_ROLLBACK_SLACK_S if reason else _ROLLBACK_SLACK_S
+        )
+        seen = self._versions_seen[call.entry, call.life]
+        newest_seen = max((v for at, v in seen if at < seen_before), default=0)
+        if max(matching) < newest_seen:
+            self._report(
+                call,
+                f"version {newest_seen} had been in force on the entry before",
+            )
+        if not seen or min(matching) > seen[-1][1]:
+            seen.append((call.answered_at, min(matching)))
+
+    def _report(self, call: Call, violation: str) -> None:
         self.broken.append(
-            f"{call.sent_at:.3f} config: {call.entry} {call.handling} "
-            f"{call.route} with {call.key}: {what}"
+            f"{call.sent_at:.3f} config: {call.entry} answered {call.handling} "
+            f"to {call.route} with key {call.key}: {violation}"
         )
--- a/standins/emulator/load.py
+++ b/standins/emulator/load.py
@@ -1,4 +1,4 @@
-"""Jobs as the users' sheets describe them, drawn from a seed."""
+"""Draws the jobs of a day from a seed, in the mix that the users describe."""
 
 import dataclasses
 import random
@@ -7,24 +7,24 @@
 from standins.emulator import cluster
 from standins.emulator import worker
 
-_WALL = 1_700_000_000.0
-# Both racks of a cluster of six workers, and all of them.
+_WALL_CLOCK_START_S = 1_700_000_000.0
+# Labels in a cluster of six workers: of all of them, and of each rack.
 _LABELS = ("a", "r0-0", "r0-1")
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """How much comes, and how mixed.
+    """The rate and the mix of submitted jobs.
 
     Attributes:
         per_s: Jobs a second.
-        length_s: For how long.
-        gangs: Share of gangs.
-        poison: Share of jobs that can never be done.
-        advised: Share of jobs whose workers a policy chooses.
+        length_s: How long jobs are submitted.
+        gangs: Share of jobs whose first step is a gang.
+        poison: Share of jobs whose tasks always fail.
+        advised: Share of jobs whose workers the policy service chooses.
         crashing: Share of jobs whose tasks crash each worker they start on.
-        restricted: Share of jobs that ask for a label, or for few tasks on one
-            worker.
+        restricted: Share of jobs that require a label and, unless they have a
+            gang, at most one task of a step on a worker.
     """
 
     per_s: float = 1.0
@@ -36,34 +36,37 @@
     restricted: float = 0.0
 
     def draw(self, seed: int) -> list[tuple[float, work.Job]]:
-        """Return jobs with the times at which they are handed in."""
+        """Return jobs with the times at which they are submitted."""
         rng = random.Random(seed)
-        drawn: list[tuple[float, work.Job]] = []
+        jobs: list[tuple[float, work.Job]] = []
         at = 0.5
         while at < self.length_s:
-            drawn.append((at, self._draw_job(rng, len(drawn), at)))
+            jobs.append((at, self._draw_job(rng, len(jobs), at)))
             at += rng.expovariate(self.per_s)
-        return drawn
+        return jobs
 
     def _draw_job(self, rng: random.Random, number: int, at: float) -> work.Job:
         priority = rng.choice((0, 1, 1, 2))
-        gang = rng.random() < self.gangs
-        steps = [self._draw_step(rng, gang, ())]
+        is_gang = rng.random() < self.gangs
+        steps = [self._draw_step(rng, is_gang, ())]
         if rng.random() < 0.3:
             steps.append(self._draw_step(rng, False, (0,)))
         if self.restricted > 0 and rng.random() < self.restricted:
             # A gang may have more members than a rack has workers.
-            label = "a" if gang else rng.choice(_LABELS)
-            most = 0 if gang else 1
+            label = "a" if is_gang else rng.choice(_LABELS)
+            most_per_worker = 0 if is_gang else 1
             steps = [
-                dataclasses.replace(step, label=label, per_worker=most)
+                dataclasses.replace(
+                    step, label=label, per_worker=most_per_worker
+                )
                 for step in steps
             ]
         payload = f"job {number}"
         if rng.random() < self.poison:
             payload = "poison"
-        repeats = 3 if rng.random() < 0.1 else 0
-        # Nothing is drawn where no job is: days without stay the same.
+        occurrences = 3 if rng.random() < 0.1 else 0
+        # No random number is used if the share is 0, so that days without such
+        # jobs stay the same.
         if self.crashing > 0 and rng.random() < self.crashing:
             payload = worker.CRASHING
         return work.Job(
@@ -77,27 +80,27 @@
             1.0,
             payload,
             tuple(steps),
-            _WALL + at,
-            repeats,
-            _WALL + at + 1.0,
+            _WALL_CLOCK_START_S + at,
+            occurrences,
+            _WALL_CLOCK_START_S + at + 1.0,
             2.0,
             advised=self.advised > 0 and rng.random() < self.advised,
         )
 
     def _draw_step(
-        self, rng: random.Random, gang: bool, after: tuple[int, ...]
+        self, rng: random.Random, is_gang: bool, after: tuple[int, ...]
     ) -> work.Step:
         room = work.Room(
             rng.choice((1000, 3700, 13000)),
             rng.choice((4096, 15000)),
             rng.choice((1, 1, 2, 4, 8)),
         )
-        count = rng.randint(2, 4) if gang else rng.randint(1, 6)
+        count = rng.randint(2, 4) if is_gang else rng.randint(1, 6)
         return work.Step(
             count,
             room,
             rng.uniform(0.5, 4.0),
             after,
-            gang,
-            one_rack=gang and rng.random() < 0.5,
+            is_gang,
+            one_rack=is_gang and rng.random() < 0.5,
         )
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -1,4 +1,4 @@
-"""Checks the rules from what workers and callers see."""
+"""Checks the rules on jobs from what workers and callers observe."""
 
 import collections
 from collections.abc import Callable
@@ -7,24 +7,24 @@
 from standins.emulator import rules
 from standins.emulator import touch as touches
 
-# A start that crosses a cancel on its way, or a stop on its way, is allowed
-# for this long.
-_CANCEL_S = 3.0
+# A start that was on its way when a cancel was confirmed is allowed for this
+# long.
+_CANCEL_NOTICE_S = 3.0
 _NOTED_S = 1.0
-# Workers that may crash under a task, and starts after that many crashes that
-# are too many.
-_CRASHES = 3
-_STARTS_AFTER_CRASHES = 3
-# `recovery_s` of the users' sites, and the share of tries that must be served
-# after it. Fewer tries than this say nothing.
+# How many workers a task may crash, and which further start after that breaks
+# the rule.
+_CRASHES_ALLOWED = 3
+_STARTS_TOO_MANY = 3
+# `recovery_s` of the users' sites, the share of submissions that must be served
+# after it, and the number of submissions below which nothing is concluded.
 RECOVERY_S = 12.0
-_SERVED_SHARE = 0.25
-_FEWEST_TRIES = 4
-# How long a member of a gang waits for the others.
-GANG_S = 3.0
+_ACCEPTED_SHARE = 0.25
+_MIN_SUBMISSIONS = 4
+# How long a started member of a gang waits for the others.
+GANG_WAIT_S = 3.0
 
 
-# What the oracle of jobs judges, with the workers that report to it.
+# Rules that this oracle checks, with the workers that report to it.
 RULES = frozenset(
     {
         rules.Rule.BUDGET,
@@ -43,17 +43,28 @@
 
 
 class Oracle:
-    """Collects broken rules, each as one line.
+    """Checks the rules on jobs and collects the broken ones, each as one line.
 
     Attributes:
-        cancelled: Jobs whose cancel was confirmed, and when.
-        alone: Runs that ended because the rest of their gang never came, and
-            when; judged by who knows what was impaired.
-        tries: When jobs were handed in, and whether that was served.
-        back_at: When all entries had been lost and were back for the last
-            time.
-        asked_to_cancel: Jobs whose cancel was sent; one that was not answered
-            may be carried out at any time later.
+        broken: The broken rules.
+        jobs: All submitted jobs by id.
+        accepted: Ids of jobs whose submission was accepted.
+        refused: Ids of jobs of which every submission was refused.
+        cancelled: When the cancel of a job was confirmed, by job id.
+        asked_to_cancel: Ids of jobs whose cancel was sent; one without an
+            answer may be carried out at any later time.
+        excused_gangs: How many incomplete gangs were excused by an impairment.
+        incomplete_gangs: Runs of gangs that ended because a member was never
+            started, with the times; `judge_alone` checks them.
+        tries: When jobs were submitted, and whether they were accepted.
+        back_at: When all entries were last back after the loss of all.
+        done: When each finished task was first done.
+        first_started_at: When a task of each job was first started.
+        failed: How often each task has failed.
+        crashed_at: Crashes caused by tasks, with their times.
+        crashes_caused: How many workers each task has crashed.
+        crashes_met: How often a worker was crashed by a task while each task
+            ran on it, the causing task included.
     """
 
     def __init__(self) -> None:
@@ -63,25 +74,27 @@
         self.refused: set[str] = set()
         self.cancelled: dict[str, float] = {}
         self.asked_to_cancel: set[str] = set()
-        self.excused_alone = 0
-        self.alone: list[tuple[float, work.TaskKey]] = []
+        self.excused_gangs = 0
+        self.incomplete_gangs: list[tuple[float, work.TaskKey]] = []
         self.tries: list[tuple[float, bool]] = []
         self.back_at: float | None = None
         self.done: dict[work.TaskKey, float] = {}
-        self.begun: dict[str, float] = {}
+        self.first_started_at: dict[str, float] = {}
         self.failed: collections.Counter[work.TaskKey] = collections.Counter()
-        self._forgotten: collections.Counter[work.TaskKey] = (
+        self._maybe_uncounted: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
         self.crashed_at: list[tuple[float, work.TaskKey]] = []
-        self.crashes: collections.Counter[work.TaskKey] = collections.Counter()
-        self.crashed_under: collections.Counter[work.TaskKey] = (
+        self.crashes_caused: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
-        self._started_after: collections.Counter[work.TaskKey] = (
+        self.crashes_met: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
-        self._again: set[work.TaskKey] = set()
+        self._starts_after_crashes: collections.Counter[work.TaskKey] = (
+            collections.Counter()
+        )
+        self._rerun_allowed: set[work.TaskKey] = set()
         self._running: dict[work.TaskKey, set[tuple[str, int]]] = (
             collections.defaultdict(set)
         )
@@ -89,80 +102,94 @@
     def note_start(
         self, worker: str, key: work.TaskKey, run: int, now: float
     ) -> None:
-        """Take note of a start that a worker has begun."""
+        """Record and check a start that a worker has carried out."""
         job = self.jobs.get(key.job)
         if job is None:
             self.broken.append(f"{now:.3f} unasked: {key} on {worker}")
             return
-        self.begun.setdefault(key.job, now)
+        self.first_started_at.setdefault(key.job, now)
         step = job.steps[key.step]
-        others = self._running[key]
-        if others:
+        running = self._running[key]
+        if running:
             self.broken.append(
-                f"{now:.3f} twice: {key} run {run} on {worker} beside {others}"
+                f"{now:.3f} twice: {key} run {run} on {worker} and on {running}"
             )
-        if key in self.done and key not in self._again:
+        if key in self.done and key not in self._rerun_allowed:
             self.broken.append(
-                f"{now:.3f} twice: {key} run {run} on {worker} after its end"
+                f"{now:.3f} twice: {key} run {run} on {worker}, already done"
             )
         for earlier in step.after:
             if not self._is_step_done(job, key, earlier):
-                self.broken.append(f"{now:.3f} order: {key} before {earlier}")
-        if self.failed[key] - self._forgotten[key] >= job.max_attempts:
+                self.broken.append(
+                    f"{now:.3f} order: {key} before step {earlier}"
+                )
+        if self.failed[key] - self._maybe_uncounted[key] >= job.max_attempts:
             self.broken.append(f"{now:.3f} budget: {key}")
-        self._count_after_crashes(key, now)
+        self._check_starts_after_crashes(key, now)
         cancelled = self.cancelled.get(key.job)
-        if cancelled is not None and now > cancelled + _CANCEL_S:
-            self.broken.append(f"{now:.3f} unasked: {key} after its cancel")
-        others.add((worker, run))
+        if cancelled is not None and now > cancelled + _CANCEL_NOTICE_S:
+            self.broken.append(
+                f"{now:.3f} unasked: {key} after its job was cancelled"
+            )
+        running.add((worker, run))
 
-    def check_place(
+    def check_placement(
         self,
         key: work.TaskKey,
-        where: tuple[str, str, frozenset[str]],
-        beside: int,
+        placement: tuple[str, str, frozenset[str]],
+        running_count: int,
         now: float,
     ) -> None:
         """Check that a task may start on a worker.
 
         Args:
             key: The task.
-            where: The worker's name, its pool and its labels.
-            beside: How many tasks of the step run there already.
-            now: Seconds.
+            placement: The worker's name, its pool and its labels.
+            running_count: How many tasks of the step run there already.
+            now: Time of the start, in seconds.
         """
         job = self.jobs[key.job]
         step = job.steps[key.step]
-        worker, pool, labels = where
-        wrong = []
+        worker, pool, labels = placement
+        faults = []
         if pool != job.pool:
-            wrong.append(f"of pool {pool}")
+            faults.append(f"is of pool {pool}")
         if step.label and step.label not in labels:
-            wrong.append(f"without label {step.label}")
-        if step.per_worker and beside >= step.per_worker:
-            wrong.append(f"beside {beside} of its step")
-        if wrong:
-            told = ", ".join(wrong)
-            self.broken.append(f"{now:.3f} route: {key} on {worker} {told}")
-
-    def _count_after_crashes(self, key: work.TaskKey, now: float) -> None:
-        if self.crashes[key] < _CRASHES:
+            faults.append(f"lacks label {step.label}")
+        if step.per_worker and running_count >= step.per_worker:
+            faults.append(f"already runs {running_count} of the step")
+        if faults:
+            reasons = ", ".join(faults)
+            self.broken.append(
+                f"{now:.3f} route: {key} on {worker}, which {reasons}"
+            )
+
+    def _check_starts_after_crashes(
+        self, key: work.TaskKey, now: float
+    ) -> None:
+        if self.crashes_caused[key] < _CRASHES_ALLOWED:
             return
-        self._started_after[key] += 1
-        if self._started_after[key] == _STARTS_AFTER_CRASHES:
+        self._starts_after_crashes[key] += 1
+        if self._starts_after_crashes[key] == _STARTS_TOO_MANY:
             self.broken.append(
-                f"{now:.3f} budget: {key} started {_STARTS_AFTER_CRASHES} "
-                f"times more after {_CRASHES} workers had crashed under it"
+                f"{now:.3f} budget: {key} started {_STARTS_TOO_MANY} "
+                f"times more after it had crashed {_CRASHES_ALLOWED} workers"
             )
 
     def note_crash(
-        self, key: work.TaskKey, beside: list[work.TaskKey], now: float
+        self, key: work.TaskKey, tasks: list[work.TaskKey], now: float
     ) -> None:
-        """Take note that a task has crashed its worker, others beside it."""
-        self.crashes[key] += 1
+        """Record that a task has crashed its worker.
+
+        Args:
+            key: The task.
+            tasks: All tasks that ran on the worker, with the task itself.
+            now: Seconds.
+        """
+        self.crashes_caused[key] += 1
         self.crashed_at.append((now, key))
-        for other in beside:
-            self.crashed_under[other] += 1
+        for task in tasks:
+            self.crashes_met[task] += 1
 
     def _is_step_done(
         self, job: work.Job, key: work.TaskKey, earlier: int
@@ -175,13 +202,21 @@
     def note_end(
         self, worker: str, key: work.TaskKey, run: int, how: str, now: float
     ) -> None:
-        """Take note of an end that a worker has listed."""
+        """Record an end that a worker has listed.
+
+        Args:
+            worker: The worker's id.
+            key: The task.
+            run: Number of its run.
+            how: How the run ended, a value of `orders.How`.
+            now: Seconds.
+        """
         self._running[key].discard((worker, run))
         job = self.jobs.get(key.job)
         if job is None:
             return
         if how == "alone":
-            self.alone.append((now, key))
+            self.incomplete_gangs.append((now, key))
         if how == "failed":
             self.failed[key] += 1
         if how == "done":
@@ -191,77 +226,96 @@
                 self.done.setdefault(key._replace(position=index), now)
 
     def judge_alone(self, is_calm: Callable[[float], bool]) -> None:
-        """Judge the runs that ended alone since the last call.
+        """Check the incomplete gangs that have ended since the last call.
+
+        An incomplete gang breaks a rule unless its job was cancelled or
+        something was impaired before.
 
         Args:
-            is_calm: Tells whether nothing was impaired from a time on.
+            is_calm: Tells whether nothing has been impaired since a time.
         """
-        ended, self.alone = self.alone, []
-        for at, key in ended:
+        gangs, self.incomplete_gangs = self.incomplete_gangs, []
+        for at, key in gangs:
             if key.job in self.asked_to_cancel:
                 continue
-            if is_calm(at - GANG_S - touches.STABLE_S):
-                self.broken.append(f"{at:.3f} gang: {key} waited alone")
+            if is_calm(at - GANG_WAIT_S - touches.STABLE_S):
+                self.broken.append(
+                    f"{at:.3f} gang: {key} waited for missing members"
+                )
             else:
-                self.excused_alone += 1
+                self.excused_gangs += 1
 
     def note_lost(self, worker: str, key: work.TaskKey, run: int) -> None:
-        """Take note that a run ended with its worker."""
+        """Record that a run ended because its worker crashed."""
         self._running[key].discard((worker, run))
 
-    def allow_again(self, key: work.TaskKey) -> None:
-        """Allow another run after an end that may have been lost.
+    def allow_rerun(self, key: work.TaskKey) -> None:
+        """Allow another run of a task that is done, as its end may be lost.
 
-        Its worker is gone and was never told that the end was noted. It has
-        ended well all the same: steps after it may have begun. One end stands
-        for all members of a gang, whose own ends may come after the loss.
+        The worker is gone or its lease has ended, and no owner has confirmed
+        the end. The task still counts as done, since later steps may have
+        started. One end stands for all members of a gang, whose own ends may
+        be listed after the loss.
         """
         step = self.jobs[key.job].steps[key.step]
         indices = range(step.count) if step.gang else (key.position,)
         for index in indices:
-            self._again.add(key._replace(position=index))
+            self._rerun_allowed.add(key._replace(position=index))
 
-    def forget_failure(self, key: work.TaskKey) -> None:
-        """Allow a failure not to be counted: its worker is gone.
+    def allow_uncounted_failure(self, key: work.TaskKey) -> None:
+        """Allow owners not to count a failure whose worker has crashed.
 
-        The end was never confirmed, so an owner may or may not have heard of
-        it; the attempt is spent for one who has.
+        The end was never confirmed. An owner that has received it counts the
+        attempt as spent; another one doesn't.
         """
-        self._forgotten[key] += 1
+        self._maybe_uncounted[key] += 1
 
     def check_over(self, states: dict[str, str | None]) -> None:
-        """Check the end of a day, after calm.
+        """Check the final states of all jobs, once the faults are over.
 
         Args:
-            states: What callers read of each accepted job.
+            states: The state that a caller reads for each accepted job.
         """
-        self._check_recovered()
-        for job_id in self.refused & self.begun.keys():
+        self._check_recovery()
+        for job_id in self.refused & self.first_started_at.keys():
             if job_id not in self.accepted:
-                self.broken.append(f"refused: {job_id} has run")
+                self.broken.append(
+                    f"refused: {job_id} was refused, but has run"
+                )
         for job_id in self.accepted:
             state = states.get(job_id)
             if state == "done" and not self._is_job_done(job_id):
-                self.broken.append(f"mixed: {job_id} is done in part only")
+                self.broken.append(
+                    f"mixed: {job_id} is shown as done, but isn't whole"
+                )
                 continue
-            wanted = self._find_wanted(job_id)
-            if state not in wanted:
+            expected = self._find_expected(job_id)
+            if state not in expected:
                 self.broken.append(
-                    f"lost: {job_id} is {state}, should be one of {wanted}"
+                    f"lost: {job_id} is {state}, expected one of {expected}"
                 )
 
-    def _check_recovered(self) -> None:
+    def _check_recovery(self) -> None:
         if self.back_at is None:
             return
         after = self.back_at + RECOVERY_S
-        later = [served for at, served in self.tries if at > after]
-        before = [served for at, served in self.tries if at < self.back_at]
-        if len(later) < _FEWEST_TRIES or len(before) < _FEWEST_TRIES:
+        outcomes_later = [accepted for at, accepted in self.tries if at > after]
+        outcomes_before = [
+            accepted for at, accepted in self.tries if at < self.back_at
+        ]
+        if (
+            len(outcomes_later) < _MIN_SUBMISSIONS
+            or len(outcomes_before) < _MIN_SUBMISSIONS
+        ):
             return
-        share, earlier = (sum(tries) / len(tries) for tries in (later, before))
-        if share < _SERVED_SHARE <= earlier:
+        share, earlier_share = (
+            sum(outcomes) / len(outcomes)
+            for outcomes in (outcomes_later, outcomes_before)
+        )
+        if share < _ACCEPTED_SHARE <= earlier_share:
             self.broken.append(
-                f"{after:.3f} recover: {share:.2f} of {len(later)} tries served"
+                f"{after:.3f} recover: {share:.2f} of "
+                f"{len(outcomes_later)} accepted"
             )
 
     def _list_tasks(self, job_id: str) -> list[work.TaskKey]:
@@ -273,36 +327,48 @@
             for index in range(step.count)
         ]
 
-    def _may_be_given_up(self, tasks: list[work.TaskKey]) -> bool:
-        """Tell whether two workers have crashed under a task of a job that
-        crashes workers; others may be beside such a task at any time.
+    def _may_give_up(self, tasks: list[work.TaskKey]) -> bool:
+        """Tell whether an owner may give up a job because of crashes.
+
+        That takes a task of the job that crashes workers, and a task of it that
+        was on two workers when they crashed. The tasks may differ: other tasks
+        may run beside one that crashes workers at any time.
         """
-        crashes = any(self.crashes[key] for key in tasks)
-        return crashes and any(self.crashed_under[key] > 1 for key in tasks)
+        crashes_workers = any(self.crashes_caused[key] for key in tasks)
+        return crashes_workers and any(
+            self.crashes_met[key] > 1 for key in tasks
+        )
 
     def _is_job_done(self, job_id: str) -> bool:
         return all(key in self.done for key in self._list_tasks(job_id))
 
-    def _find_wanted(self, job_id: str) -> set[str]:
+    def _find_expected(self, job_id: str) -> set[str]:
         job = self.jobs[job_id]
         if job_id in self.cancelled:
             return {"cancelled", "done", "failed"}
-        asked = {"cancelled"} if job_id in self.asked_to_cancel else set()
+        maybe_cancelled = (
+            {"cancelled"} if job_id in self.asked_to_cancel else set()
+        )
         if self._is_job_done(job_id):
-            return {"done"} | asked
+            return {"done"} | maybe_cancelled
         tasks = self._list_tasks(job_id)
         limit = job.max_attempts
-        spent = [_sum_gang(job, key, self.failed) for key in tasks]
-        forgotten = [_sum_gang(job, key, self._forgotten) for key in tasks]
-        wanted = asked
-        if self._may_be_given_up(tasks):
-            wanted.add("failed")
-        if any(count >= limit for count in spent):
-            wanted.add("failed")
-        certain = zip(spent, forgotten, strict=True)
-        if not any(count - lost >= limit for count, lost in certain):
-            wanted.add("done")
-        return wanted
+        failures = [_sum_gang(job, key, self.failed) for key in tasks]
+        uncounted = [
+            _sum_gang(job, key, self._maybe_uncounted) for key in tasks
+        ]
+        expected = maybe_cancelled
+        if self._may_give_up(tasks):
+            expected.add("failed")
+        if any(count >= limit for count in failures):
+            expected.add("failed")
+        counts = zip(failures, uncounted, strict=True)
+        if not any(
+            count - maybe_uncounted >= limit
+            for count, maybe_uncounted in counts
+        ):
+            expected.add("done")
+        return expected
 
 
 def _sum_gang(
@@ -310,7 +376,7 @@
     key: work.TaskKey,
     counts: collections.Counter[work.TaskKey],
 ) -> int:
-    """Return a task's count; a gang's members share theirs."""
+    """Return a task's count; for a gang, the sum over its members."""
     step = job.steps[key.step]
     if not step.gang:
         return counts[key]
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service in memory, one view an entry."""
+"""The platform's key-value service in memory, with faults; a view an entry."""
 
 import dataclasses
 import enum
@@ -10,23 +10,23 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 
-_ANSWER_S = 0.004
-_LATEST_S = 6.0
-# What a client of the real wire waits for an answer beyond a watch's time.
+_ANSWER_DELAY_S = 0.004
+_MAX_WRITE_DELAY_S = 6.0
+# How much longer than a watch's time the real client waits for an answer.
 _WATCH_TIMEOUT_S = 1.5
-# While the history is being dropped, watches hear nothing.
-_DEAF_S = 1.0
+# Watches get no changes for this time before the history is dropped.
+_COMPACTION_PAUSE_S = 1.0
 
 
 class StoreFault(enum.StrEnum):
-    """What the service does wrong."""
+    """A fault of the service."""
 
     NONE = "none"
-    BUSY = "busy"  # refuses every call
-    SILENT = "silent"  # takes calls and never answers
-    SLOW = "slow"  # answers 75 times later
-    LOST = "lost"  # does a third of the writes and does not answer them
-    LATE = "late"  # does them seconds later, if their condition still holds
+    BUSY = "busy"  # rejects every call
+    SILENT = "silent"  # accepts calls and never answers
+    SLOW = "slow"  # takes 75 times as long to answer
+    LOST = "lost"  # doesn't answer a third of the writes, but applies them
+    LATE = "late"  # applies those seconds later, if their guards still hold
 
 
 @dataclasses.dataclass
@@ -40,10 +40,15 @@
     """Keys, leases, history and faults, shared by all views.
 
     Attributes:
+        compacted_revision: Revision up to which the history has been dropped.
+        watches_paused_until: Until when watches get no changes.
+        lapses: Whether leases expire while the service is unavailable.
+        turned_away: Faults of calls of single entries, by the entry's name.
         spares_quiet_watches: Whether a silence loses only the answers that are
-            sent in it, so that a watch on which nothing came stays whole.
-        refused_watches: Prefixes whose watches are refused, as calls beyond
-            the limits of a second are.
+            sent during it, so that a watch without changes survives it.
+        refused_watches: Prefixes whose watches are rejected, as calls beyond
+            the rate limit are.
+        calls: How many calls entries have made.
     """
 
     def __init__(self, seed: int) -> None:
@@ -51,13 +56,13 @@
         self.revision = 1
         self.leases: dict[int, tuple[float, float]] = {}
         self.history: list[records.Event] = []
-        self.dropped_to = 0
-        self.deaf_until = 0.0
+        self.compacted_revision = 0
+        self.watches_paused_until = 0.0
         self.fault = StoreFault.NONE
         self.lapses = True
-        self._expired_at = 0.0
+        self._last_expiry_at = 0.0
         self.turned_away: dict[str, StoreFault] = {}
-        self._silences: dict[str, float] = {}
+        self._last_silence_at: dict[str, float] = {}
         self.spares_quiet_watches = False
         self.refused_watches: set[str] = set()
         self.calls = 0
@@ -65,85 +70,90 @@
         self._changed = trio.Event()
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write one key as the operators or the workers do."""
+        """Write one key without guards, as operators and workers do."""
         self.revision += 1
         self._set(key, value, lease)
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove one key as its lease's end does."""
+        """Remove one key, as the end of its lease does."""
         if key in self.items:
             self.revision += 1
-            self._drop(key)
+            self._delete(key)
 
     def _set(self, key: str, value: bytes, lease: int) -> None:
         self.items[key] = _Item(value, self.revision, lease)
-        self._tell(records.Changed(records.Record(key, value, self.revision)))
+        self._publish(
+            records.Changed(records.Record(key, value, self.revision))
+        )
 
-    def _drop(self, key: str) -> None:
+    def _delete(self, key: str) -> None:
         del self.items[key]
-        self._tell(records.Removed(key, self.revision))
+        self._publish(records.Removed(key, self.revision))
 
-    def _tell(self, event: records.Event) -> None:
+    def _publish(self, event: records.Event) -> None:
         self.history.append(event)
         self._changed.set()
         self._changed = trio.Event()
 
     def find_fault(self, entry: str) -> StoreFault:
-        """Return what an entry meets now."""
+        """Return the fault that calls of an entry meet now."""
         return self.turned_away.get(entry, self.fault)
 
     def is_impaired(self, now: float) -> bool:
-        """Tell whether not all entries are served as usual."""
-        return self.fault is not StoreFault.NONE or now < self.deaf_until
+        """Tell whether a fault or a compaction affects all entries."""
+        return (
+            self.fault is not StoreFault.NONE or now < self.watches_paused_until
+        )
 
     def note_silences(self, entries: list[str], now: float) -> None:
-        """Take note of who gets no answers now.
+        """Record which entries get no answers now.
 
-        What was open then is never answered, however long it stays open.
+        Calls that are open during a silence are never answered, however long
+        they stay open.
         """
         for entry in entries:
             if self.find_fault(entry) is StoreFault.SILENT:
-                self._silences[entry] = now
+                self._last_silence_at[entry] = now
 
     def was_silent(self, entry: str, since: float) -> bool:
         """Tell whether answers to an entry have been lost since a time."""
         if self.spares_quiet_watches:
             return self.find_fault(entry) is StoreFault.SILENT
-        return self._silences.get(entry, -1.0) >= since
+        return self._last_silence_at.get(entry, -1.0) >= since
 
-    async def forget_history_later(self) -> None:
-        """Tell watches of nothing for a second, then drop the history."""
-        self.deaf_until = trio.current_time() + _DEAF_S
-        await trio.sleep(_DEAF_S)
+    async def compact_after_pause(self) -> None:
+        """Send watches no changes for a second, then drop the history."""
+        self.watches_paused_until = trio.current_time() + _COMPACTION_PAUSE_S
+        await trio.sleep(_COMPACTION_PAUSE_S)
         self.forget_history()
 
     def forget_history(self) -> None:
-        """Drop all history, as a compaction does."""
-        self.dropped_to = self.revision
+        """Drop the history of changes, as a compaction does."""
+        self.compacted_revision = self.revision
         self.history.clear()
         self._changed.set()
         self._changed = trio.Event()
 
     async def wait_for_change(self) -> None:
-        """Wait until some key has changed."""
+        """Wait until a key changes or the history is dropped."""
         await self._changed.wait()
 
     def expire(self, now: float) -> None:
-        """Remove the keys of leases that have run out; called all the time."""
-        passed, self._expired_at = now - self._expired_at, now
-        away = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
-        if away and not self.lapses:
-            # They pause: what was left of each is left when it is back.
+        """Remove the keys of expired leases; called on each clock step."""
+        elapsed_s, self._last_expiry_at = now - self._last_expiry_at, now
+        is_unavailable = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
+        if is_unavailable and not self.lapses:
+            # Leases pause: each keeps its remaining time.
             self.leases = {
-                number: (ttl_s, end + passed)
+                number: (ttl_s, end + elapsed_s)
                 for number, (ttl_s, end) in self.leases.items()
             }
             return
-        gone = {n for n, (_, end) in self.leases.items() if end <= now}
-        for number in gone:
+        expired = {n for n, (_, end) in self.leases.items() if end <= now}
+        for number in expired:
             del self.leases[number]
-        for key in [k for k, i in self.items.items() if i.lease in gone]:
+        for key in [k for k, i in self.items.items() if i.lease in expired]:
             self.remove(key)
 
     def apply(
@@ -152,10 +162,10 @@
         writes: tuple[port.Write, ...],
         removals: tuple[str, ...],
     ) -> port.WriteOutcome:
-        """Carry a write out, all or nothing."""
+        """Apply a write if all its guards hold, else nothing of it."""
         for guard in guards:
-            held = self.items.get(guard.key)
-            if (held.revision if held else 0) != guard.revision:
+            item = self.items.get(guard.key)
+            if (item.revision if item else 0) != guard.revision:
                 return port.Mismatched(
                     {
                         g.key: self.read(g.key)
@@ -170,13 +180,13 @@
             self._set(write.key, write.value, write.lease)
         for key in removals:
             if key in self.items:
-                self._drop(key)
+                self._delete(key)
         return port.Written(self.revision)
 
     def read(self, key: str) -> records.Record:
-        """Return a key that is there."""
-        held = self.items[key]
-        return records.Record(key, held.value, held.revision)
+        """Return the record of a key that exists."""
+        item = self.items[key]
+        return records.Record(key, item.value, item.revision)
 
 
 class StoreView:
@@ -186,21 +196,23 @@
         self._store = store
         self._entry = entry
 
-    async def _arrive(self) -> StoreFault:
-        """Bring a call to the store; raises for what never gets there."""
+    async def _delay_call(self) -> StoreFault:
+        """Delay a call and return the fault that it meets."""
         fault = self._store.find_fault(self._entry)
-        slow = 75 if fault is StoreFault.SLOW else 1
-        await trio.sleep(_ANSWER_S * slow * self._store.random.uniform(0.5, 1))
-        if fault is StoreFault.SLOW and _ANSWER_S * slow > 1:
+        slowdown = 75 if fault is StoreFault.SLOW else 1
+        await trio.sleep(
+            _ANSWER_DELAY_S * slowdown * self._store.random.uniform(0.5, 1)
+        )
+        if fault is StoreFault.SLOW and _ANSWER_DELAY_S * slowdown > 1:
             raise client.StoreUnavailableError("slow")
         return fault
 
-    async def _fetch(self) -> None:
+    async def _begin_call(self) -> None:
         self._store.calls += 1
-        await self._answer()
+        await self._delay_or_fail()
 
-    async def _answer(self) -> None:
-        fault = await self._arrive()
+    async def _delay_or_fail(self) -> None:
+        fault = await self._delay_call()
         if fault is StoreFault.BUSY:
             raise client.StoreUnavailableError("busy")
         if fault is StoreFault.SILENT:
@@ -208,13 +220,13 @@
             raise client.StoreUnavailableError("silent")
 
     async def read(self, key: str) -> records.Record | None:
-        """Return a key's record."""
-        await self._fetch()
+        """Return a key's record, if any."""
+        await self._begin_call()
         return self._store.read(key) if key in self._store.items else None
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
         """Return all records under a prefix."""
-        await self._fetch()
+        await self._begin_call()
         found = (k for k in sorted(self._store.items) if k.startswith(prefix))
         return records.Snapshot(
             tuple(map(self._store.read, found)), self._store.revision
@@ -228,16 +240,16 @@
         *,
         timeout_s: float = 1.0,
     ) -> port.WriteOutcome:
-        """Write all or nothing; some answers are lost."""
+        """Write all or nothing; the answer is lost under some faults."""
         self._store.calls += 1
-        fault = await self._arrive()
+        fault = await self._delay_call()
         if fault is StoreFault.BUSY:
             return port.NotWritten("busy")
         if fault is StoreFault.SILENT:
             await trio.sleep(timeout_s)
             return port.MaybeWritten("silent")
-        lossy = fault in (StoreFault.LOST, StoreFault.LATE)
-        if lossy and self._store.random.random() < 1 / 3:
+        loses_answers = fault in (StoreFault.LOST, StoreFault.LATE)
+        if loses_answers and self._store.random.random() < 1 / 3:
             if fault is StoreFault.LATE:
                 trio.lowlevel.spawn_system_task(
                     self._apply_late, guards, writes, removals
@@ -247,7 +259,7 @@
             await trio.sleep(timeout_s)
             return port.MaybeWritten("lost")
         outcome = self._store.apply(guards, writes, removals)
-        await trio.sleep(_ANSWER_S / 2)
+        await trio.sleep(_ANSWER_DELAY_S / 2)
         return outcome
 
     async def _apply_late(
@@ -256,42 +268,42 @@
         writes: tuple[port.Write, ...],
         removals: tuple[str, ...],
     ) -> None:
-        await trio.sleep(self._store.random.uniform(1.0, _LATEST_S))
+        await trio.sleep(self._store.random.uniform(1.0, _MAX_WRITE_DELAY_S))
         self._store.apply(guards, writes, removals)
 
     async def watch(
         self, prefix: str, revision: int, wait_s: float
     ) -> port.Changes:
-        """Wait for changes under a prefix."""
-        began = trio.current_time()
-        await self._fetch()
+        """Wait for changes under a prefix after a revision."""
+        started_at = trio.current_time()
+        await self._begin_call()
         if prefix in self._store.refused_watches:
             raise client.StoreUnavailableError("status 429")
         with trio.move_on_after(wait_s):
             while True:
-                if revision < self._store.dropped_to:
+                if revision < self._store.compacted_revision:
                     raise port.HistoryGoneError(prefix)
-                if self._is_deaf():
-                    await trio.sleep_until(self._store.deaf_until)
+                if self._are_watches_paused():
+                    await trio.sleep_until(self._store.watches_paused_until)
                 elif self._find_events(prefix, revision):
                     break
                 else:
                     await self._store.wait_for_change()
         self._store.note_silences([self._entry], trio.current_time())
-        if self._store.was_silent(self._entry, began):
-            await trio.sleep_until(began + wait_s + _WATCH_TIMEOUT_S)
+        if self._store.was_silent(self._entry, started_at):
+            await trio.sleep_until(started_at + wait_s + _WATCH_TIMEOUT_S)
             raise client.StoreUnavailableError("the answer was lost")
-        await self._answer()
-        if self._is_deaf():
+        await self._delay_or_fail()
+        if self._are_watches_paused():
             return port.Changes((), revision)
-        if revision < self._store.dropped_to:
-            # Dropped while the answer was on its way.
+        if revision < self._store.compacted_revision:
+            # The history was dropped while the answer was on its way.
             raise port.HistoryGoneError(prefix)
         found = self._find_events(prefix, revision)
         return port.Changes(found, self._store.revision)
 
-    def _is_deaf(self) -> bool:
-        return trio.current_time() < self._store.deaf_until
+    def _are_watches_paused(self) -> bool:
+        return trio.current_time() < self._store.watches_paused_until
 
     def _find_events(
         self, prefix: str, revision: int
@@ -304,16 +316,16 @@
         )
 
     async def grant(self, ttl_s: float) -> int:
-        """Open a lease."""
-        await self._fetch()
+        """Grant a lease."""
+        await self._begin_call()
         self._store.revision += 1
         number = self._store.revision
         self._store.leases[number] = (ttl_s, trio.current_time() + ttl_s)
         return number
 
     async def keep(self, lease: int) -> bool:
-        """Renew a lease."""
-        await self._fetch()
+        """Renew a lease; return False if it has expired."""
+        await self._begin_call()
         self._store.expire(trio.current_time())
         if lease not in self._store.leases:
             return False
