--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -81,7 +81,7 @@
         self.policy = policy
         self.rng = random.Random(seed)
         self.read_clock = read_clock
-        self.book = work.Book(1)
+        self.book = work.PoolState(1)
         self.reserved = reservations.Reservations()
         self.running: dict[work.TaskKey, _Running] = {}
         self.ends: dict[str, list[orders.Ended]] = {}
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -112,8 +112,8 @@
     ]
 
 
-def _build_large_book(rng: random.Random) -> work.Book:
-    book = work.Book(1)
+def _build_large_book(rng: random.Random) -> work.PoolState:
+    book = work.PoolState(1)
     for number in range(_LARGE_WORKERS):
         labels = frozenset({"a", f"r0-{number // 14}"})
         room = work.Room(64_000, 262_144, 16)
@@ -129,7 +129,7 @@
 
 
 def _put_job(
-    book: work.Book, rng: random.Random, job_id: str, now: float
+    book: work.PoolState, rng: random.Random, job_id: str, now: float
 ) -> int:
     count = rng.choice((1, 4, 8, 16, 32, 64, 128))
     step = work.Step(
@@ -157,7 +157,7 @@
     return count
 
 
-def _end_run(book: work.Book, key: work.TaskKey, now: float) -> None:
+def _end_run(book: work.PoolState, key: work.TaskKey, now: float) -> None:
     """End a run well, as its worker would tell."""
     run = book.runs.get(key)
     if run is None:
@@ -174,7 +174,7 @@
 
 
 def _decide(
-    book: work.Book, now: float, note: Callable[[float], object]
+    book: work.PoolState, now: float, note: Callable[[float], object]
 ) -> None:
     began = time.perf_counter()
     plan = work.plan(book, now, now)
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         policy: orders.PolicyPort | None,
-        book: work.Book,
+        book: work.PoolState,
         times: clock.Clock,
         changed: Callable[[], None],
     ) -> None:
--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -26,7 +26,7 @@
         self,
         store: port.KeyValueStore,
         pool: str,
-        book: work.Book,
+        book: work.PoolState,
         times: clock.Clock,
         metrics: Metrics,
         changed: Callable[[], None],
--- a/crocusrouter/pools/expiry.py
+++ b/crocusrouter/pools/expiry.py
@@ -22,7 +22,7 @@
 async def expire_jobs(
     store: port.KeyValueStore,
     held: tenures.Tenure,
-    book: work.Book,
+    book: work.PoolState,
     read_clock: Callable[[], float],
     keep_s: float,
 ) -> None:
--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -34,7 +34,7 @@
         self,
         store: port.KeyValueStore,
         held: tenures.Tenure,
-        book: work.Book,
+        book: work.PoolState,
         revisions: dict[str, int],
     ) -> None:
         """Open a journal.
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -41,7 +41,7 @@
         worker: str,
         port: orders.WorkerPort,
         epoch: int,
-        book: work.Book,
+        book: work.PoolState,
         times: clock.Clock,
         settle: Callable[[], Awaitable[None]],
         may_renew: Callable[[], bool],
--- a/crocusrouter/pools/listing.py
+++ b/crocusrouter/pools/listing.py
@@ -60,7 +60,7 @@
         source: Source,
         store: port.KeyValueStore,
         pool: str,
-        book: work.Book,
+        book: work.PoolState,
         times: clock.Clock,
         metrics: Metrics,
         listeners: Listeners,
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -100,7 +100,7 @@
         """
         self.pool = held.pool
         self.epoch = held.epoch
-        self.book = work.Book(held.epoch)
+        self.book = work.PoolState(held.epoch)
         self.is_loaded = False
         self.is_recovered = False
         self._tenure = held
--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -41,7 +41,7 @@
         self,
         store: port.KeyValueStore,
         held: tenures.Tenure,
-        book: work.Book,
+        book: work.PoolState,
         is_durable: Callable[[str], bool],
         read_clock: Callable[[], float],
     ) -> None:
--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -33,7 +33,9 @@
         for key, held in self._held.items():
             yield key, held.placement.spots
 
-    def take_ready(self, book: work.Book, now: float) -> list[work.Placement]:
+    def take_ready(
+        self, book: work.PoolState, now: float
+    ) -> list[work.Placement]:
         """Return the placements whose room is free now, and drop them.
 
         Reservations that can't be kept any more are dropped too.
@@ -54,7 +56,7 @@
         return ready
 
 
-def _is_wanted(book: work.Book, placement: work.Placement) -> bool:
+def _is_wanted(book: work.PoolState, placement: work.Placement) -> bool:
     held = book.live.get(placement.step.job)
     found = book.find_work(placement.step)
     if held is None or found is None:
@@ -62,7 +64,9 @@
     return set(placement.spots) <= found.waiting
 
 
-def _has_room(book: work.Book, placement: work.Placement, now: float) -> bool:
+def _has_room(
+    book: work.PoolState, placement: work.Placement, now: float
+) -> bool:
     found = book.find_work(placement.step)
     assert found is not None
     workers = list(placement.spots.values())
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -25,7 +25,10 @@
     """Keeps the record of one pool up to date."""
 
     def __init__(
-        self, store: port.KeyValueStore, held: tenures.Tenure, book: work.Book
+        self,
+        store: port.KeyValueStore,
+        held: tenures.Tenure,
+        book: work.PoolState,
     ) -> None:
         self._store = store
         self._tenure = held
--- a/crocusrouter/pools/tests/test_foreign_records.py
+++ b/crocusrouter/pools/tests/test_foreign_records.py
@@ -33,7 +33,7 @@
     store.put(keys.KNOWN_WORKERS + "match", value)
     view = stores.StoreView(store, "e0")
     held = tenure.Tenure(view, "match", tenure.Holder("e0"), clock.Clock())
-    opened = roster.Roster(view, held, work.Book(1))
+    opened = roster.Roster(view, held, work.PoolState(1))
     await opened.load()
     assert opened.list_unlisted(0.0) == []
 
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -53,7 +53,7 @@
 
 
 def _make_link(port, may_start=_always):
-    book = work.Book(1)
+    book = work.PoolState(1)
     book.set_worker(build.make_entry(_WORKER), 0.0)
     book.workers[_WORKER].reached = True
     times = clock.Clock(trio.current_time, lambda: 1e6 + trio.current_time())
--- a/crocusrouter/pools/tests/test_listing.py
+++ b/crocusrouter/pools/tests/test_listing.py
@@ -57,7 +57,7 @@
         listing.Source("listed/", _parse),
         store,
         "p",
-        book or work.Book(1),
+        book or work.PoolState(1),
         clock.Clock(trio.current_time, trio.current_time),
         metrics,
         listing.Listeners(
@@ -161,7 +161,7 @@
         )
         for revision, name in enumerate(told, 6)
     ]
-    book = work.Book(1)
+    book = work.PoolState(1)
     unlisted = []
     follower = listing.WorkerList(
         listing.Source(
--- a/crocusrouter/pools/tests/test_roster.py
+++ b/crocusrouter/pools/tests/test_roster.py
@@ -27,7 +27,7 @@
     store = stores.Store(1)
     store.put(keys.KNOWN_WORKERS + "p", cbor2.dumps([["w0", "w0:1", jobs]]))
     view = stores.StoreView(store, "e0")
-    book = work.Book(1)
+    book = work.PoolState(1)
     held = tenure.Tenure(view, "p", tenure.Holder("e0"), clock.Clock())
     opened = roster.Roster(view, held, book)
     await opened.load()
--- a/crocusrouter/pools/tests/test_upkeep.py
+++ b/crocusrouter/pools/tests/test_upkeep.py
@@ -56,7 +56,7 @@
         held,
         "e0",
         stores.StoreView(store, "e0"),
-        work.Book(1),
+        work.PoolState(1),
         clock.Clock(trio.current_time, lambda: 0.0),
         waves,
         lambda: None,
--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -85,7 +85,7 @@
         held: tenures.Tenure,
         holder: str,
         store: port.KeyValueStore,
-        book: work.Book,
+        book: work.PoolState,
         times: clock.Clock,
         waves: Waves,
         changed: Callable[[], None],
--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -2,7 +2,7 @@
 
 from crocusrouter.work.advice import Question
 from crocusrouter.work.advice import choose_question
-from crocusrouter.work.book import Book
+from crocusrouter.work.book import PoolState
 from crocusrouter.work.crashes import note_lapsed
 from crocusrouter.work.crashes import note_replaced
 from crocusrouter.work.crashes import note_silent
@@ -28,7 +28,7 @@
 
 __all__ = [
     "FINAL",
-    "Book",
+    "PoolState",
     "Job",
     "JobWork",
     "Placement",
--- a/crocusrouter/work/advice.py
+++ b/crocusrouter/work/advice.py
@@ -35,7 +35,7 @@
 
 
 def choose_question(
-    pool_state: pool_states.Book, now: float, wall: float
+    pool_state: pool_states.PoolState, now: float, wall: float
 ) -> Question | None:
     """Return the question that lets the first step in the order start.
 
@@ -57,7 +57,7 @@
 
 
 def _choose_workers(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     waiting_step: turns.WaitingStep,
     now: float,
 ) -> tuple[str, ...]:
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -20,7 +20,7 @@
 WorkerStop = tuple[str, orders.Stop]
 
 
-class Book:
+class PoolState:
     """Jobs, runs and workers of one pool.
 
     Attributes:
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -25,7 +25,7 @@
 
 
 def note_silent(
-    pool_state: pool_states.Book, worker_id: str, now: float
+    pool_state: pool_states.PoolState, worker_id: str, now: float
 ) -> None:
     """Record that a worker does not answer.
 
@@ -52,7 +52,7 @@
 
 
 def note_lapsed(
-    pool_state: pool_states.Book, worker_id: str, reason: str, now: float
+    pool_state: pool_states.PoolState, worker_id: str, reason: str, now: float
 ) -> None:
     """Record that a worker's leases have expired without an answer.
 
@@ -77,7 +77,7 @@
 
 
 def note_replaced(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker_id: str,
     now: float,
     successor: str | None = None,
@@ -106,7 +106,7 @@
 
 
 def _log_crash(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker: runs.Worker,
     suspected_runs: list[runs.Run],
 ) -> None:
@@ -124,7 +124,7 @@
 
 
 def withdraw_crash(
-    pool_state: pool_states.Book, key: model.TaskKey, run_number: int
+    pool_state: pool_states.PoolState, key: model.TaskKey, run_number: int
 ) -> None:
     """Remove the crash recorded for a run that its worker still reports.
 
@@ -148,7 +148,7 @@
 
 
 def clear_working_run(
-    pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
+    pool_state: pool_states.PoolState, run: runs.Run, worker: runs.Worker
 ) -> None:
     """Clear a step of suspicion once one of its tasks is seen to work.
 
@@ -177,7 +177,7 @@
 
 
 def clear_working_step(
-    pool_state: pool_states.Book, tracked_step: runs.StepWork, index: int
+    pool_state: pool_states.PoolState, tracked_step: runs.StepWork, index: int
 ) -> None:
     """Stop counting crashes of a step as early once one of its tasks works.
 
@@ -210,7 +210,9 @@
 
 
 def _list_suspected_runs(
-    pool_state: pool_states.Book, worker: runs.Worker, lost_runs: list[runs.Run]
+    pool_state: pool_states.PoolState,
+    worker: runs.Worker,
+    lost_runs: list[runs.Run],
 ) -> list[runs.Run]:
     """Return the runs that may have crashed a worker.
 
@@ -232,7 +234,7 @@
 
 
 def _fail_crashing_tasks(
-    pool_state: pool_states.Book, crashed_runs: list[runs.Run], now: float
+    pool_state: pool_states.PoolState, crashed_runs: list[runs.Run], now: float
 ) -> None:
     """Fail the jobs of tasks under which too many workers have crashed."""
     for run in crashed_runs:
@@ -242,7 +244,7 @@
 
 
 def _record_crash(
-    pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
+    pool_state: pool_states.PoolState, run: runs.Run, worker: runs.Worker
 ) -> None:
     if run.work is None or run.key.job not in pool_state.live:
         return
@@ -261,7 +263,9 @@
     return run.work.kept.crashes.get(run.key.position, [])
 
 
-def _fail_job(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
+def _fail_job(
+    pool_state: pool_states.PoolState, run: runs.Run, now: float
+) -> None:
     tracked_job = pool_state.jobs.get(run.key.job)
     if tracked_job is None or tracked_job.is_final:
         return
--- a/crocusrouter/work/pacing.py
+++ b/crocusrouter/work/pacing.py
@@ -39,7 +39,7 @@
     percent: int
 
 
-def choose_paces(pool_state: pool_states.Book, now: float) -> list[Pace]:
+def choose_paces(pool_state: pool_states.PoolState, now: float) -> list[Pace]:
     """Return the filling runs whose pace must change.
 
     Args:
@@ -59,7 +59,7 @@
 
 
 def _read_worker(
-    pool_state: pool_states.Book, worker: runs.Worker
+    pool_state: pool_states.PoolState, worker: runs.Worker
 ) -> tuple[list[runs.Run], float]:
     """Return a worker's filling runs and the highest pressure on it."""
     filling_runs = []
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        pool_state: pool_states.Book,
+        pool_state: pool_states.PoolState,
         now: float,
         wall: float,
         reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
@@ -476,7 +476,7 @@
 
 
 def plan(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     now: float,
     wall: float,
     *,
--- a/crocusrouter/work/racks.py
+++ b/crocusrouter/work/racks.py
@@ -16,7 +16,7 @@
 class Racks:
     """The racks of a pool, as they are during one plan."""
 
-    def __init__(self, pool_state: pool_states.Book) -> None:
+    def __init__(self, pool_state: pool_states.PoolState) -> None:
         """Prepare for one plan.
 
         Args:
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -13,7 +13,10 @@
 
 
 def add_successor(
-    pool_state: pool_states.Book, worker_id: str, successor: str, now: float
+    pool_state: pool_states.PoolState,
+    worker_id: str,
+    successor: str,
+    now: float,
 ) -> None:
     """Add an incarnation that the platform may not list yet.
 
@@ -36,7 +39,7 @@
 
 
 def note_gone(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker_id: str,
     now: float,
     successor: str | None = None,
@@ -78,13 +81,15 @@
     pool_state.note_lapsed(worker_id, "another incarnation answers", now)
 
 
-def _stop_gang(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
+def _stop_gang(
+    pool_state: pool_states.PoolState, run: runs.Run, now: float
+) -> None:
     """Stop a run's gang, since the other members need this one."""
     if run.work is not None and run.work.step.gang:
         pool_state.stop_step(run.work, "a member's worker has restarted", now)
 
 
-def map_incarnations(pool_state: pool_states.Book) -> dict[str, str]:
+def map_incarnations(pool_state: pool_states.PoolState) -> dict[str, str]:
     """Return the listed incarnation of each worker, by the worker's id."""
     return {
         worker.entry.worker: worker_id
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -12,7 +12,7 @@
 
 
 def take_report(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker_id: str,
     report: orders.Report,
     sent_at: float,
@@ -61,7 +61,7 @@
 
 
 def _apply_running(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker: runs.Worker,
     reported_run: orders.Running,
     now: float,
@@ -110,7 +110,7 @@
     )
 
 
-def _may_adopt(pool_state: pool_states.Book, key: model.TaskKey) -> bool:
+def _may_adopt(pool_state: pool_states.PoolState, key: model.TaskKey) -> bool:
     """Tell whether a run that a previous owner started is still wanted."""
     tracked_job = pool_state.jobs.get(key.job)
     tracked_step = pool_state.find_work(key)
@@ -123,7 +123,7 @@
 
 
 def _drop_missing_runs(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker: runs.Worker,
     running_by_key: dict[model.TaskKey, orders.Running],
     sent_at: float,
@@ -156,7 +156,7 @@
 
 
 def _apply_end(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker_id: str,
     run_end: orders.Ended,
     now: float,
@@ -208,7 +208,7 @@
 
 
 def _apply_success(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     tracked_job: runs.JobWork,
     tracked_step: runs.StepWork,
     key: model.TaskKey,
@@ -238,7 +238,7 @@
 
 
 def _apply_failure(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     tracked_job: runs.JobWork,
     tracked_step: runs.StepWork,
     run_end: orders.Ended,
--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/rescue.py
@@ -24,7 +24,7 @@
 
 
 def list_relocations(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     stalled_runs: list[runs.Run],
     now: float,
     wall: float,
@@ -61,7 +61,9 @@
     return run.phase is runs.Phase.RUNNING and not tracked_step.step.lasting
 
 
-def list_stalled(pool_state: pool_states.Book, now: float) -> list[runs.Run]:
+def list_stalled(
+    pool_state: pool_states.PoolState, now: float
+) -> list[runs.Run]:
     """Return the runs that make no progress.
 
     Each decision checks all runs, so most of them must be excluded by the
@@ -109,7 +111,7 @@
 
 
 def _is_worth_restarting(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     run: runs.Run,
     tracked_step: runs.StepWork,
     now: float,
@@ -136,7 +138,7 @@
 
 
 def add_gang_members(
-    pool_state: pool_states.Book, relocations: list[tuple[runs.Run, str]]
+    pool_state: pool_states.PoolState, relocations: list[tuple[runs.Run, str]]
 ) -> dict[model.TaskKey, tuple[runs.Run, str]]:
     """Return the runs to stop, with the other members of their gangs."""
     stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -46,7 +46,7 @@
 
 def make_book(*jobs, workers=("w0", "w1"), racks=None, guaranteed=None):
     """Return a pool state whose workers have all answered."""
-    pool_state = work.Book(epoch=1)
+    pool_state = work.PoolState(epoch=1)
     pool_state.guaranteed = guaranteed or {}
     for number, worker_id in enumerate(workers):
         rack = racks[number] if racks else "r0-0"
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -19,7 +19,9 @@
 _MAX_TRIAL_SHARE = 0.25
 
 
-def list_trial_workers(pool_state: pool_states.Book, now: float) -> set[str]:
+def list_trial_workers(
+    pool_state: pool_states.PoolState, now: float
+) -> set[str]:
     """Return the workers that are reserved for a trial now."""
     return {
         worker_id
@@ -29,7 +31,7 @@
 
 
 def choose_trial(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     tracked_step: runs.StepWork,
     spaces: list[packing.Space],
     trial_workers: set[str],
@@ -91,7 +93,7 @@
 
 
 def _exceeds_trial_share(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     spaces_by_index: dict[int, packing.Space],
     trial_workers: set[str],
 ) -> bool:
@@ -114,7 +116,7 @@
 
 
 def _is_quiet(
-    pool_state: pool_states.Book, space: packing.Space, now: float
+    pool_state: pool_states.PoolState, space: packing.Space, now: float
 ) -> bool:
     """Tell whether nothing has just started on a worker or is about to."""
     if _is_used_in_plan(pool_state, space):
@@ -124,7 +126,7 @@
 
 
 def _is_used_in_plan(
-    pool_state: pool_states.Book, space: packing.Space
+    pool_state: pool_states.PoolState, space: packing.Space
 ) -> bool:
     return space.free != pool_state.workers[space.worker].free
 
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -47,7 +47,7 @@
 
 
 def list_waiting_steps(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     now: float,
     wall: float,
     policy: policies.Policy = _DEFAULT,
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -69,7 +69,7 @@
 
 
 def choose_vm(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     pool: str,
     wave: vms.Wave,
     record: WaveRecord,
@@ -110,7 +110,7 @@
 
 
 def _measure_evacuation_loss(
-    pool_state: pool_states.Book, worker_id: str, now: float
+    pool_state: pool_states.PoolState, worker_id: str, now: float
 ) -> float:
     """Return the core-seconds that are lost if a worker is emptied now."""
     total_loss = 0.0
@@ -134,7 +134,10 @@
 
 
 def list_evacuations(
-    pool_state: pool_states.Book, worker_id: str, now: float, leave_by: float
+    pool_state: pool_states.PoolState,
+    worker_id: str,
+    now: float,
+    leave_by: float,
 ) -> list[tuple[runs.Run, str]]:
     """Return the runs to stop now so that a worker's VM can go down.
 
@@ -168,7 +171,7 @@
 
 
 def _should_stop(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     run: runs.Run,
     tracked_step: runs.StepWork,
     stops_left: dict[model.StepKey, int],
@@ -203,7 +206,7 @@
 
 
 def count_away(
-    pool_state: pool_states.Book, tracked_step: runs.StepWork
+    pool_state: pool_states.PoolState, tracked_step: runs.StepWork
 ) -> int:
     """Return how many tasks of a lasting step are not at work."""
     at_work_count = sum(
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -34,7 +34,7 @@
     cost: float
 
 
-def count_guaranteed(pool_state: pool_states.Book) -> dict[str, int]:
+def count_guaranteed(pool_state: pool_states.PoolState) -> dict[str, int]:
     """Return the accelerators that priority 0 uses now, by customer."""
     used_by_customer: collections.Counter[str] = collections.Counter()
     for tracked_job in pool_state.live.values():
@@ -65,7 +65,7 @@
     Each worker's ends of runs are listed once.
     """
 
-    def __init__(self, pool_state: pool_states.Book, now: float) -> None:
+    def __init__(self, pool_state: pool_states.PoolState, now: float) -> None:
         """Prepare for one plan.
 
         Args:
@@ -121,7 +121,7 @@
             room at no further loss.
     """
 
-    def __init__(self, pool_state: pool_states.Book, now: float) -> None:
+    def __init__(self, pool_state: pool_states.PoolState, now: float) -> None:
         """Prepare for one plan.
 
         Args:
