--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -174,13 +174,13 @@
         return outcome
 
 
-def _has_run(held: work.JobWork | None) -> bool:
+def _has_run(held: work.TrackedJob | None) -> bool:
     if held is None:
         return False
     return any(step.running for step in held.steps.values())
 
 
-def _has_waited(held: work.JobWork, now: float) -> bool:
+def _has_waited(held: work.TrackedJob, now: float) -> bool:
     """Tell whether tasks of a job have been in turn for a while."""
     return any(
         step.waiting and now > step.waiting_since + _WAITED_S
--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -24,13 +24,13 @@
 from crocusrouter.work.replacement import add_successor
 from crocusrouter.work.replacement import map_incarnations
 from crocusrouter.work.reports import take_report
-from crocusrouter.work.runs import JobWork
+from crocusrouter.work.runs import TrackedJob
 
 __all__ = [
     "FINAL",
     "PoolState",
     "Job",
-    "JobWork",
+    "TrackedJob",
     "Placement",
     "Plan",
     "Policy",
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -40,8 +40,8 @@
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
-        self.jobs: dict[str, runs.JobWork] = {}
-        self.live: dict[str, runs.JobWork] = {}
+        self.jobs: dict[str, runs.TrackedJob] = {}
+        self.live: dict[str, runs.TrackedJob] = {}
         self.workers: dict[str, runs.Worker] = {}
         self.runs: dict[model.TaskKey, runs.Run] = {}
         self.dirty: set[str] = set()
@@ -73,7 +73,7 @@
         """Add an accepted job, or record that a known job was cancelled."""
         tracked_job = self.jobs.get(job.id)
         if tracked_job is None:
-            tracked_job = runs.JobWork(job, progress, created)
+            tracked_job = runs.TrackedJob(job, progress, created)
             tracked_job.begun = (
                 bool(progress.steps) or progress.final is not None
             )
@@ -138,7 +138,7 @@
         )
 
     def _open_occurrence(
-        self, tracked_job: runs.JobWork, number: int, now: float
+        self, tracked_job: runs.TrackedJob, number: int, now: float
     ) -> None:
         for position, step in enumerate(tracked_job.job.steps):
             key = model.StepKey(tracked_job.job.id, number, position)
@@ -149,7 +149,7 @@
             tracked_job.steps[key] = tracked_step
 
     def _close_job(
-        self, tracked_job: runs.JobWork, reason: str, now: float
+        self, tracked_job: runs.TrackedJob, reason: str, now: float
     ) -> None:
         """Mark a job as over and stop its runs.
 
@@ -201,7 +201,7 @@
         )
 
     def is_ready(
-        self, tracked_job: runs.JobWork, tracked_step: runs.StepWork
+        self, tracked_job: runs.TrackedJob, tracked_step: runs.StepWork
     ) -> bool:
         """Tell whether all steps that a step depends on have succeeded."""
         key = tracked_step.key
@@ -274,7 +274,7 @@
         return frozenset(blocked_jobs)
 
     def may_run_unseen(
-        self, tracked_job: runs.JobWork, blocked_jobs: frozenset[str] | None
+        self, tracked_job: runs.TrackedJob, blocked_jobs: frozenset[str] | None
     ) -> bool:
         """Tell whether a job may be running on a worker that has not reported.
 
@@ -537,7 +537,7 @@
     # Ends of jobs.
 
     def finish(
-        self, tracked_job: runs.JobWork, state: model.State, now: float
+        self, tracked_job: runs.TrackedJob, state: model.State, now: float
     ) -> None:
         """Set a job's final state; callers see it once it is journaled."""
         if tracked_job.is_final:
@@ -547,7 +547,7 @@
         self.note("job:final", job=tracked_job.job.id, state=str(state))
         self._close_job(tracked_job, f"job {state}", now)
 
-    def finish_if_done(self, tracked_job: runs.JobWork, now: float) -> None:
+    def finish_if_done(self, tracked_job: runs.TrackedJob, now: float) -> None:
         """Finish a job if all of its tasks have succeeded."""
         if tracked_job.opened < tracked_job.job.occurrences:
             return
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -209,7 +209,7 @@
 
 def _apply_success(
     pool_state: pool_states.PoolState,
-    tracked_job: runs.JobWork,
+    tracked_job: runs.TrackedJob,
     tracked_step: runs.StepWork,
     key: model.TaskKey,
     worker_id: str,
@@ -239,7 +239,7 @@
 
 def _apply_failure(
     pool_state: pool_states.PoolState,
-    tracked_job: runs.JobWork,
+    tracked_job: runs.TrackedJob,
     tracked_step: runs.StepWork,
     run_end: orders.Ended,
     worker_id: str,
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -197,7 +197,7 @@
 
 
 @dataclasses.dataclass
-class JobWork:
+class TrackedJob:
     """One accepted job.
 
     Attributes:
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -25,7 +25,7 @@
         hopeless: Whether the job's result has no value any more.
     """
 
-    tracked_job: runs.JobWork
+    tracked_job: runs.TrackedJob
     tracked_step: runs.StepWork
     latest_start: float
     late: bool
@@ -85,7 +85,7 @@
 
 
 def _build_waiting_step(
-    tracked_job: runs.JobWork,
+    tracked_job: runs.TrackedJob,
     tracked_step: runs.StepWork,
     wall: float,
     policy: policies.Policy,
