--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -351,7 +351,7 @@
             )
 
     def _find_factor(
-        self, found: runs.StepWork, placement: work.Placement
+        self, found: runs.TrackedStep, placement: work.Placement
     ) -> float:
         racks = {
             label
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -144,7 +144,7 @@
             key = model.StepKey(tracked_job.job.id, number, position)
             progress = tracked_job.progress.get(number, position)
             waiting = set(range(step.count)) - progress.done
-            tracked_step = runs.StepWork(key, step, progress, waiting)
+            tracked_step = runs.TrackedStep(key, step, progress, waiting)
             tracked_step.waiting_since = now
             tracked_job.steps[key] = tracked_step
 
@@ -185,13 +185,13 @@
         self.jobs.pop(job_id, None)
         self.live.pop(job_id, None)
 
-    def list_step_runs(self, tracked_step: runs.StepWork) -> list[runs.Run]:
+    def list_step_runs(self, tracked_step: runs.TrackedStep) -> list[runs.Run]:
         """Return the runs of a step."""
         return list(tracked_step.running.values())
 
     def find_work(
         self, key: model.TaskKey | model.StepKey
-    ) -> runs.StepWork | None:
+    ) -> runs.TrackedStep | None:
         """Return the step of a task; None if its job is unknown."""
         tracked_job = self.jobs.get(key.job)
         if tracked_job is None:
@@ -201,7 +201,7 @@
         )
 
     def is_ready(
-        self, tracked_job: runs.TrackedJob, tracked_step: runs.StepWork
+        self, tracked_job: runs.TrackedJob, tracked_step: runs.TrackedStep
     ) -> bool:
         """Tell whether all steps that a step depends on have succeeded."""
         key = tracked_step.key
@@ -379,7 +379,7 @@
         return run
 
     def _assign_run(
-        self, run: runs.Run, tracked_step: runs.StepWork, worker_id: str
+        self, run: runs.Run, tracked_step: runs.TrackedStep, worker_id: str
     ) -> None:
         worker = self.workers[worker_id]
         if run.key not in worker.runs:
@@ -442,7 +442,7 @@
             self.note("stops:slower", expected_s=round(expected_s, 3))
 
     def stop_step(
-        self, tracked_step: runs.StepWork, reason: str, now: float
+        self, tracked_step: runs.TrackedStep, reason: str, now: float
     ) -> None:
         """Stop all runs of a step."""
         for run in self.list_step_runs(tracked_step):
@@ -526,7 +526,10 @@
             )
 
     def keep_checkpoint(
-        self, tracked_step: runs.StepWork, key: model.TaskKey, checkpoint: str
+        self,
+        tracked_step: runs.TrackedStep,
+        key: model.TaskKey,
+        checkpoint: str,
     ) -> None:
         """Store the checkpoint from which a task or its gang resumes."""
         index = 0 if tracked_step.step.gang else key.position
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -177,7 +177,9 @@
 
 
 def clear_working_step(
-    pool_state: pool_states.PoolState, tracked_step: runs.StepWork, index: int
+    pool_state: pool_states.PoolState,
+    tracked_step: runs.TrackedStep,
+    index: int,
 ) -> None:
     """Stop counting crashes of a step as early once one of its tasks works.
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -210,7 +210,7 @@
 def _apply_success(
     pool_state: pool_states.PoolState,
     tracked_job: runs.TrackedJob,
-    tracked_step: runs.StepWork,
+    tracked_step: runs.TrackedStep,
     key: model.TaskKey,
     worker_id: str,
     now: float,
@@ -240,7 +240,7 @@
 def _apply_failure(
     pool_state: pool_states.PoolState,
     tracked_job: runs.TrackedJob,
-    tracked_step: runs.StepWork,
+    tracked_step: runs.TrackedStep,
     run_end: orders.Ended,
     worker_id: str,
     now: float,
--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/rescue.py
@@ -57,7 +57,7 @@
     return relocations
 
 
-def _may_relocate(run: runs.Run, tracked_step: runs.StepWork) -> bool:
+def _may_relocate(run: runs.Run, tracked_step: runs.TrackedStep) -> bool:
     return run.phase is runs.Phase.RUNNING and not tracked_step.step.lasting
 
 
@@ -82,7 +82,10 @@
 
 
 def _outlasts_worker(
-    run: runs.Run, tracked_step: runs.StepWork, worker: runs.Worker, now: float
+    run: runs.Run,
+    tracked_step: runs.TrackedStep,
+    worker: runs.Worker,
+    now: float,
 ) -> bool:
     """Tell whether a run should be stopped since its worker leaves first.
 
@@ -98,7 +101,9 @@
     return not tracked_step.step.checkpoints or left_s <= 2 * _RESTART_S
 
 
-def is_stalled(run: runs.Run, tracked_step: runs.StepWork, now: float) -> bool:
+def is_stalled(
+    run: runs.Run, tracked_step: runs.TrackedStep, now: float
+) -> bool:
     """Tell whether a run has made no progress for longer than by chance."""
     stalled_s = now - run.progressed_at
     expected_s = tracked_step.step.expected_s
@@ -113,7 +118,7 @@
 def _is_worth_restarting(
     pool_state: pool_states.PoolState,
     run: runs.Run,
-    tracked_step: runs.StepWork,
+    tracked_step: runs.TrackedStep,
     now: float,
     wall: float,
 ) -> bool:
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -61,7 +61,7 @@
     maybe_begun: bool = False
     why: str = ""
     stop_ordered_at: float = 0.0
-    work: "StepWork | None" = None
+    work: "TrackedStep | None" = None
     pace: int = 100
     paced_at: float = 0.0
 
@@ -160,7 +160,7 @@
 
 
 @dataclasses.dataclass
-class StepWork:
+class TrackedStep:
     """One step of one occurrence of a job that is not over.
 
     Attributes:
@@ -219,7 +219,7 @@
     job: model.Job
     progress: progresses.Progress
     created: int = 0
-    steps: dict[model.StepKey, StepWork] = dataclasses.field(
+    steps: dict[model.StepKey, TrackedStep] = dataclasses.field(
         default_factory=dict
     )
     opened: int = 0
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -32,7 +32,7 @@
 
 def choose_trial(
     pool_state: pool_states.PoolState,
-    tracked_step: runs.StepWork,
+    tracked_step: runs.TrackedStep,
     spaces: list[packing.Space],
     trial_workers: set[str],
     now: float,
@@ -77,7 +77,7 @@
     return spaces_by_index
 
 
-def may_skip_trial(tracked_step: runs.StepWork, now: float) -> bool:
+def may_skip_trial(tracked_step: runs.TrackedStep, now: float) -> bool:
     """Tell whether a suspected step may start without a trial.
 
     After one crash a step is more often innocent than not, and should not wait
@@ -131,12 +131,12 @@
     return space.free != pool_state.workers[space.worker].free
 
 
-def _has_waited_long(tracked_step: runs.StepWork, now: float) -> bool:
+def _has_waited_long(tracked_step: runs.TrackedStep, now: float) -> bool:
     waiting_since = tracked_step.waiting_since
     return waiting_since is not None and now - waiting_since >= _MAX_WAIT_S
 
 
-def _choose_index(tracked_step: runs.StepWork) -> int:
+def _choose_index(tracked_step: runs.TrackedStep) -> int:
     """Return the task with the most crashes, as the most informative one."""
     return max(
         tracked_step.waiting,
@@ -148,7 +148,7 @@
 
 
 def _spread_gang(
-    tracked_step: runs.StepWork, quiet_spaces: list[packing.Space]
+    tracked_step: runs.TrackedStep, quiet_spaces: list[packing.Space]
 ) -> dict[int, packing.Space] | None:
     """Return spaces for all members of a gang, in one rack if possible."""
     racks = list(packing.group_by_rack(quiet_spaces).values())
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -26,7 +26,7 @@
     """
 
     tracked_job: runs.TrackedJob
-    tracked_step: runs.StepWork
+    tracked_step: runs.TrackedStep
     latest_start: float
     late: bool
     hopeless: bool
@@ -86,7 +86,7 @@
 
 def _build_waiting_step(
     tracked_job: runs.TrackedJob,
-    tracked_step: runs.StepWork,
+    tracked_step: runs.TrackedStep,
     wall: float,
     policy: policies.Policy,
 ) -> WaitingStep:
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -173,7 +173,7 @@
 def _should_stop(
     pool_state: pool_states.PoolState,
     run: runs.Run,
-    tracked_step: runs.StepWork,
+    tracked_step: runs.TrackedStep,
     stops_left: dict[model.StepKey, int],
     now: float,
     leave_by: float,
@@ -206,7 +206,7 @@
 
 
 def count_away(
-    pool_state: pool_states.PoolState, tracked_step: runs.StepWork
+    pool_state: pool_states.PoolState, tracked_step: runs.TrackedStep
 ) -> int:
     """Return how many tasks of a lasting step are not at work."""
     at_work_count = sum(
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -50,7 +50,7 @@
 
 
 def estimate_rest(
-    run: runs.Run, tracked_step: runs.StepWork, now: float
+    run: runs.Run, tracked_step: runs.TrackedStep, now: float
 ) -> float:
     """Return the estimated seconds until a run ends."""
     ran_s = now - (run.confirmed_at if run.confirmed_at else run.since)
@@ -99,7 +99,7 @@
 
 
 def measure_loss(
-    run: runs.Run, tracked_step: runs.StepWork, now: float
+    run: runs.Run, tracked_step: runs.TrackedStep, now: float
 ) -> float:
     """Return the core-seconds of work that are lost if a run stops now.
 
@@ -191,7 +191,7 @@
         return candidates
 
     def _measure_run_loss(
-        self, tracked_step: runs.StepWork, run: runs.Run
+        self, tracked_step: runs.TrackedStep, run: runs.Run
     ) -> float:
         """Return the loss of stopping a run together with its whole gang."""
         if not tracked_step.step.gang:
@@ -211,7 +211,7 @@
 
     loss: float
     run: runs.Run
-    tracked_step: runs.StepWork
+    tracked_step: runs.TrackedStep
 
 
 def choose_victims(
