--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -70,7 +70,7 @@
         site: loads.Site,
         arrivals: list[loads.Arrival],
         troubles: list[loads.Trouble],
-        policy: work.Policy,
+        policy: work.PlannerPolicy,
         seed: int,
         read_clock: Callable[[], float],
     ) -> None:
@@ -407,7 +407,7 @@
     site: loads.Site,
     arrivals: list[loads.Arrival],
     troubles: list[loads.Trouble],
-    policy: work.Policy,
+    policy: work.PlannerPolicy,
     seed: int,
     read_clock: Callable[[], float],
     length_s: float = 34.0,
--- a/bench/replay/tests/test_bound.py
+++ b/bench/replay/tests/test_bound.py
@@ -27,7 +27,7 @@
     arrivals = replay.draw_arrivals(site, seed, _LENGTH_S)
     troubles = replay.draw_troubles(site, seed, _LENGTH_S)
     outcome = replay.play_day(
-        site, arrivals, troubles, work.Policy(), seed, lambda: 0.0
+        site, arrivals, troubles, work.PlannerPolicy(), seed, lambda: 0.0
     )
     earned = replay.measure_worth(outcome.served, outcome.wasted).whole
     assert earned <= _bound(site, arrivals, troubles, seed) + 1e-9
--- a/bench/replay/tests/test_days.py
+++ b/bench/replay/tests/test_days.py
@@ -66,8 +66,10 @@
 # stops they wait for what runs; the day and its worst windows pay for it.
 @pytest.mark.parametrize("site", ["fbusw", "kilima", "rosario"])
 def test_urgent_work_may_stop_other_work(site):
-    kept = _play(site, work.Policy())
-    plain = _play(site, work.Policy(loss_factor=0.0, second_loss_factor=0.0))
+    kept = _play(site, work.PlannerPolicy())
+    plain = _play(
+        site, work.PlannerPolicy(loss_factor=0.0, second_loss_factor=0.0)
+    )
     gain = statistics.mean(
         a.mark - b.mark for a, b in zip(kept, plain, strict=True)
     )
@@ -78,8 +80,10 @@
 # third hold one accelerator of each. Those that make checkpoints make room.
 def test_second_priority_stops_what_goes_on_from_a_checkpoint():
     kind = "trail-render"
-    kept = _play("kilima", work.Policy(), _MORE_SEEDS)
-    before = _play("kilima", work.Policy(second_loss_factor=0.0), _MORE_SEEDS)
+    kept = _play("kilima", work.PlannerPolicy(), _MORE_SEEDS)
+    before = _play(
+        "kilima", work.PlannerPolicy(second_loss_factor=0.0), _MORE_SEEDS
+    )
     gain = statistics.mean(
         a.kinds[kind] - b.kinds[kind] for a, b in zip(kept, before, strict=True)
     )
@@ -89,10 +93,10 @@
 # A gang that runs over several racks takes three times as long, and holds its
 # workers as long: under load the next ones wait for them.
 def test_gangs_wait_for_one_rack():
-    kept = _play("kilima", work.Policy())
+    kept = _play("kilima", work.PlannerPolicy())
     spread = _play(
         "kilima",
-        work.Policy(rack_patience=0.0, guaranteed_rack_patience_s=0.0),
+        work.PlannerPolicy(rack_patience=0.0, guaranteed_rack_patience_s=0.0),
     )
     gain = statistics.mean(
         a.mark - b.mark for a, b in zip(kept, spread, strict=True)
@@ -107,8 +111,8 @@
     [("rosario", _MORE_SEEDS, 0.01), ("crowded", _FEW_SEEDS, 0.01)],
 )
 def test_gangs_wait_longer_for_one_rack_where_room_is_short(site, seeds, gain):
-    kept = _play(site, work.Policy(), seeds)
-    before = _play(site, work.Policy(rack_patience=2.0), seeds)
+    kept = _play(site, work.PlannerPolicy(), seeds)
+    before = _play(site, work.PlannerPolicy(rack_patience=2.0), seeds)
     gained = statistics.mean(
         a.mark - b.mark for a, b in zip(kept, before, strict=True)
     )
@@ -119,8 +123,8 @@
 # gaps between them is stopped again at once, and they wait for those stops.
 @pytest.mark.parametrize("site", ["kilima", "rosario"])
 def test_room_is_left_to_urgent_work_after_it_had_to_stop_others(site):
-    kept = _count_stops(site, work.Policy())
-    before = _count_stops(site, work.Policy(hold_back_s=0.0))
+    kept = _count_stops(site, work.PlannerPolicy())
+    before = _count_stops(site, work.PlannerPolicy(hold_back_s=0.0))
     assert kept < 0.92 * before
 
 
@@ -130,14 +134,14 @@
         site, 1, 9.0
     )
     _play_days.cache_clear()
-    again = _play.__wrapped__("fbusw", work.Policy())
-    assert again == _play("fbusw", work.Policy())
+    again = _play.__wrapped__("fbusw", work.PlannerPolicy())
+    assert again == _play("fbusw", work.PlannerPolicy())
 
 
 def test_nobody_is_served_half_as_well_as_the_mean():
     for site in replay.SITES:
         seeds = _FEW_SEEDS if site == "large" else _SEEDS
-        days = _play(site, work.Policy(), seeds)
+        days = _play(site, work.PlannerPolicy(), seeds)
         mean = statistics.mean(day.whole for day in days)
         for name in days[0].kinds:
             share = statistics.mean(day.kinds.get(name, 1.0) for day in days)
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -15,10 +15,12 @@
 _FIRST_SEED = 1000
 # The policy in force, the one before it, and two plain baselines.
 _POLICIES = {
-    "in force": work.Policy(),
-    "second priority stops nobody": work.Policy(second_loss_factor=0.0),
-    "nobody stops others": work.Policy(loss_factor=0.0, second_loss_factor=0.0),
-    "racks not waited for": work.Policy(
+    "in force": work.PlannerPolicy(),
+    "second priority stops nobody": work.PlannerPolicy(second_loss_factor=0.0),
+    "nobody stops others": work.PlannerPolicy(
+        loss_factor=0.0, second_loss_factor=0.0
+    ),
+    "racks not waited for": work.PlannerPolicy(
         rack_patience=0.0, guaranteed_rack_patience_s=0.0
     ),
 }
@@ -36,7 +38,7 @@
         # Twice the workers: what troubles alone cost, whatever the policy.
         roomy = dataclasses.replace(site, workers=2 * site.workers)
         found += _measure_policy(
-            site, "in force, twice the workers", work.Policy(), roomy
+            site, "in force, twice the workers", work.PlannerPolicy(), roomy
         )
     return found
 
@@ -44,7 +46,7 @@
 def _measure_policy(
     site: replay.Site,
     name: str,
-    policy: work.Policy,
+    policy: work.PlannerPolicy,
     played: replay.Site | None = None,
 ) -> list[figures.Figure]:
     """Play all days; what comes is drawn for `site`, whoever serves it."""
--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -17,7 +17,7 @@
 from crocusrouter.work.planner import Placement
 from crocusrouter.work.planner import Plan
 from crocusrouter.work.planner import plan
-from crocusrouter.work.policy import Policy
+from crocusrouter.work.policy import PlannerPolicy
 from crocusrouter.work.progress import Progress
 from crocusrouter.work.progress import dump_progress
 from crocusrouter.work.progress import parse_progress
@@ -33,7 +33,7 @@
     "TrackedJob",
     "Placement",
     "Plan",
-    "Policy",
+    "PlannerPolicy",
     "Progress",
     "Question",
     "Room",
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -20,7 +20,7 @@
 from crocusrouter.work import turns
 from crocusrouter.work import victims
 
-_DEFAULT = policies.Policy()
+_DEFAULT = policies.PlannerPolicy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -95,7 +95,7 @@
         now: float,
         wall: float,
         reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-        policy: policies.Policy = _DEFAULT,
+        policy: policies.PlannerPolicy = _DEFAULT,
     ) -> None:
         self._pool_state = pool_state
         self._policy = policy
@@ -481,7 +481,7 @@
     wall: float,
     *,
     reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-    policy: policies.Policy = _DEFAULT,
+    policy: policies.PlannerPolicy = _DEFAULT,
 ) -> Plan:
     """Return what to start and stop now.
 
--- a/crocusrouter/work/policy.py
+++ b/crocusrouter/work/policy.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Policy:
+class PlannerPolicy:
     """All weights and limits of the planner.
 
     Attributes:
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -10,7 +10,7 @@
 from crocusrouter.work import policy as policies
 from crocusrouter.work import runs
 
-_DEFAULT = policies.Policy()
+_DEFAULT = policies.PlannerPolicy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -50,7 +50,7 @@
     pool_state: pool_states.PoolState,
     now: float,
     wall: float,
-    policy: policies.Policy = _DEFAULT,
+    policy: policies.PlannerPolicy = _DEFAULT,
 ) -> list[WaitingStep]:
     """Return the steps with waiting tasks, in scheduling order.
 
@@ -88,7 +88,7 @@
     tracked_job: runs.TrackedJob,
     tracked_step: runs.TrackedStep,
     wall: float,
-    policy: policies.Policy,
+    policy: policies.PlannerPolicy,
 ) -> WaitingStep:
     job = tracked_job.job
     due_at = job.find_due(tracked_step.key.occurrence)
