--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -64,7 +64,7 @@
                 with trio.CancelScope(shield=True):
                     await self._policy.aclose()
 
-    async def _ask(self, question: work.Question) -> None:
+    async def _ask(self, question: work.PolicyQuestion) -> None:
         step = question.step
         if self._policy is None:
             log("policy:no-address", step=step, remedy="set policy_address")
--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -1,6 +1,6 @@
 """Scheduling core: the state of a pool, and the decisions based on it."""
 
-from crocusrouter.work.advice import Question
+from crocusrouter.work.advice import PolicyQuestion
 from crocusrouter.work.advice import choose_question
 from crocusrouter.work.book import PoolState
 from crocusrouter.work.crashes import note_lapsed
@@ -35,7 +35,7 @@
     "Plan",
     "PlannerPolicy",
     "Progress",
-    "Question",
+    "PolicyQuestion",
     "Room",
     "State",
     "Step",
--- a/crocusrouter/work/advice.py
+++ b/crocusrouter/work/advice.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Question:
+class PolicyQuestion:
     """The next question to the policy service.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 def choose_question(
     pool_state: pool_states.PoolState, now: float, wall: float
-) -> Question | None:
+) -> PolicyQuestion | None:
     """Return the question that lets the first step in the order start.
 
     Steps are considered in the planner's order. A step needs no question while
@@ -52,7 +52,7 @@
             continue
         worker_ids = _choose_workers(pool_state, waiting_step, now)
         if worker_ids:
-            return Question(waiting_step.tracked_step.key, worker_ids)
+            return PolicyQuestion(waiting_step.tracked_step.key, worker_ids)
     return None
 
 
--- a/crocusrouter/work/tests/test_advice.py
+++ b/crocusrouter/work/tests/test_advice.py
@@ -56,7 +56,7 @@
     pool_state = _make_book(build.make_step(count, gpu=8))
     _fill_workers(pool_state, *full)
     question = work.choose_question(pool_state, 0.0, build.WALL)
-    assert question == work.Question(_STEP_KEY, asked)
+    assert question == work.PolicyQuestion(_STEP_KEY, asked)
 
 
 @pytest.mark.parametrize(
