--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -47,7 +47,7 @@
         self.dirty: set[str] = set()
         self.outbox: list[WorkerStop] = []
         self.guaranteed: dict[str, int] = {}
-        self.stop_times = stopping.StopTimes()
+        self.stop_times = stopping.StopDurations()
         self.contended_at: float | None = None
         self.events: collections.deque[tuple[str, dict[str, object]]] = (
             collections.deque(maxlen=2000)
--- a/crocusrouter/work/stopping.py
+++ b/crocusrouter/work/stopping.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass
-class StopTimes:
+class StopDurations:
     """Seconds from the decision to stop a run until its end is listed.
 
     The estimate is not kept over a takeover; a new owner learns it from its
