--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -164,7 +164,7 @@
         self.ends.pop(name)
         for run in list(self.running.values()):
             if run.worker == name and self.running.get(run.key) is run:
-                self._end(run, orders.How.BROKEN)
+                self._end(run, orders.RunOutcome.BROKEN)
         self.book.unlist_worker(name)
         replacement.note_gone(self.book, name, now)
 
@@ -211,13 +211,13 @@
             if now >= run.restored_at:
                 run.done_s += _TICK_S * speed
             if run.stops_at is not None and now >= run.stops_at:
-                self._end(run, orders.How.STOPPED)
+                self._end(run, orders.RunOutcome.STOPPED)
             elif run.fails_at is not None and run.done_s >= run.fails_at:
-                self._end(run, orders.How.FAILED)
+                self._end(run, orders.RunOutcome.FAILED)
             elif run.done_s >= run.total_s:
-                self._end(run, orders.How.DONE)
+                self._end(run, orders.RunOutcome.DONE)
 
-    def _end(self, run: _Running, how: orders.How) -> None:
+    def _end(self, run: _Running, how: orders.RunOutcome) -> None:
         members = [run]
         if run.step.gang:
             members = [
@@ -228,12 +228,16 @@
         cause = self._name_cause(run, how)
         for member in members:
             del self.running[member.key]
-            ended = how if member is run or how is orders.How.DONE else None
-            self._list_end(member, ended or orders.How.BROKEN, cause)
+            ended = (
+                how if member is run or how is orders.RunOutcome.DONE else None
+            )
+            self._list_end(member, ended or orders.RunOutcome.BROKEN, cause)
 
-    def _list_end(self, run: _Running, how: orders.How, cause: str) -> None:
+    def _list_end(
+        self, run: _Running, how: orders.RunOutcome, cause: str
+    ) -> None:
         saved = ""
-        if how is not orders.How.DONE:
+        if how is not orders.RunOutcome.DONE:
             if run.step.checkpoints:
                 saved = f"{run.done_s:.3f}"
             else:
@@ -248,10 +252,10 @@
             )
         )
 
-    def _name_cause(self, run: _Running, how: orders.How) -> str:
+    def _name_cause(self, run: _Running, how: orders.RunOutcome) -> str:
         """Return why a run came to nothing, without names of jobs."""
         held = self.book.runs.get(run.key)
-        if how is orders.How.STOPPED and held is not None and held.why:
+        if how is orders.RunOutcome.STOPPED and held is not None and held.why:
             return _JOB.sub("JOB", held.why)
         if run.worker not in self.ends:
             return "its worker left"
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -170,7 +170,9 @@
         for other in held.runs
         if other != key
     )
-    ended = orders.Ended(held.noted + 1, key, run.number, orders.How.DONE)
+    ended = orders.Ended(
+        held.noted + 1, key, run.number, orders.RunOutcome.DONE
+    )
     report = orders.Report(0, rows, (ended,))
     work.take_report(book, run.worker, report, now, now)
 
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -32,7 +32,7 @@
 }
 # "IP:port"; a call to anything else fails in ways that name no worker.
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-_HOW = {how.value: how for how in orders.How}
+_HOW = {how.value: how for how in orders.RunOutcome}
 
 
 class PlatformConnection:
@@ -177,7 +177,7 @@
         return None
     # A word that we don't know is an end that was neither well nor the
     # task's own fault.
-    how = _HOW.get(row[3], orders.How.BROKEN)
+    how = _HOW.get(row[3], orders.RunOutcome.BROKEN)
     return orders.Ended(int(row[0]), key, int(row[2]), how, str(row[4] or ""))
 
 
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -337,7 +337,7 @@
                 ran_s=round((worker.silent_since or now) - run.since, 3),
             )
             self.drop_run(run)
-            self.requeue(run, orders.How.LAPSED, now)
+            self.requeue(run, orders.RunOutcome.LAPSED, now)
         worker.lapsed = True
         return lost_runs
 
@@ -488,7 +488,7 @@
             "run:rejected", task=key, run=number, worker=run.worker, why=reason
         )
         self.drop_run(run)
-        self.requeue(run, orders.How.STOPPED, now)
+        self.requeue(run, orders.RunOutcome.STOPPED, now)
         tracked_step = self.find_work(key)
         if tracked_step is None:
             return
@@ -510,7 +510,9 @@
         if key.position not in tracked_step.kept.done:
             tracked_step.waiting.add(key.position)
 
-    def requeue(self, run: runs.Run, outcome: orders.How, now: float) -> None:
+    def requeue(
+        self, run: runs.Run, outcome: orders.RunOutcome, now: float
+    ) -> None:
         """Let a task wait again after a run that has not succeeded."""
         tracked_step = self.find_work(run.key)
         if tracked_step is None or run.key.position in tracked_step.kept.done:
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -11,7 +11,7 @@
 from crocusrouter.work import model
 
 
-class How(enum.StrEnum):
+class RunOutcome(enum.StrEnum):
     """How a run ended."""
 
     DONE = "done"
@@ -57,7 +57,7 @@
     number: int
     key: model.TaskKey
     run: int
-    how: How
+    how: RunOutcome
     saved: str = ""
 
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -8,7 +8,7 @@
 from crocusrouter.work import suspicion
 
 # These ends are caused by the task itself and leave its worker running.
-_ENDS_BY_TASK = frozenset({orders.How.DONE, orders.How.FAILED})
+_ENDS_BY_TASK = frozenset({orders.RunOutcome.DONE, orders.RunOutcome.FAILED})
 
 
 def take_report(
@@ -152,7 +152,7 @@
             noted=worker.noted,
         )
         pool_state.drop_run(run)
-        pool_state.requeue(run, orders.How.LAPSED, now)
+        pool_state.requeue(run, orders.RunOutcome.LAPSED, now)
 
 
 def _apply_end(
@@ -176,7 +176,7 @@
     if is_current and run is not None:
         run.saved = run_end.saved or run.saved
         pool_state.drop_run(run)
-        if run_end.how is orders.How.STOPPED and run.stop_ordered_at:
+        if run_end.how is orders.RunOutcome.STOPPED and run.stop_ordered_at:
             pool_state.note_stopped(run, now)
     if tracked_job is None or tracked_step is None:
         return
@@ -192,12 +192,12 @@
     )
     if run_end.how in _ENDS_BY_TASK:
         crashes.clear_working_step(pool_state, tracked_step, key.position)
-    if run_end.how is orders.How.DONE:
+    if run_end.how is orders.RunOutcome.DONE:
         _apply_success(
             pool_state, tracked_job, tracked_step, key, worker_id, now
         )
         return
-    if run_end.how is orders.How.FAILED:
+    if run_end.how is orders.RunOutcome.FAILED:
         _apply_failure(
             pool_state, tracked_job, tracked_step, run_end, worker_id, now
         )
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -6,7 +6,7 @@
 from crocusrouter.work import runs
 from crocusrouter.work.tests import build
 
-HOW = orders.How
+HOW = orders.RunOutcome
 
 
 def _key(job, index=0, step=0, occurrence=0):
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -75,7 +75,10 @@
     )
     assert pool_state.runs[_FIRST_TASK].phase is runs.Phase.STOPPING
     build.apply_report(
-        pool_state, _NEW_WORKER, (_FIRST_TASK, orders.How.STOPPED), now=1.8
+        pool_state,
+        _NEW_WORKER,
+        (_FIRST_TASK, orders.RunOutcome.STOPPED),
+        now=1.8,
     )
     assert pool_state.find_work(_FIRST_TASK).waiting == {0}
 
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -46,7 +46,7 @@
     works_from: float | None
     ends_at: float | None
     stops_at: float | None = None
-    how: orders.How = orders.How.DONE
+    how: orders.RunOutcome = orders.RunOutcome.DONE
     lasting: bool = False
     pace: int = 100
     crashes: bool = False
@@ -138,12 +138,12 @@
             self._allow_again()
         for task in list(self.tasks.values()):
             if lapsed:
-                self._end(task, orders.How.LAPSED, now)
+                self._end(task, orders.RunOutcome.LAPSED, now)
             elif task.stops_at is not None and now >= task.stops_at:
-                self._end(task, orders.How.STOPPED, now)
+                self._end(task, orders.RunOutcome.STOPPED, now)
             elif task.works_from is None:
                 if now > task.began_at + oracles.GANG_S:
-                    self._end(task, orders.How.ALONE, now)
+                    self._end(task, orders.RunOutcome.ALONE, now)
             elif task.ends_at is not None and now >= task.ends_at:
                 if task.crashes:
                     self._crash_under(task, now)
@@ -161,7 +161,7 @@
             if task.ends_at is not None:
                 task.ends_at += lost_s
 
-    def _end(self, task: Task, how: orders.How, now: float) -> None:
+    def _end(self, task: Task, how: orders.RunOutcome, now: float) -> None:
         if self.tasks.get(task.key) is not task:
             return
         del self.tasks[task.key]
@@ -174,14 +174,14 @@
         self._news.set()
         self._news = trio.Event()
         step = self.oracle.jobs[task.key.job].steps[task.key.step]
-        if step.gang and how is not orders.How.DONE:
+        if step.gang and how is not orders.RunOutcome.DONE:
             self._break_gang(task, now)
 
     def _break_gang(self, task: Task, now: float) -> None:
         for worker in self.gangs.list(task.key, task.run):
             for other in list(worker.tasks.values()):
                 if other.run == task.run and other.key[:3] == task.key[:3]:
-                    worker._end(other, orders.How.BROKEN, now)
+                    worker._end(other, orders.RunOutcome.BROKEN, now)
 
     def crash_unanswered(self, key: work.TaskKey) -> bool:
         """Crash before the start of a task is answered, for some of those
@@ -216,13 +216,19 @@
                 self._break_gang(task, now)
         self._allow_again()
         for ended in self.ended:
-            if ended.number > self.noted and ended.how is orders.How.FAILED:
+            if (
+                ended.number > self.noted
+                and ended.how is orders.RunOutcome.FAILED
+            ):
                 self.oracle.forget_failure(ended.key)
         self.ended.clear()
 
     def _allow_again(self) -> None:
         for ended in self.ended:
-            if ended.number > self.noted and ended.how is orders.How.DONE:
+            if (
+                ended.number > self.noted
+                and ended.how is orders.RunOutcome.DONE
+            ):
                 self.oracle.allow_again(ended.key)
 
     # Orders.
@@ -332,7 +338,7 @@
         task.ends_at = None if step.lasting else now + step.expected_s
         poisoned = job.payload == "poison"
         if poisoned or self.fails_all:
-            task.how = orders.How.FAILED
+            task.how = orders.RunOutcome.FAILED
             task.ends_at = now + 0.2
         if job.payload == CRASHING:
             task.crashes = True
