--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -49,19 +49,22 @@
         (_answer(200, clock_ms=5), orders.Taken(5)),
         (
             _answer(409, clock_ms=5, reason="fence"),
-            orders.Rejected(orders.Why.FENCED, 5),
+            orders.Rejected(orders.RejectionReason.FENCED, 5),
         ),
         (
             _answer(409, clock_ms=5, reason="room"),
-            orders.Rejected(orders.Why.NO_ROOM, 5),
+            orders.Rejected(orders.RejectionReason.NO_ROOM, 5),
         ),
         (
             _answer(409, clock_ms=5, reason="a new one"),
-            orders.Rejected(orders.Why.INVALID, 5),
+            orders.Rejected(orders.RejectionReason.INVALID, 5),
         ),
-        (_answer(421), orders.Rejected(orders.Why.OTHER_INCARNATION)),
-        (_answer(503), orders.Rejected(orders.Why.UNHEALTHY)),
-        (_answer(429), orders.Rejected(orders.Why.UNHEALTHY)),
+        (
+            _answer(421),
+            orders.Rejected(orders.RejectionReason.OTHER_INCARNATION),
+        ),
+        (_answer(503), orders.Rejected(orders.RejectionReason.UNHEALTHY)),
+        (_answer(429), orders.Rejected(orders.RejectionReason.UNHEALTHY)),
         (_LOST, orders.Silent("lost", maybe_done=True)),
         (_NOT_SENT, orders.Silent("refused", maybe_done=False)),
     ],
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -24,11 +24,11 @@
 _CONFLICT = 409
 _UNHEALTHY = (429, 503)
 _WHY = {
-    "fence": orders.Why.FENCED,
-    "old": orders.Why.OLD,
-    "late": orders.Why.LATE,
-    "room": orders.Why.NO_ROOM,
-    "ticket": orders.Why.NO_TICKET,
+    "fence": orders.RejectionReason.FENCED,
+    "old": orders.RejectionReason.OLD,
+    "late": orders.RejectionReason.LATE,
+    "room": orders.RejectionReason.NO_ROOM,
+    "ticket": orders.RejectionReason.NO_TICKET,
 }
 # "IP:port"; a call to anything else fails in ways that name no worker.
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
@@ -132,13 +132,15 @@
     if result.status == _OK:
         return None
     if result.status == _CONFLICT:
-        why = _WHY.get(result.document.get("reason", ""), orders.Why.INVALID)
+        why = _WHY.get(
+            result.document.get("reason", ""), orders.RejectionReason.INVALID
+        )
         return orders.Rejected(why, clock)
     if result.status == _OTHER_INCARNATION:
-        return orders.Rejected(orders.Why.OTHER_INCARNATION)
+        return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
     if result.status in _UNHEALTHY:
-        return orders.Rejected(orders.Why.UNHEALTHY, clock)
-    return orders.Rejected(orders.Why.INVALID, clock)
+        return orders.Rejected(orders.RejectionReason.UNHEALTHY, clock)
+    return orders.Rejected(orders.RejectionReason.INVALID, clock)
 
 
 def _parse_report(document: dict[str, Any]) -> orders.Report:
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -171,7 +171,7 @@
         if answer.born_ms is None:
             return orders.Silent("does not say when its process started")
         return orders.Rejected(
-            orders.Why.OTHER_INCARNATION, answer.clock_ms, told
+            orders.RejectionReason.OTHER_INCARNATION, answer.clock_ms, told
         )
 
 
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -127,9 +127,11 @@
         match result:
             case orders.Report():
                 await self._take_report(result, now)
-            case orders.Rejected(orders.Why.FENCED):
+            case orders.Rejected(orders.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.worker}")
-            case orders.Rejected(orders.Why.OTHER_INCARNATION, _, other):
+            case orders.Rejected(
+                orders.RejectionReason.OTHER_INCARNATION, _, other
+            ):
                 self._leave(other)
             case _:
                 await self._take_silence()
@@ -197,9 +199,11 @@
                     self.wake()
                     self._changed()
                     return
-                case orders.Rejected(orders.Why.FENCED):
+                case orders.Rejected(orders.RejectionReason.FENCED):
                     raise journals.DeposedError(f"fenced by {self.worker}")
-                case orders.Rejected(orders.Why.OTHER_INCARNATION, _, other):
+                case orders.Rejected(
+                    orders.RejectionReason.OTHER_INCARNATION, _, other
+                ):
                     self._leave(other)
                     return
                 case orders.Rejected(why):
@@ -307,14 +311,16 @@
         while not self._gone:
             result = await self._port.stop(self._epoch, order, _ORDER_TIMEOUT_S)
             match result:
-                case orders.Rejected(orders.Why.FENCED):
+                case orders.Rejected(orders.RejectionReason.FENCED):
                     raise journals.DeposedError(f"fenced by {self.worker}")
                 case orders.Taken(clock_ms):
                     now = self._times.steady()
                     self.lease.note(clock_ms, now)
                     await self._settle_stop(order, now)
                     return
-                case orders.Rejected(orders.Why.OTHER_INCARNATION, _, other):
+                case orders.Rejected(
+                    orders.RejectionReason.OTHER_INCARNATION, _, other
+                ):
                     self._leave(other)
                     return
             if known and not self._is_current(order):
@@ -336,7 +342,7 @@
             case orders.Taken():
                 self._book.note_paced(order.key, order.run, order.percent, now)
                 log("run:paced", task=order.key, percent=order.percent)
-            case orders.Rejected(orders.Why.FENCED):
+            case orders.Rejected(orders.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.worker}")
             case _:
                 log("run:not-paced", task=order.key, answer=str(result))
--- a/crocusrouter/pools/tests/test_connections.py
+++ b/crocusrouter/pools/tests/test_connections.py
@@ -105,7 +105,7 @@
     worker.restart(born_ms=7)
     answers = [await _send(port, order) for _ in range(2)]
     assert answers[-1] == orders.Rejected(
-        orders.Why.OTHER_INCARNATION, 1, "w0@7"
+        orders.RejectionReason.OTHER_INCARNATION, 1, "w0@7"
     )
     assert order not in worker.sent
 
@@ -180,7 +180,7 @@
         case orders.Report():
             assert expected == incarnation
         case orders.Rejected(why, _, other):
-            assert why is orders.Why.OTHER_INCARNATION
+            assert why is orders.RejectionReason.OTHER_INCARNATION
             assert other == expected != incarnation
         case orders.Silent():
             assert expected is None
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -495,7 +495,7 @@
         tracked_step.not_before = max(
             tracked_step.not_before, now + RETRY_PAUSE_S
         )
-        if reason == orders.Why.NO_TICKET:
+        if reason == orders.RejectionReason.NO_TICKET:
             tracked_step.permits.drop_ticket(run.worker)
         else:
             tracked_step.avoided_workers.add(run.worker)
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -86,7 +86,7 @@
     clock_ms: int
 
 
-class Why(enum.StrEnum):
+class RejectionReason(enum.StrEnum):
     """Why a worker refused an order."""
 
     FENCED = "fenced"  # the worker knows a later owner
@@ -110,7 +110,7 @@
             one; None if unknown.
     """
 
-    why: Why
+    why: RejectionReason
     clock_ms: int | None = None
     incarnation: str | None = None
 
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -236,7 +236,9 @@
     def check(self, epoch: int) -> orders.Rejected | None:
         """Refuse what an earlier owner orders."""
         if epoch < self.fence:
-            return orders.Rejected(orders.Why.FENCED, int(self.read_clock()))
+            return orders.Rejected(
+                orders.RejectionReason.FENCED, int(self.read_clock())
+            )
         self.fence = epoch
         return None
 
@@ -254,23 +256,23 @@
             return refused
         clock = self.read_clock()
         if until_ms <= clock:
-            return orders.Rejected(orders.Why.LATE, int(clock))
+            return orders.Rejected(orders.RejectionReason.LATE, int(clock))
         self.until_ms = max(self.until_ms, min(until_ms, clock + _HOLD_MAX_MS))
         held = self.tasks.get(order.key)
         if held is not None and held.run == order.run:
             return orders.Taken(int(clock))
         if order.run <= self.highest.get(order.key, 0):
-            return orders.Rejected(orders.Why.OLD, int(clock))
+            return orders.Rejected(orders.RejectionReason.OLD, int(clock))
         job = self.oracle.jobs[order.key.job]
         step = job.steps[order.key.step]
         if self.guards and not self._find_free().holds(step.charge):
-            return orders.Rejected(orders.Why.NO_ROOM, int(clock))
+            return orders.Rejected(orders.RejectionReason.NO_ROOM, int(clock))
         asked = work.StepKey(*order.key[:3])
         if job.advised and not self.policy.is_valid(
             order.ticket, asked, self.entry.id
         ):
             self.refused_tickets += 1
-            return orders.Rejected(orders.Why.NO_TICKET, int(clock))
+            return orders.Rejected(orders.RejectionReason.NO_TICKET, int(clock))
         if not self.guards and not late:
             self._check_limit(order.key, step.charge)
         self._add(order, job, step)
@@ -493,7 +495,7 @@
         """Look, and wait for an end."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
-            return orders.Rejected(orders.Why.OTHER_INCARNATION)
+            return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
         if not self._is_reachable():
             return await self._wait_in_vain(wait_s + 0.6)
         report = self._worker.look(epoch, seen, until_ms)
@@ -512,7 +514,7 @@
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
             self._worker.missed_starts += 1
-            return orders.Rejected(orders.Why.OTHER_INCARNATION)
+            return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
         if not self._is_reachable():
             return await self._wait_in_vain(timeout_s)
         if self._worker.random.random() < self._worker.late_share:
@@ -541,7 +543,7 @@
         """Stop a run."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
-            return orders.Rejected(orders.Why.OTHER_INCARNATION)
+            return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
         if not self._is_reachable():
             return await self._wait_in_vain(timeout_s)
         outcome = self._worker.halt(epoch, order)
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -21,11 +21,11 @@
 # Longer than any caller waits: an answer that never comes.
 _NEVER_S = 8.0
 _REASONS = {
-    orders.Why.FENCED: "fence",
-    orders.Why.OLD: "old",
-    orders.Why.LATE: "late",
-    orders.Why.NO_ROOM: "room",
-    orders.Why.NO_TICKET: "ticket",
+    orders.RejectionReason.FENCED: "fence",
+    orders.RejectionReason.OLD: "old",
+    orders.RejectionReason.LATE: "late",
+    orders.RejectionReason.NO_ROOM: "room",
+    orders.RejectionReason.NO_TICKET: "ticket",
 }
 Answer = tuple[int, dict[str, Any]]
 
@@ -237,7 +237,7 @@
             }
         case orders.Taken(clock_ms):
             return 200, {"clock_ms": clock_ms}
-        case orders.Rejected(orders.Why.OTHER_INCARNATION):
+        case orders.Rejected(orders.RejectionReason.OTHER_INCARNATION):
             return 421, {}
         case orders.Rejected(why, clock_ms):
             return 409, {"clock_ms": clock_ms, "reason": _REASONS[why]}
