--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -273,7 +273,7 @@
             if not self.ends[name] and not due:
                 continue
             rows = tuple(
-                orders.Running(
+                orders.ReportedRun(
                     run.key,
                     run.number,
                     "",
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -166,7 +166,7 @@
         return
     held = book.workers[run.worker]
     rows = tuple(
-        orders.Running(other, book.runs[other].number)
+        orders.ReportedRun(other, book.runs[other].number)
         for other in held.runs
         if other != key
     )
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -137,8 +137,8 @@
     assert report == orders.Report(
         9,
         (
-            orders.Running(_KEY, 2, "cp", 41.0),
-            orders.Running(_KEY, 3, "", 5.0, 12.0),
+            orders.ReportedRun(_KEY, 2, "cp", 41.0),
+            orders.ReportedRun(_KEY, 3, "", 5.0, 12.0),
         ),
         (orders.Ended(58, _KEY, 1, orders.RunOutcome.DONE, ""),),
     )
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -161,13 +161,13 @@
     return value
 
 
-def _parse_running(row: list[Any]) -> orders.Running | None:
+def _parse_running(row: list[Any]) -> orders.ReportedRun | None:
     key = names.parse_task(row[0])
     if key is None:
         log("worker:foreign-run", row=row)
         return None
     load = float(row[4]) if len(row) > 4 else 0.0
-    return orders.Running(
+    return orders.ReportedRun(
         key, int(row[1]), str(row[2] or ""), float(row[3]), load
     )
 
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Running:
+class ReportedRun:
     """One run as its worker reports it.
 
     Attributes:
@@ -74,7 +74,7 @@
     """
 
     clock_ms: int
-    running: tuple[Running, ...] = ()
+    running: tuple[ReportedRun, ...] = ()
     ended: tuple[Ended, ...] = ()
     born_ms: int | None = None
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -63,7 +63,7 @@
 def _apply_running(
     pool_state: pool_states.PoolState,
     worker: runs.Worker,
-    reported_run: orders.Running,
+    reported_run: orders.ReportedRun,
     now: float,
 ) -> None:
     """Update a run, adopt it after a takeover, or stop it as a stray."""
@@ -125,7 +125,7 @@
 def _drop_missing_runs(
     pool_state: pool_states.PoolState,
     worker: runs.Worker,
-    running_by_key: dict[model.TaskKey, orders.Running],
+    running_by_key: dict[model.TaskKey, orders.ReportedRun],
     sent_at: float,
     now: float,
 ) -> None:
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -109,7 +109,7 @@
     ended_keys = {key for key, _ in ends}
     if running is None:
         running = tuple(
-            orders.Running(key, pool_state.runs[key].number)
+            orders.ReportedRun(key, pool_state.runs[key].number)
             for key in worker.runs
             if key not in ended_keys
             and pool_state.runs[key].phase is not runs.Phase.ORDERED
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -129,7 +129,10 @@
     job = build.make_job("j", build.make_step(2))
     cancelled_job = build.make_job("x", build.make_step(1), cancelled=True)
     pool_state = build.make_book(job, cancelled_job)
-    running = (orders.Running(_key("j"), 5), orders.Running(_key("x"), 6))
+    running = (
+        orders.ReportedRun(_key("j"), 5),
+        orders.ReportedRun(_key("x"), 6),
+    )
     build.apply_report(pool_state, "w0", running=running)
     assert pool_state.runs[_key("j")].number == 5
     assert pool_state.find_work(_key("j")).waiting == {1}
@@ -216,7 +219,7 @@
         interval_s=50.0,
     )
     pool_state.put_job(job, work.Progress(), 2, 0.0)
-    running = () if how else (orders.Running(_key("j"), 5),)
+    running = () if how else (orders.ReportedRun(_key("j"), 5),)
     ended = (orders.Ended(1, _key("j"), 5, how),) if how else ()
     work.take_report(
         pool_state, "w0", orders.Report(0, running, ended), 0.0, 0.0
@@ -271,7 +274,7 @@
     cancelled_job = build.make_job("c", build.make_step(), cancelled=True)
     pool_state = build.make_book(cancelled_job, workers=("w0",))
     build.add_job(pool_state, build.make_job("j", build.make_step(gpu=8)))
-    stray = orders.Running(_key("c"), 7)
+    stray = orders.ReportedRun(_key("c"), 7)
     build.apply_report(pool_state, "w0", running=(stray,))
     assert [order for _, order in pool_state.outbox] == [
         orders.Stop(_key("c"), 7)
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -67,7 +67,7 @@
 def test_late_start_that_was_carried_out_is_not_adopted():
     """The worker was told to stop the run; the task waits after its end."""
     pool_state = _restart(build.make_step(1), (_FIRST_TASK,))
-    reported_run = orders.Running(
+    reported_run = orders.ReportedRun(
         _FIRST_TASK, pool_state.runs[_FIRST_TASK].number
     )
     build.apply_report(
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -391,7 +391,7 @@
         self.noted = max(self.noted, seen)
         self.ended = [e for e in self.ended if e.number > self.noted]
         running = tuple(
-            orders.Running(
+            orders.ReportedRun(
                 task.key,
                 task.run,
                 "",
