--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -84,7 +84,7 @@
         self.book = work.PoolState(1)
         self.reserved = reservations.Reservations()
         self.running: dict[work.TaskKey, _Running] = {}
-        self.ends: dict[str, list[orders.Ended]] = {}
+        self.ends: dict[str, list[orders.RunEnd]] = {}
         self.numbers: dict[str, int] = {}
         self.speeds: dict[str, float] = {}
         self.ended_at: dict[str, float] = {}
@@ -247,7 +247,7 @@
             return  # it has left; its owner learns that, and no ends
         self.numbers[run.worker] += 1
         self.ends[run.worker].append(
-            orders.Ended(
+            orders.RunEnd(
                 self.numbers[run.worker], run.key, run.number, how, saved
             )
         )
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -170,7 +170,7 @@
         for other in held.runs
         if other != key
     )
-    ended = orders.Ended(
+    ended = orders.RunEnd(
         held.noted + 1, key, run.number, orders.RunOutcome.DONE
     )
     report = orders.Report(0, rows, (ended,))
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -101,7 +101,9 @@
         7, 0, None, 0.0
     )
     assert [row.key for row in report.running] == [_KEY]
-    assert report.ended == (orders.Ended(2, _KEY, 1, orders.RunOutcome.BROKEN),)
+    assert report.ended == (
+        orders.RunEnd(2, _KEY, 1, orders.RunOutcome.BROKEN),
+    )
 
 
 @pytest.mark.parametrize(
@@ -140,7 +142,7 @@
             orders.ReportedRun(_KEY, 2, "cp", 41.0),
             orders.ReportedRun(_KEY, 3, "", 5.0, 12.0),
         ),
-        (orders.Ended(58, _KEY, 1, orders.RunOutcome.DONE, ""),),
+        (orders.RunEnd(58, _KEY, 1, orders.RunOutcome.DONE, ""),),
     )
     assert wire.sent[0][2] == {
         "fencing_token": 7,
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -172,7 +172,7 @@
     )
 
 
-def _parse_ended(row: list[Any]) -> orders.Ended | None:
+def _parse_ended(row: list[Any]) -> orders.RunEnd | None:
     key = names.parse_task(row[1])
     if key is None:
         log("worker:foreign-end", row=row)
@@ -180,7 +180,7 @@
     # A word that we don't know is an end that was neither well nor the
     # task's own fault.
     how = _HOW.get(row[3], orders.RunOutcome.BROKEN)
-    return orders.Ended(int(row[0]), key, int(row[2]), how, str(row[4] or ""))
+    return orders.RunEnd(int(row[0]), key, int(row[2]), how, str(row[4] or ""))
 
 
 _Amount = Annotated[float, pydantic.Field(ge=0)]
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class RunEnd:
     """One end of a run; the worker lists it until the owner confirms it.
 
     Attributes:
@@ -75,7 +75,7 @@
 
     clock_ms: int
     running: tuple[ReportedRun, ...] = ()
-    ended: tuple[Ended, ...] = ()
+    ended: tuple[RunEnd, ...] = ()
     born_ms: int | None = None
 
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -158,7 +158,7 @@
 def _apply_end(
     pool_state: pool_states.PoolState,
     worker_id: str,
-    run_end: orders.Ended,
+    run_end: orders.RunEnd,
     now: float,
 ) -> None:
     """Record the end of a run."""
@@ -241,7 +241,7 @@
     pool_state: pool_states.PoolState,
     tracked_job: runs.TrackedJob,
     tracked_step: runs.TrackedStep,
-    run_end: orders.Ended,
+    run_end: orders.RunEnd,
     worker_id: str,
     now: float,
 ) -> None:
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -101,7 +101,7 @@
     """
     worker = pool_state.workers[worker_id]
     ended = tuple(
-        orders.Ended(
+        orders.RunEnd(
             worker.noted + offset + 1, key, pool_state.runs[key].number, how
         )
         for offset, (key, how) in enumerate(ends)
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -63,7 +63,7 @@
         job, work.parse_progress(work.dump_progress(progress)), 2, 0.0
     )
     successor.open_due(build.WALL, 0.0)
-    ended = orders.Ended(3, _key("j"), 7, HOW.FAILED)
+    ended = orders.RunEnd(3, _key("j"), 7, HOW.FAILED)
     work.take_report(successor, "w0", orders.Report(0, (), (ended,)), 0.0, 0.0)
     assert pool_state.jobs["j"].progress.final is None
     assert successor.jobs["j"].progress.final is None
@@ -220,7 +220,7 @@
     )
     pool_state.put_job(job, work.Progress(), 2, 0.0)
     running = () if how else (orders.ReportedRun(_key("j"), 5),)
-    ended = (orders.Ended(1, _key("j"), 5, how),) if how else ()
+    ended = (orders.RunEnd(1, _key("j"), 5, how),) if how else ()
     work.take_report(
         pool_state, "w0", orders.Report(0, running, ended), 0.0, 0.0
     )
@@ -313,7 +313,7 @@
     progress.get(1, 0).done.add(0)
     pool_state = build.make_book(workers=("w0",))
     pool_state.put_job(job, progress, 2, 0.0)
-    end = orders.Ended(1, _key("j"), 7, HOW.DONE)
+    end = orders.RunEnd(1, _key("j"), 7, HOW.DONE)
     work.take_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
     assert pool_state.jobs["j"].progress.final is None
     pool_state.open_due(build.WALL + 5.0, 1.1)
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -106,7 +106,7 @@
         self.fence = 0
         self.until_ms = 0.0
         self.tasks: dict[work.TaskKey, Task] = {}
-        self.ended: list[orders.Ended] = []
+        self.ended: list[orders.RunEnd] = []
         self.highest: dict[work.TaskKey, int] = {}
         self.numbers = 0
         self.noted = 0
@@ -168,7 +168,7 @@
         self.numbers += 1
         self.highest[task.key] = task.run
         self.ended.append(
-            orders.Ended(self.numbers, task.key, task.run, how, "")
+            orders.RunEnd(self.numbers, task.key, task.run, how, "")
         )
         self.oracle.note_end(self.entry.id, task.key, task.run, how, now)
         self._news.set()
