--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     ("answer", "expected"),
     [
-        (_answer(200, clock_ms=5), orders.Taken(5)),
+        (_answer(200, clock_ms=5), orders.Accepted(5)),
         (
             _answer(409, clock_ms=5, reason="fence"),
             orders.Rejected(orders.RejectionReason.FENCED, 5),
@@ -386,9 +386,9 @@
 async def test_pace_of_a_run(monkeypatch):
     wire = _Wire(monkeypatch, _answer(200, clock_ms=5))
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
-    assert await worker.pace(7, orders.Pace(_KEY, 2, 40), 0.3) == orders.Taken(
-        5
-    )
+    assert await worker.pace(
+        7, orders.Pace(_KEY, 2, 40), 0.3
+    ) == orders.Accepted(5)
     assert wire.sent == [
         (
             "POST",
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -68,7 +68,7 @@
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Start a run."""
         document: dict[str, Any] = {
             "task": names.build_task(order.key),
@@ -85,7 +85,7 @@
 
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Stop a run."""
         document = {
             "task": names.build_task(order.key),
@@ -96,7 +96,7 @@
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Set the share of its speed at which a run works."""
         document = {
             "task": names.build_task(order.key),
@@ -112,7 +112,7 @@
 
     async def _order(
         self, path: str, document: dict[str, Any], timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         result = await self._connection.call(
             "POST", path, document, timeout_s, self._headers
         )
@@ -120,7 +120,7 @@
         if refused is not None:
             return refused
         assert isinstance(result, calls.Answered)
-        return orders.Taken(int(result.document.get("clock_ms", 0)))
+        return orders.Accepted(int(result.document.get("clock_ms", 0)))
 
 
 def _find_refusal(
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -26,7 +26,7 @@
 _SHARING_S = 0.01
 
 _Refused = orders.Rejected | orders.Silent
-_Answer = orders.Taken | _Refused
+_Answer = orders.Accepted | _Refused
 
 
 class Connections:
@@ -71,7 +71,7 @@
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Start a run."""
         return await self._send(
             epoch,
@@ -81,7 +81,7 @@
 
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Stop a run."""
         return await self._send(
             epoch, timeout_s, lambda found: found.stop(epoch, order, timeout_s)
@@ -89,7 +89,7 @@
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Set the share of its speed at which a run works."""
         return await self._send(
             epoch, timeout_s, lambda found: found.pace(epoch, order, timeout_s)
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -192,7 +192,7 @@
             )
             now = self._times.steady()
             match result:
-                case orders.Taken(clock_ms):
+                case orders.Accepted(clock_ms):
                     self.lease.note(clock_ms, now)
                     self._book.note_taken(order.key, order.run, now)
                     self._note_if_leaving(order)
@@ -313,7 +313,7 @@
             match result:
                 case orders.Rejected(orders.RejectionReason.FENCED):
                     raise journals.DeposedError(f"fenced by {self.worker}")
-                case orders.Taken(clock_ms):
+                case orders.Accepted(clock_ms):
                     now = self._times.steady()
                     self.lease.note(clock_ms, now)
                     await self._settle_stop(order, now)
@@ -339,7 +339,7 @@
         result = await self._port.pace(self._epoch, order, _ORDER_TIMEOUT_S)
         now = self._times.steady()
         match result:
-            case orders.Taken():
+            case orders.Accepted():
                 self._book.note_paced(order.key, order.run, order.percent, now)
                 log("run:paced", task=order.key, percent=order.percent)
             case orders.Rejected(orders.RejectionReason.FENCED):
--- a/crocusrouter/pools/tests/test_connections.py
+++ b/crocusrouter/pools/tests/test_connections.py
@@ -53,13 +53,13 @@
         return await self._call(("hold", seen, until_ms, wait_s), report)
 
     async def start(self, epoch, order, until_ms, timeout_s):
-        return await self._call(order, orders.Taken(1))
+        return await self._call(order, orders.Accepted(1))
 
     async def stop(self, epoch, order, timeout_s):
-        return await self._call(order, orders.Taken(1))
+        return await self._call(order, orders.Accepted(1))
 
     async def pace(self, epoch, order, timeout_s):
-        return await self._call(order, orders.Taken(1))
+        return await self._call(order, orders.Accepted(1))
 
     async def aclose(self):
         self.is_open = False
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("order", [_START, _STOP, _PACE])
 async def test_order_follows_a_look_on_a_new_connection(order, autojump_clock):
     worker = _Worker()
-    assert await _send(_open(worker), order) == orders.Taken(1)
+    assert await _send(_open(worker), order) == orders.Accepted(1)
     assert worker.sent == [_FIRST_LOOK, order]
 
 
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -28,7 +28,7 @@
     async def _answer(self, order):
         self.sent.append(order)
         await trio.sleep(0.01)
-        return self.answers.pop(0) if self.answers else orders.Taken(1000)
+        return self.answers.pop(0) if self.answers else orders.Accepted(1000)
 
     async def start(self, epoch, order, until_ms, timeout_s):
         return await self._answer(order)
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Taken:
+class Accepted:
     """The worker carried out the order."""
 
     clock_ms: int
@@ -215,19 +215,19 @@
 
     async def start(
         self, epoch: int, order: Start, until_ms: int, timeout_s: float
-    ) -> Taken | Rejected | Silent:
+    ) -> Accepted | Rejected | Silent:
         """Start a run."""
         ...
 
     async def stop(
         self, epoch: int, order: Stop, timeout_s: float
-    ) -> Taken | Rejected | Silent:
+    ) -> Accepted | Rejected | Silent:
         """Stop a run."""
         ...
 
     async def pace(
         self, epoch: int, order: Pace, timeout_s: float
-    ) -> Taken | Rejected | Silent:
+    ) -> Accepted | Rejected | Silent:
         """Set the share of its speed at which a run works."""
         ...
 
--- a/standins/emulator/tests/test_rooms.py
+++ b/standins/emulator/tests/test_rooms.py
@@ -59,5 +59,5 @@
     await trio.sleep(shrunk_for_s - trio.current_time())
     until_ms = int(worker.read_clock()) + 5000
     order = orders.Start(work.TaskKey("j", 0, 0, 0), 1, "")
-    assert isinstance(worker.begin(1, order, until_ms), orders.Taken)
+    assert isinstance(worker.begin(1, order, until_ms), orders.Accepted)
     assert len(held.oracle.broken) == broken
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -249,7 +249,7 @@
         until_ms: int,
         *,
         late: bool = False,
-    ) -> orders.Taken | orders.Rejected:
+    ) -> orders.Accepted | orders.Rejected:
         """Carry a start out; `late` if it was sent seconds ago."""
         refused = self.check(epoch)
         if refused is not None:
@@ -260,7 +260,7 @@
         self.until_ms = max(self.until_ms, min(until_ms, clock + _HOLD_MAX_MS))
         held = self.tasks.get(order.key)
         if held is not None and held.run == order.run:
-            return orders.Taken(int(clock))
+            return orders.Accepted(int(clock))
         if order.run <= self.highest.get(order.key, 0):
             return orders.Rejected(orders.RejectionReason.OLD, int(clock))
         job = self.oracle.jobs[order.key.job]
@@ -278,7 +278,7 @@
         self._add(order, job, step)
         if self.drains_since is not None and not late:
             self.started_draining.append((order.key, trio.current_time()))
-        return orders.Taken(int(clock))
+        return orders.Accepted(int(clock))
 
     def is_impaired(self, now: float) -> bool:
         """Tell whether orders to this worker may be lost, late or in vain."""
@@ -363,7 +363,7 @@
 
     def halt(
         self, epoch: int, order: orders.Stop
-    ) -> orders.Taken | orders.Rejected:
+    ) -> orders.Accepted | orders.Rejected:
         """Carry a stop out."""
         refused = self.check(epoch)
         if refused is not None:
@@ -374,7 +374,7 @@
             held.stops_at = trio.current_time() + _STOP_S
         else:
             self.highest[order.key] = max(highest, order.run)
-        return orders.Taken(int(self.read_clock()))
+        return orders.Accepted(int(self.read_clock()))
 
     def look(
         self, epoch: int, seen: int, until_ms: int | None
@@ -423,7 +423,7 @@
 
     def set_pace(
         self, epoch: int, order: orders.Pace
-    ) -> orders.Taken | orders.Rejected:
+    ) -> orders.Accepted | orders.Rejected:
         """Carry a pace out."""
         refused = self.check(epoch)
         if refused is not None:
@@ -431,7 +431,7 @@
         held = self.tasks.get(order.key)
         if held is not None and held.run == order.run:
             held.pace = order.percent
-        return orders.Taken(int(self.read_clock()))
+        return orders.Accepted(int(self.read_clock()))
 
     async def wait_for_news(self, wait_s: float) -> None:
         """Wait for an end."""
@@ -509,7 +509,7 @@
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Start a run; some starts are carried out late."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
@@ -539,7 +539,7 @@
 
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Stop a run."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
@@ -552,7 +552,7 @@
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.Silent:
         """Set a run's pace."""
         await trio.sleep(_ORDER_S)
         if not self._is_reachable():
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -219,7 +219,7 @@
 
 
 def _show(
-    result: orders.Report | orders.Taken | orders.Rejected | orders.Silent,
+    result: orders.Report | orders.Accepted | orders.Rejected | orders.Silent,
 ) -> Answer:
     match result:
         case orders.Report(clock_ms, running, ended, born_ms):
@@ -235,7 +235,7 @@
                     for e in ended
                 ],
             }
-        case orders.Taken(clock_ms):
+        case orders.Accepted(clock_ms):
             return 200, {"clock_ms": clock_ms}
         case orders.Rejected(orders.RejectionReason.OTHER_INCARNATION):
             return 421, {}
