--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -20,7 +20,7 @@
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
-    ) -> orders.PolicyAnswer | orders.Silent:
+    ) -> orders.PolicyAnswer | orders.NoAnswer:
         """Ask which of some workers may run a step."""
         result = await self._caller.call(
             "POST",
@@ -32,9 +32,9 @@
             timeout_s,
         )
         if isinstance(result, calls.Unanswered):
-            return orders.Silent(result.cause, result.maybe_done)
+            return orders.NoAnswer(result.cause, result.maybe_done)
         if result.status != _OK:
-            return orders.Silent(f"status {result.status}", maybe_done=False)
+            return orders.NoAnswer(f"status {result.status}", maybe_done=False)
         return _parse_answer(result.document)
 
     async def aclose(self) -> None:
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -65,8 +65,8 @@
         ),
         (_answer(503), orders.Rejected(orders.RejectionReason.UNHEALTHY)),
         (_answer(429), orders.Rejected(orders.RejectionReason.UNHEALTHY)),
-        (_LOST, orders.Silent("lost", maybe_done=True)),
-        (_NOT_SENT, orders.Silent("refused", maybe_done=False)),
+        (_LOST, orders.NoAnswer("lost", maybe_done=True)),
+        (_NOT_SENT, orders.NoAnswer("refused", maybe_done=False)),
     ],
 )
 async def test_answers_to_a_start(monkeypatch, answer, expected):
@@ -295,8 +295,8 @@
             orders.PolicyAnswer({"i-1": "t1"}, 3.0),
         ),
         (_answer(200, good=[], valid_ms=0), orders.PolicyAnswer({}, 0.0)),
-        (_answer(429), orders.Silent("status 429", maybe_done=False)),
-        (_LOST, orders.Silent("lost", maybe_done=True)),
+        (_answer(429), orders.NoAnswer("status 429", maybe_done=False)),
+        (_LOST, orders.NoAnswer("lost", maybe_done=True)),
     ],
 )
 async def test_answers_of_the_policy_service(monkeypatch, answer, expected):
@@ -332,8 +332,8 @@
                 vms.Vm("m-2", "", vms.VmState.DOWN, ""),
             ),
         ),
-        ([_answer(429)], orders.Silent("status 429")),
-        ([_LOST], orders.Silent("lost", maybe_done=True)),
+        ([_answer(429)], orders.NoAnswer("status 429")),
+        ([_LOST], orders.NoAnswer("lost", maybe_done=True)),
     ],
 )
 async def test_vms_of_the_platform(monkeypatch, answers, expected):
@@ -349,8 +349,8 @@
         (_answer(409, reason="busy"), vms.Upkeep.BUSY),
         (_answer(409, reason="wave"), vms.Upkeep.FOREIGN),
         (_answer(400), vms.Upkeep.FOREIGN),
-        (_answer(429), orders.Silent("status 429", maybe_done=False)),
-        (_LOST, orders.Silent("lost", maybe_done=True)),
+        (_answer(429), orders.NoAnswer("status 429", maybe_done=False)),
+        (_LOST, orders.NoAnswer("lost", maybe_done=True)),
     ],
 )
 async def test_answers_to_an_order_for_upkeep(monkeypatch, answer, expected):
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -50,7 +50,7 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.Silent:
+    ) -> orders.Report | orders.Rejected | orders.NoAnswer:
         """Renew the lease, confirm ends, wait for an end."""
         document: dict[str, Any] = {"fencing_token": epoch, "last_seen": seen}
         if until_ms is not None:
@@ -68,7 +68,7 @@
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Start a run."""
         document: dict[str, Any] = {
             "task": names.build_task(order.key),
@@ -85,7 +85,7 @@
 
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Stop a run."""
         document = {
             "task": names.build_task(order.key),
@@ -96,7 +96,7 @@
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Set the share of its speed at which a run works."""
         document = {
             "task": names.build_task(order.key),
@@ -112,7 +112,7 @@
 
     async def _order(
         self, path: str, document: dict[str, Any], timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         result = await self._connection.call(
             "POST", path, document, timeout_s, self._headers
         )
@@ -125,9 +125,9 @@
 
 def _find_refusal(
     result: calls.Result,
-) -> orders.Rejected | orders.Silent | None:
+) -> orders.Rejected | orders.NoAnswer | None:
     if isinstance(result, calls.Unanswered):
-        return orders.Silent(result.cause, result.maybe_done)
+        return orders.NoAnswer(result.cause, result.maybe_done)
     clock = result.document.get("clock_ms")
     if result.status == _OK:
         return None
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -76,7 +76,7 @@
         answer = await self._policy.advise(
             step, tuple(by_worker), _ANSWER_TIMEOUT_S
         )
-        if isinstance(answer, orders.Silent):
+        if isinstance(answer, orders.NoAnswer):
             log("policy:no-answer", step=step, cause=answer.cause)
             await trio.sleep(_RETRY_S)
             return
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -25,7 +25,7 @@
 # milliseconds; a new one costs a round trip more, a look, and its price.
 _SHARING_S = 0.01
 
-_Refused = orders.Rejected | orders.Silent
+_Refused = orders.Rejected | orders.NoAnswer
 _Answer = orders.Accepted | _Refused
 
 
@@ -52,7 +52,7 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.Silent:
+    ) -> orders.Report | orders.Rejected | orders.NoAnswer:
         """Look; confirm and renew only where the incarnation is known."""
         async with self._looks:
             connection = await self._take_idle()
@@ -71,7 +71,7 @@
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Start a run."""
         return await self._send(
             epoch,
@@ -81,7 +81,7 @@
 
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Stop a run."""
         return await self._send(
             epoch, timeout_s, lambda found: found.stop(epoch, order, timeout_s)
@@ -89,7 +89,7 @@
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Set the share of its speed at which a run works."""
         return await self._send(
             epoch, timeout_s, lambda found: found.pace(epoch, order, timeout_s)
@@ -110,7 +110,7 @@
         with trio.move_on_after(timeout_s) as waiting:
             await self._orders.acquire()
         if waiting.cancelled_caught:
-            return orders.Silent("all connections are busy", maybe_done=False)
+            return orders.NoAnswer("all connections are busy", maybe_done=False)
         try:
             connection = await self._await_idle()
             if connection is None:
@@ -169,7 +169,7 @@
         if told == self._incarnation:
             return answer
         if answer.born_ms is None:
-            return orders.Silent("does not say when its process started")
+            return orders.NoAnswer("does not say when its process started")
         return orders.Rejected(
             orders.RejectionReason.OTHER_INCARNATION, answer.clock_ms, told
         )
@@ -177,6 +177,6 @@
 
 def _mark_unsent(refused: _Refused) -> _Refused:
     """Return why an order was not sent: nobody can carry it out."""
-    if isinstance(refused, orders.Silent):
-        return orders.Silent(refused.cause, maybe_done=False)
+    if isinstance(refused, orders.NoAnswer):
+        return orders.NoAnswer(refused.cause, maybe_done=False)
     return refused
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -211,7 +211,7 @@
                         self._reject(order, str(why))
                         return
                     break
-                case orders.Silent(cause, maybe_done):
+                case orders.NoAnswer(cause, maybe_done):
                     maybe_begun = maybe_begun or maybe_done
                     if maybe_done:
                         self._book.note_maybe_begun(order.key, order.run)
--- a/crocusrouter/pools/tests/test_connections.py
+++ b/crocusrouter/pools/tests/test_connections.py
@@ -44,7 +44,7 @@
             self._process = self._worker.process
         if self._process != self._worker.process or self._worker.silent:
             self.is_open = False
-            return orders.Silent("broken")
+            return orders.NoAnswer("broken")
         self._worker.sent.append(what)
         return answer
 
@@ -150,7 +150,7 @@
     async def hang(*_):
         await trio.sleep(0.35)
         slow.is_open = False
-        return orders.Silent("lost")
+        return orders.NoAnswer("lost")
 
     slow.start = hang
     async with trio.open_nursery() as nursery:
@@ -182,7 +182,7 @@
         case orders.Rejected(why, _, other):
             assert why is orders.RejectionReason.OTHER_INCARNATION
             assert other == expected != incarnation
-        case orders.Silent():
+        case orders.NoAnswer():
             assert expected is None
 
 
@@ -191,7 +191,7 @@
     worker = _Worker()
     worker.silent = True
     answer = await _send(_open(worker), _START)
-    assert answer == orders.Silent("broken", maybe_done=False)
+    assert answer == orders.NoAnswer("broken", maybe_done=False)
 
 
 async def test_unanswered_orders_leave_room_for_looks(autojump_clock):
@@ -205,7 +205,7 @@
 
     async def hang(*_):
         await trio.sleep(5.0)
-        return orders.Silent("lost")
+        return orders.NoAnswer("lost")
 
     connection = worker.open()
     connection.start = hang
@@ -217,7 +217,7 @@
         await trio.sleep(0.1)
         with trio.fail_after(0.1):
             assert isinstance(await port.hold(1, 0, None, 0.0), orders.Report)
-    assert orders.Silent("all connections are busy", False) in started
+    assert orders.NoAnswer("all connections are busy", False) in started
 
 
 async def test_connection_in_use_is_closed_after_its_answer(autojump_clock):
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -14,8 +14,8 @@
 from crocusrouter.work.tests import build
 
 _WORKER = "w0"
-_SILENT = orders.Silent("lost", maybe_done=True)
-_NOT_SENT = orders.Silent("refused", maybe_done=False)
+_SILENT = orders.NoAnswer("lost", maybe_done=True)
+_NOT_SENT = orders.NoAnswer("refused", maybe_done=False)
 
 
 class _Port:
--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -146,7 +146,7 @@
         vms = meeting.make_vms()
         try:
             listed = await vms.list_vms()
-            if isinstance(listed, orders.Silent):
+            if isinstance(listed, orders.NoAnswer):
                 log("vms:no-answer", cause=listed.cause)
                 return
             listed = self._name_incarnations(listed)
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Silent:
+class NoAnswer:
     """No answer came; the order may still be carried out, even seconds later.
 
     Attributes:
@@ -192,7 +192,7 @@
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
-    ) -> PolicyAnswer | Silent:
+    ) -> PolicyAnswer | NoAnswer:
         """Ask which of `workers` may run a step.
 
         The service knows workers by the id that their incarnations share.
@@ -209,25 +209,25 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> Report | Rejected | Silent:
+    ) -> Report | Rejected | NoAnswer:
         """Renew the lease, confirm ends up to `seen`, wait for a new end."""
         ...
 
     async def start(
         self, epoch: int, order: Start, until_ms: int, timeout_s: float
-    ) -> Accepted | Rejected | Silent:
+    ) -> Accepted | Rejected | NoAnswer:
         """Start a run."""
         ...
 
     async def stop(
         self, epoch: int, order: Stop, timeout_s: float
-    ) -> Accepted | Rejected | Silent:
+    ) -> Accepted | Rejected | NoAnswer:
         """Stop a run."""
         ...
 
     async def pace(
         self, epoch: int, order: Pace, timeout_s: float
-    ) -> Accepted | Rejected | Silent:
+    ) -> Accepted | Rejected | NoAnswer:
         """Set the share of its speed at which a run works."""
         ...
 
--- a/crocusrouter/work/vms.py
+++ b/crocusrouter/work/vms.py
@@ -63,13 +63,13 @@
 class VmPort(Protocol):
     """The platform's control of VMs."""
 
-    async def list_vms(self) -> tuple[Vm, ...] | orders.Silent:
+    async def list_vms(self) -> tuple[Vm, ...] | orders.NoAnswer:
         """Return all VMs."""
         ...
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
-    ) -> Upkeep | orders.Silent:
+    ) -> Upkeep | orders.NoAnswer:
         """Take a VM down for its upkeep; everything that runs there ends.
 
         Args:
--- a/standins/emulator/policy.py
+++ b/standins/emulator/policy.py
@@ -73,7 +73,7 @@
 
     async def advise(
         self, step: work.StepKey, workers: tuple[str, ...], timeout_s: float
-    ) -> orders.PolicyAnswer | orders.Silent:
+    ) -> orders.PolicyAnswer | orders.NoAnswer:
         """Ask which of some workers may run a step."""
         return await self._policy.answer(step, workers)
 
--- a/standins/emulator/vms.py
+++ b/standins/emulator/vms.py
@@ -139,19 +139,19 @@
         self._vms = vms
         self._entry = entry
 
-    async def list_vms(self) -> tuple[vms.Vm, ...] | orders.Silent:
+    async def list_vms(self) -> tuple[vms.Vm, ...] | orders.NoAnswer:
         """Return all VMs."""
         await trio.sleep(_ANSWER_S)
         return self._vms.list_all()
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
-    ) -> vms.Upkeep | orders.Silent:
+    ) -> vms.Upkeep | orders.NoAnswer:
         """Take a VM down for its upkeep."""
         await trio.sleep(_ANSWER_S)
         answer = self._vms.begin(holder, epoch, vm)
         if self._vms.must_lose():
-            return orders.Silent("lost")
+            return orders.NoAnswer("lost")
         return answer
 
     async def aclose(self) -> None:
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -480,18 +480,18 @@
 
     async def _wait_in_vain(
         self, timeout_s: float, *, sent: bool = False
-    ) -> orders.Silent:
+    ) -> orders.NoAnswer:
         """Get no answer: at once where connections are refused or break."""
         self.is_open = False
         if self._worker.refuses and self._entry not in self._worker.cut_from:
             await trio.sleep(_ORDER_S)
-            return orders.Silent("refused", maybe_done=sent)
+            return orders.NoAnswer("refused", maybe_done=sent)
         await trio.sleep(timeout_s)
-        return orders.Silent("cut")
+        return orders.NoAnswer("cut")
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.Silent:
+    ) -> orders.Report | orders.Rejected | orders.NoAnswer:
         """Look, and wait for an end."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
@@ -509,7 +509,7 @@
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Start a run; some starts are carried out late."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
@@ -523,7 +523,7 @@
             )
             self.is_open = False
             await trio.sleep(timeout_s)
-            return orders.Silent("late")
+            return orders.NoAnswer("late")
         outcome = self._worker.begin(epoch, order, until_ms)
         if self._worker.crash_unanswered(order.key):
             return await self._wait_in_vain(timeout_s, sent=True)
@@ -539,7 +539,7 @@
 
     async def stop(
         self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Stop a run."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
@@ -552,7 +552,7 @@
 
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.Silent:
+    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
         """Set a run's pace."""
         await trio.sleep(_ORDER_S)
         if not self._is_reachable():
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -219,7 +219,7 @@
 
 
 def _show(
-    result: orders.Report | orders.Accepted | orders.Rejected | orders.Silent,
+    result: orders.Report | orders.Accepted | orders.Rejected | orders.NoAnswer,
 ) -> Answer:
     match result:
         case orders.Report(clock_ms, running, ended, born_ms):
