--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -37,7 +37,7 @@
 
     key: model.TaskKey
     run: int
-    saved: str = ""
+    checkpoint: str = ""
     percent: float = 0.0
     load: float = 0.0
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -81,14 +81,14 @@
             run.progressed_at = now
         run.percent = reported_run.percent
         run.load = reported_run.load
-        run.saved = reported_run.saved or run.saved
+        run.saved = reported_run.checkpoint or run.saved
         crashes.clear_working_run(pool_state, run, worker)
         return
     if run is None and _may_adopt(pool_state, reported_run.key):
         adopted_run = pool_state.add_run(
             reported_run.key, reported_run.run, worker_id, now
         )
-        adopted_run.saved = reported_run.saved or adopted_run.saved
+        adopted_run.saved = reported_run.checkpoint or adopted_run.saved
         adopted_run.percent = reported_run.percent
         pool_state.note_taken(reported_run.key, reported_run.run, now)
         pool_state.note(
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -227,7 +227,7 @@
                 "clock_ms": clock_ms,
                 "born": born_ms,
                 "running": [
-                    [names.build_task(r.key), r.run, r.saved, r.percent]
+                    [names.build_task(r.key), r.run, r.checkpoint, r.percent]
                     for r in running
                 ],
                 "finished": [
