--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -58,7 +58,7 @@
     key: model.TaskKey
     run: int
     how: RunOutcome
-    saved: str = ""
+    checkpoint: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -174,7 +174,7 @@
     tracked_step = pool_state.find_work(key)
     tracked_job = pool_state.jobs.get(key.job)
     if is_current and run is not None:
-        run.saved = run_end.saved or run.saved
+        run.saved = run_end.checkpoint or run.saved
         pool_state.drop_run(run)
         if run_end.how is orders.RunOutcome.STOPPED and run.stop_ordered_at:
             pool_state.note_stopped(run, now)
@@ -204,7 +204,7 @@
     if is_current and run is not None:
         pool_state.requeue(run, run_end.how, now)
     elif run is None:
-        pool_state.keep_checkpoint(tracked_step, key, run_end.saved)
+        pool_state.keep_checkpoint(tracked_step, key, run_end.checkpoint)
 
 
 def _apply_success(
