--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -77,8 +77,8 @@
             "until_ms": until_ms,
             "fencing_token": epoch,
         }
-        if order.saved:
-            document["checkpoint"] = order.saved
+        if order.checkpoint:
+            document["checkpoint"] = order.checkpoint
         if order.ticket:
             document["ticket"] = order.ticket
         return await self._order("/run-start", document, timeout_s)
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -143,7 +143,7 @@
     key: model.TaskKey
     run: int
     payload: str
-    saved: str = ""
+    checkpoint: str = ""
     ticket: str = ""
 
 
