--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -57,7 +57,7 @@
     number: int
     key: model.TaskKey
     run: int
-    how: RunOutcome
+    outcome: RunOutcome
     checkpoint: str = ""
 
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -176,7 +176,7 @@
     if is_current and run is not None:
         run.saved = run_end.checkpoint or run.saved
         pool_state.drop_run(run)
-        if run_end.how is orders.RunOutcome.STOPPED and run.stop_ordered_at:
+        if run_end.outcome is orders.RunOutcome.STOPPED and run.stop_ordered_at:
             pool_state.note_stopped(run, now)
     if tracked_job is None or tracked_step is None:
         return
@@ -188,21 +188,21 @@
         task=key,
         run=run_end.run,
         worker=worker_id,
-        how=str(run_end.how),
+        how=str(run_end.outcome),
     )
-    if run_end.how in _ENDS_BY_TASK:
+    if run_end.outcome in _ENDS_BY_TASK:
         crashes.clear_working_step(pool_state, tracked_step, key.position)
-    if run_end.how is orders.RunOutcome.DONE:
+    if run_end.outcome is orders.RunOutcome.DONE:
         _apply_success(
             pool_state, tracked_job, tracked_step, key, worker_id, now
         )
         return
-    if run_end.how is orders.RunOutcome.FAILED:
+    if run_end.outcome is orders.RunOutcome.FAILED:
         _apply_failure(
             pool_state, tracked_job, tracked_step, run_end, worker_id, now
         )
     if is_current and run is not None:
-        pool_state.requeue(run, run_end.how, now)
+        pool_state.requeue(run, run_end.outcome, now)
     elif run is None:
         pool_state.keep_checkpoint(tracked_step, key, run_end.checkpoint)
 
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -218,7 +218,7 @@
         for ended in self.ended:
             if (
                 ended.number > self.noted
-                and ended.how is orders.RunOutcome.FAILED
+                and ended.outcome is orders.RunOutcome.FAILED
             ):
                 self.oracle.forget_failure(ended.key)
         self.ended.clear()
@@ -227,7 +227,7 @@
         for ended in self.ended:
             if (
                 ended.number > self.noted
-                and ended.how is orders.RunOutcome.DONE
+                and ended.outcome is orders.RunOutcome.DONE
             ):
                 self.oracle.allow_again(ended.key)
 
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -231,7 +231,13 @@
                     for r in running
                 ],
                 "finished": [
-                    [e.number, names.build_task(e.key), e.run, str(e.how), ""]
+                    [
+                        e.number,
+                        names.build_task(e.key),
+                        e.run,
+                        str(e.outcome),
+                        "",
+                    ]
                     for e in ended
                 ],
             }
