--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/orders.py
@@ -110,7 +110,7 @@
             one; None if unknown.
     """
 
-    why: RejectionReason
+    reason: RejectionReason
     clock_ms: int | None = None
     incarnation: str | None = None
 
