--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -242,8 +242,8 @@
             and run.phase is runs.Phase.ORDERED
             and held is not None
             and not held.sealed
-            and run.work is not None
-            and not held.is_over(run.work.step.charge)
+            and run.tracked_step is not None
+            and not held.is_over(run.tracked_step.step.charge)
             and self._may_start(self._times.steady())
         )
 
@@ -278,10 +278,10 @@
         if run.phase is runs.Phase.ORDERED:
             now = self._times.steady()
             self._book.stop_run(run, "its start was not answered", now)
-            if run.work is not None and run.work.step.gang:
+            if run.tracked_step is not None and run.tracked_step.step.gang:
                 # The others would wait for it until they end alone.
                 why = "a member's start was not answered"
-                self._book.stop_step(run.work, why, now)
+                self._book.stop_step(run.tracked_step, why, now)
             self._changed()
 
     async def _stop_late_starts(self) -> None:
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -370,7 +370,7 @@
         if tracked_step is not None:
             tracked_step.waiting.discard(key.position)
             tracked_step.running[key.position] = run
-            run.work = tracked_step
+            run.tracked_step = tracked_step
             run.saved = tracked_step.find_checkpoint(key.position)
             self._assign_run(run, tracked_step, worker_id)
             if alone:
@@ -389,7 +389,7 @@
 
     def move_run(self, run: runs.Run, worker_id: str) -> None:
         """Assign a run to another worker, where it may still start."""
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         assert tracked_step is not None
         old_worker = self.workers[run.worker]
         del old_worker.runs[run.key]
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -155,7 +155,7 @@
     The tasks of a step run the same program, so the others need no trials of
     their own. Their crashes stay recorded, since one task may still differ.
     """
-    tracked_step = run.work
+    tracked_step = run.tracked_step
     if (
         tracked_step is None
         or not tracked_step.kept.crashes
@@ -230,7 +230,7 @@
     may_have_started = run.maybe_begun or run.confirmed_at is not None
     return (
         may_have_started
-        and run.work is not None
+        and run.tracked_step is not None
         and _measure_work_time(run, worker) < _CLEARED_AFTER_S
     )
 
@@ -240,17 +240,17 @@
 ) -> None:
     """Fail the jobs of tasks under which too many workers have crashed."""
     for run in crashed_runs:
-        assert run.work is not None
-        if run.work.kept.is_given_up(run.key.position):
+        assert run.tracked_step is not None
+        if run.tracked_step.kept.is_given_up(run.key.position):
             _fail_job(pool_state, run, now)
 
 
 def _record_crash(
     pool_state: pool_states.PoolState, run: runs.Run, worker: runs.Worker
 ) -> None:
-    if run.work is None or run.key.job not in pool_state.live:
+    if run.tracked_step is None or run.key.job not in pool_state.live:
         return
-    crashes = run.work.kept.crashes.setdefault(run.key.position, [])
+    crashes = run.tracked_step.kept.crashes.setdefault(run.key.position, [])
     if any(crash.run == run.number for crash in crashes):
         return
     crash = progresses.Crash(run.number, _is_early(run, worker))
@@ -261,8 +261,8 @@
 
 
 def _list_crashes(run: runs.Run) -> list[progresses.Crash]:
-    assert run.work is not None
-    return run.work.kept.crashes.get(run.key.position, [])
+    assert run.tracked_step is not None
+    return run.tracked_step.kept.crashes.get(run.key.position, [])
 
 
 def _fail_job(
--- a/crocusrouter/work/pacing.py
+++ b/crocusrouter/work/pacing.py
@@ -65,7 +65,7 @@
     filling_runs = []
     pressure = 0.0
     for run in worker.runs.values():
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         if tracked_step is None or run.phase is not runs.Phase.RUNNING:
             continue
         if tracked_step.step.fills:
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -85,8 +85,10 @@
     pool_state: pool_states.PoolState, run: runs.Run, now: float
 ) -> None:
     """Stop a run's gang, since the other members need this one."""
-    if run.work is not None and run.work.step.gang:
-        pool_state.stop_step(run.work, "a member's worker has restarted", now)
+    if run.tracked_step is not None and run.tracked_step.step.gang:
+        pool_state.stop_step(
+            run.tracked_step, "a member's worker has restarted", now
+        )
 
 
 def map_incarnations(pool_state: pool_states.PoolState) -> dict[str, str]:
--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/rescue.py
@@ -40,14 +40,14 @@
     relocations = [
         (run, "it makes no progress")
         for run in stalled_runs
-        if run.work is not None
-        and _is_worth_restarting(pool_state, run, run.work, now, wall)
+        if run.tracked_step is not None
+        and _is_worth_restarting(pool_state, run, run.tracked_step, now, wall)
     ]
     for worker in pool_state.workers.values():
         if worker.leaves_at is None:
             continue
         for run in worker.runs.values():
-            tracked_step = run.work
+            tracked_step = run.tracked_step
             if tracked_step is None or not _may_relocate(run, tracked_step):
                 continue
             if _outlasts_worker(run, tracked_step, worker, now):
@@ -73,7 +73,7 @@
     for run in pool_state.runs.values():
         if now - run.progressed_at <= _MIN_STALL_S:
             continue
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         if tracked_step is None or not _may_relocate(run, tracked_step):
             continue
         if is_stalled(run, tracked_step, now):
@@ -148,7 +148,7 @@
     """Return the runs to stop, with the other members of their gangs."""
     stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
     for run, reason in relocations:
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         assert tracked_step is not None
         members = (
             pool_state.list_step_runs(tracked_step)
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -61,7 +61,7 @@
     maybe_begun: bool = False
     why: str = ""
     stop_ordered_at: float = 0.0
-    work: "TrackedStep | None" = None
+    tracked_step: "TrackedStep | None" = None
     pace: int = 100
     paced_at: float = 0.0
 
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -115,8 +115,8 @@
     """Return the core-seconds that are lost if a worker is emptied now."""
     total_loss = 0.0
     for run in pool_state.workers[worker_id].runs.values():
-        if run.work is not None:
-            total_loss += victims.measure_loss(run, run.work, now)
+        if run.tracked_step is not None:
+            total_loss += victims.measure_loss(run, run.tracked_step, now)
     return total_loss
 
 
@@ -152,7 +152,7 @@
     stops_left: dict[model.StepKey, int] = {}
     for key in sorted(worker.runs) if worker is not None else ():
         run = pool_state.runs[key]
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         if tracked_step is None or run.phase is not runs.Phase.RUNNING:
             continue
         if not _should_stop(
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -92,9 +92,9 @@
     def _list_ends(self, worker_id: str) -> list[tuple[float, model.Room]]:
         ends = []
         for run in self._pool_state.workers[worker_id].runs.values():
-            if run.work is not None:
-                remaining_s = estimate_rest(run, run.work, self._now)
-                ends.append((remaining_s, run.work.step.charge))
+            if run.tracked_step is not None:
+                remaining_s = estimate_rest(run, run.tracked_step, self._now)
+                ends.append((remaining_s, run.tracked_step.step.charge))
         return sorted(ends)
 
 
@@ -163,7 +163,7 @@
     ) -> list["_Candidate"]:
         candidates = []
         for key, run in self.pool_state.workers[worker_id].runs.items():
-            tracked_step = run.work
+            tracked_step = run.tracked_step
             tracked_job = self.pool_state.jobs.get(key.job)
             if tracked_step is None or tracked_job is None:
                 continue
@@ -381,7 +381,7 @@
         Returns:
             Ids of the workers whose free room has changed.
         """
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         if tracked_step is None:
             return set()
         affected_workers = set()
