--- a/crocusrouter/pools/listing.py
+++ b/crocusrouter/pools/listing.py
@@ -155,7 +155,7 @@
             revision=revision,
             unheard_s=round(self.freshness.unheard_s, 3),
             started_unheard=sum(
-                run.since >= self.freshness.heard_before
+                run.ordered_at >= self.freshness.heard_before
                 for run in held.runs.values()
             ),
             under_way=sum(
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -334,7 +334,7 @@
                 run=run.number,
                 worker=worker_id,
                 phase=str(run.phase),
-                ran_s=round((worker.silent_since or now) - run.since, 3),
+                ran_s=round((worker.silent_since or now) - run.ordered_at, 3),
             )
             self.drop_run(run)
             self.requeue(run, orders.RunOutcome.LAPSED, now)
@@ -428,7 +428,7 @@
             worker=run.worker,
             why=reason,
             percent=run.percent,
-            ran_s=round(now - run.since, 3),
+            ran_s=round(now - run.ordered_at, 3),
             left_s=round(leaves_at - now, 3) if leaves_at is not None else None,
         )
         self.outbox.append((run.worker, orders.Stop(run.key, run.number)))
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -148,7 +148,7 @@
             task=key,
             run=run.number,
             worker=run.worker,
-            ran_s=round(now - run.since, 3),
+            ran_s=round(now - run.ordered_at, 3),
             noted=worker.noted,
         )
         pool_state.drop_run(run)
--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/rescue.py
@@ -111,7 +111,7 @@
         return False
     if run.percent < 5:
         return True
-    ran_s = run.progressed_at - (run.confirmed_at or run.since)
+    ran_s = run.progressed_at - (run.confirmed_at or run.ordered_at)
     return stalled_s > _STALL_SHARE * ran_s * 100 / run.percent
 
 
@@ -135,7 +135,7 @@
     job = pool_state.jobs[run.key.job].job
     objective_at = job.find_due(run.key.occurrence) + job.objective_s
     remaining_s = tracked_step.step.expected_s - (
-        run.progressed_at - (run.confirmed_at or run.since)
+        run.progressed_at - (run.confirmed_at or run.ordered_at)
     )
     ends_if_kept = wall + stalled_s + max(0.0, remaining_s)
     ends_if_restarted = wall + _RESTART_S + tracked_step.step.expected_s
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -51,7 +51,7 @@
     key: model.TaskKey
     number: int
     worker: str
-    since: float
+    ordered_at: float
     phase: Phase = Phase.ORDERED
     confirmed_at: float | None = None
     saved: str = ""
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -296,7 +296,7 @@
     tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
     assert build.apply_plan(pool_state, 1.0).placements == []
     busy_run = pool_state.runs[_key("busy")]
-    busy_run.since = busy_run.progressed_at = 4.5
+    busy_run.ordered_at = busy_run.progressed_at = 4.5
     build.apply_plan(pool_state, 4.5)
     assert tracked_step.running
 
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -112,7 +112,7 @@
 
 
 def _has_just_started(run: runs.Run, now: float) -> bool:
-    return now - run.since < runs.TRIAL_S
+    return now - run.ordered_at < runs.TRIAL_S
 
 
 def _is_quiet(
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -53,7 +53,7 @@
     run: runs.Run, tracked_step: runs.TrackedStep, now: float
 ) -> float:
     """Return the estimated seconds until a run ends."""
-    ran_s = now - (run.confirmed_at if run.confirmed_at else run.since)
+    ran_s = now - (run.confirmed_at if run.confirmed_at else run.ordered_at)
     if run.percent >= 5:
         return ran_s * (100 - run.percent) / run.percent
     return max(0.5, tracked_step.step.expected_s - ran_s)
@@ -108,7 +108,7 @@
     """
     if tracked_step.step.checkpoints:
         return 0.1 * tracked_step.step.charge.cores
-    ran_s = now - (run.confirmed_at if run.confirmed_at else run.since)
+    ran_s = now - (run.confirmed_at if run.confirmed_at else run.ordered_at)
     return max(0.1, ran_s) * tracked_step.step.charge.cores
 
 
