--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -349,9 +349,9 @@
                 worker,
                 found.step,
                 total,
-                float(run.saved or 0.0),
+                float(run.checkpoint or 0.0),
                 self._find_failure(arrival, worker, total, now),
-                now + (self.site.restore_s if run.saved else 0.0),
+                now + (self.site.restore_s if run.checkpoint else 0.0),
             )
 
     def _find_factor(
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -381,7 +381,7 @@
             )
             ticket = found.permits.find_ticket(worker, now)
             order = orders.Start(
-                key, number, held.job.payload, run.saved, ticket
+                key, number, held.job.payload, run.checkpoint, ticket
             )
             started.append((self._links[worker], order))
         if self._parking.is_parked(placement.step.job):
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -371,7 +371,7 @@
             tracked_step.waiting.discard(key.position)
             tracked_step.running[key.position] = run
             run.tracked_step = tracked_step
-            run.saved = tracked_step.find_checkpoint(key.position)
+            run.checkpoint = tracked_step.find_checkpoint(key.position)
             self._assign_run(run, tracked_step, worker_id)
             if alone:
                 self.workers[worker_id].trial_until = now + runs.TRIAL_S
@@ -519,7 +519,7 @@
             return
         tracked_step.waiting.add(run.key.position)
         tracked_step.waiting_since = now
-        self.keep_checkpoint(tracked_step, run.key, run.saved)
+        self.keep_checkpoint(tracked_step, run.key, run.checkpoint)
         if tracked_step.step.gang:
             # The remaining members would wait for this one or do useless work,
             # so the gang is stopped and starts again as a whole.
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -81,14 +81,16 @@
             run.progressed_at = now
         run.percent = reported_run.percent
         run.load = reported_run.load
-        run.saved = reported_run.checkpoint or run.saved
+        run.checkpoint = reported_run.checkpoint or run.checkpoint
         crashes.clear_working_run(pool_state, run, worker)
         return
     if run is None and _may_adopt(pool_state, reported_run.key):
         adopted_run = pool_state.add_run(
             reported_run.key, reported_run.run, worker_id, now
         )
-        adopted_run.saved = reported_run.checkpoint or adopted_run.saved
+        adopted_run.checkpoint = (
+            reported_run.checkpoint or adopted_run.checkpoint
+        )
         adopted_run.percent = reported_run.percent
         pool_state.note_taken(reported_run.key, reported_run.run, now)
         pool_state.note(
@@ -174,7 +176,7 @@
     tracked_step = pool_state.find_work(key)
     tracked_job = pool_state.jobs.get(key.job)
     if is_current and run is not None:
-        run.saved = run_end.checkpoint or run.saved
+        run.checkpoint = run_end.checkpoint or run.checkpoint
         pool_state.drop_run(run)
         if run_end.outcome is orders.RunOutcome.STOPPED and run.stop_ordered_at:
             pool_state.note_stopped(run, now)
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -54,7 +54,7 @@
     ordered_at: float
     phase: Phase = Phase.ORDERED
     confirmed_at: float | None = None
-    saved: str = ""
+    checkpoint: str = ""
     percent: float = 0.0
     progressed_at: float = 0.0
     load: float = 0.0
