--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -452,7 +452,7 @@
         """Record that a start without an answer may have been carried out."""
         run = self.runs.get(key)
         if run is not None and run.number == number:
-            run.maybe_begun = True
+            run.maybe_started = True
 
     def note_taken(self, key: model.TaskKey, number: int, now: float) -> None:
         """Record that a worker has started a run."""
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -227,7 +227,7 @@
 
 def _may_have_crashed_worker(run: runs.Run, worker: runs.Worker) -> bool:
     """Tell whether a run may have started, and not long ago."""
-    may_have_started = run.maybe_begun or run.confirmed_at is not None
+    may_have_started = run.maybe_started or run.confirmed_at is not None
     return (
         may_have_started
         and run.tracked_step is not None
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -58,7 +58,7 @@
     percent: float = 0.0
     progressed_at: float = 0.0
     load: float = 0.0
-    maybe_begun: bool = False
+    maybe_started: bool = False
     why: str = ""
     stop_ordered_at: float = 0.0
     tracked_step: "TrackedStep | None" = None
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -20,7 +20,7 @@
     )
     build.apply_plan(pool_state)
     for key in late_tasks:
-        pool_state.runs[key].maybe_begun = True
+        pool_state.runs[key].maybe_started = True
     stops = [
         orders.Stop(key, pool_state.runs[key].number) for key in late_tasks
     ]
@@ -94,7 +94,7 @@
     build.apply_plan(pool_state)
     [member] = pool_state.workers[_OLD_WORKER].runs.values()
     [other_member] = pool_state.workers["w1@5"].runs.values()
-    member.maybe_begun = True
+    member.maybe_started = True
     work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
     stop = orders.Stop(member.key, member.number)
     work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, [stop])
