--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -255,8 +255,12 @@
     def _name_cause(self, run: _Running, how: orders.RunOutcome) -> str:
         """Return why a run came to nothing, without names of jobs."""
         held = self.book.runs.get(run.key)
-        if how is orders.RunOutcome.STOPPED and held is not None and held.why:
-            return _JOB.sub("JOB", held.why)
+        if (
+            how is orders.RunOutcome.STOPPED
+            and held is not None
+            and held.stop_reason
+        ):
+            return _JOB.sub("JOB", held.stop_reason)
         if run.worker not in self.ends:
             return "its worker left"
         return str(how)
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -125,7 +125,7 @@
     if settled:
         assert book.find_work(key).waiting == {0}
     else:
-        assert run.why == "its start was not answered"
+        assert run.stop_reason == "its start was not answered"
 
 
 @pytest.mark.parametrize("leaves", [False, True])
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -417,7 +417,7 @@
         if run.phase is runs.Phase.STOPPING:
             return
         run.phase = runs.Phase.STOPPING
-        run.why = reason
+        run.stop_reason = reason
         run.stop_ordered_at = now
         worker = self.workers.get(run.worker)
         leaves_at = worker.leaves_at if worker is not None else None
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -59,7 +59,7 @@
     progressed_at: float = 0.0
     load: float = 0.0
     maybe_started: bool = False
-    why: str = ""
+    stop_reason: str = ""
     stop_ordered_at: float = 0.0
     tracked_step: "TrackedStep | None" = None
     pace: int = 100
