--- a/bench/steps.py
+++ b/bench/steps.py
@@ -164,7 +164,7 @@
     run = book.runs.get(key)
     if run is None:
         return
-    held = book.workers[run.worker]
+    held = book.workers[run.worker_id]
     rows = tuple(
         orders.ReportedRun(other, book.runs[other].number)
         for other in held.runs
@@ -174,7 +174,7 @@
         held.noted + 1, key, run.number, orders.RunOutcome.DONE
     )
     report = orders.Report(0, rows, (ended,))
-    work.take_report(book, run.worker, report, now, now)
+    work.take_report(book, run.worker_id, report, now, now)
 
 
 def _decide(
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -436,7 +436,7 @@
     def _send_paces(self, now: float) -> None:
         assert self._nursery is not None
         for run, percent in work.choose_paces(self.book, now):
-            link = self._links.get(run.worker)
+            link = self._links.get(run.worker_id)
             if link is not None:
                 # Sent again only when this one can have been answered.
                 run.paced_at = now
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -391,17 +391,17 @@
         """Assign a run to another worker, where it may still start."""
         tracked_step = run.tracked_step
         assert tracked_step is not None
-        old_worker = self.workers[run.worker]
+        old_worker = self.workers[run.worker_id]
         del old_worker.runs[run.key]
         old_worker.used = old_worker.used.minus(tracked_step.step.charge)
-        run.worker = worker_id
+        run.worker_id = worker_id
         run.confirmed_at = None
         run.phase = runs.Phase.ORDERED
         self._assign_run(run, tracked_step, worker_id)
 
     def drop_run(self, run: runs.Run) -> None:
         """Remove a run that has certainly ended."""
-        worker = self.workers.get(run.worker)
+        worker = self.workers.get(run.worker_id)
         tracked_step = self.find_work(run.key)
         if self.runs.get(run.key) is run:
             del self.runs[run.key]
@@ -419,19 +419,19 @@
         run.phase = runs.Phase.STOPPING
         run.stop_reason = reason
         run.stop_ordered_at = now
-        worker = self.workers.get(run.worker)
+        worker = self.workers.get(run.worker_id)
         leaves_at = worker.leaves_at if worker is not None else None
         self.note(
             "run:stop",
             task=run.key,
             run=run.number,
-            worker=run.worker,
+            worker=run.worker_id,
             why=reason,
             percent=run.percent,
             ran_s=round(now - run.ordered_at, 3),
             left_s=round(leaves_at - now, 3) if leaves_at is not None else None,
         )
-        self.outbox.append((run.worker, orders.Stop(run.key, run.number)))
+        self.outbox.append((run.worker_id, orders.Stop(run.key, run.number)))
 
     def note_stopped(self, run: runs.Run, now: float) -> None:
         """Update the estimate of stop durations; log when it rises."""
@@ -485,7 +485,11 @@
         if run is None or run.number != number or run.confirmed_at is not None:
             return
         self.note(
-            "run:rejected", task=key, run=number, worker=run.worker, why=reason
+            "run:rejected",
+            task=key,
+            run=number,
+            worker=run.worker_id,
+            why=reason,
         )
         self.drop_run(run)
         self.requeue(run, orders.RunOutcome.STOPPED, now)
@@ -496,9 +500,9 @@
             tracked_step.not_before, now + RETRY_PAUSE_S
         )
         if reason == orders.RejectionReason.NO_TICKET:
-            tracked_step.permits.drop_ticket(run.worker)
+            tracked_step.permits.drop_ticket(run.worker_id)
         else:
-            tracked_step.avoided_workers.add(run.worker)
+            tracked_step.avoided_workers.add(run.worker_id)
 
     def withdraw_run(self, key: model.TaskKey, number: int) -> None:
         """Remove a run whose start order was never sent."""
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -103,7 +103,7 @@
         self._wall = wall
         self._plan = Plan()
         self._stalled_runs = rescue.list_stalled(pool_state, now)
-        stalled_workers = {run.worker for run in self._stalled_runs}
+        stalled_workers = {run.worker_id for run in self._stalled_runs}
         self._spaces = {
             name: packing.Space(
                 name, packing.find_rack(worker.entry.labels), worker.free
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -74,7 +74,7 @@
     if (
         run is not None
         and run.number == reported_run.run
-        and run.worker == worker_id
+        and run.worker_id == worker_id
     ):
         pool_state.note_taken(reported_run.key, reported_run.run, now)
         if reported_run.percent != run.percent:
@@ -149,7 +149,7 @@
             "run:missing",
             task=key,
             run=run.number,
-            worker=run.worker,
+            worker=run.worker_id,
             ran_s=round(now - run.ordered_at, 3),
             noted=worker.noted,
         )
@@ -171,7 +171,7 @@
     is_current = (
         run is not None
         and run.number == run_end.run
-        and run.worker == worker_id
+        and run.worker_id == worker_id
     )
     tracked_step = pool_state.find_work(key)
     tracked_job = pool_state.jobs.get(key.job)
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -50,7 +50,7 @@
 
     key: model.TaskKey
     number: int
-    worker: str
+    worker_id: str
     ordered_at: float
     phase: Phase = Phase.ORDERED
     confirmed_at: float | None = None
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -28,7 +28,7 @@
     build.apply_plan(pool_state)
     for index, how in enumerate(ends):
         run = pool_state.runs[_key("j", index)]
-        build.apply_report(pool_state, run.worker, (_key("j", index), how))
+        build.apply_report(pool_state, run.worker_id, (_key("j", index), how))
     assert pool_state.jobs["j"].progress.final is state
 
 
@@ -41,7 +41,7 @@
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    build.apply_report(pool_state, run.worker, (_key("j"), HOW.DONE))
+    build.apply_report(pool_state, run.worker_id, (_key("j"), HOW.DONE))
     assert pool_state.jobs["j"].show_state() is work.State.RUNNING
     pool_state.note_durable(["j"])
     assert pool_state.jobs["j"].show_state() is work.State.DONE
@@ -77,7 +77,7 @@
         build.apply_plan(pool_state, now=now)
         run = pool_state.runs[_key("j")]
         build.apply_report(
-            pool_state, run.worker, (_key("j"), HOW.FAILED), now=now + 1
+            pool_state, run.worker_id, (_key("j"), HOW.FAILED), now=now + 1
         )
     assert pool_state.jobs["j"].progress.final is work.State.FAILED
     other_run = pool_state.runs[_key("j", 1)]
@@ -97,11 +97,11 @@
     first_run, second_run = (
         pool_state.runs[_key("j", index)] for index in (0, 1)
     )
-    pool_state.note_lapsed(first_run.worker, "test", 1.0)
+    pool_state.note_lapsed(first_run.worker_id, "test", 1.0)
     assert second_run.phase is runs.Phase.STOPPING
     assert build.apply_plan(pool_state, now=5.0).placements == []
     build.apply_report(
-        pool_state, second_run.worker, (second_run.key, HOW.STOPPED), now=6.0
+        pool_state, second_run.worker_id, (second_run.key, HOW.STOPPED), now=6.0
     )
     assert pool_state.find_work(first_run.key).waiting == {0, 1}
 
@@ -146,7 +146,7 @@
     pool_state.note_not_begun(_key("j"), run.number, "no-room", 0.0)
     assert build.apply_plan(pool_state, now=0.1).placements == []
     plan = build.apply_plan(pool_state, now=1.0)
-    assert plan.placements[0].spots[0] != run.worker
+    assert plan.placements[0].spots[0] != run.worker_id
 
 
 def test_cancelled_job_stops_and_starts_nothing():
@@ -241,7 +241,9 @@
     cancelled_job = build.make_job("j", build.make_step(1), cancelled=True)
     pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
     assert pool_state.list_over(before=5.0) == []
-    build.apply_report(pool_state, run.worker, (run.key, HOW.STOPPED), now=2.0)
+    build.apply_report(
+        pool_state, run.worker_id, (run.key, HOW.STOPPED), now=2.0
+    )
     assert pool_state.list_over(before=1.0) == []
     assert pool_state.list_over(before=5.0) == ["j"]
 
@@ -253,7 +255,7 @@
     """
     pool_state = build.make_book(build.make_job("j", build.make_step(2)))
     build.apply_plan(pool_state, now=1.0)
-    worker_id = pool_state.runs[_key("j")].worker
+    worker_id = pool_state.runs[_key("j")].worker_id
     pool_state.note_silent(worker_id, 1.25)
     replacement.note_gone(pool_state, worker_id, 4.0)
     lost_events = [
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -67,7 +67,7 @@
     now, crash_count = 0.0, 0
     while not pool_state.jobs["j"].is_final and crash_count < len(_WORKERS):
         build.apply_plan(pool_state, now)
-        worker_id = next(iter(pool_state.runs.values())).worker
+        worker_id = next(iter(pool_state.runs.values())).worker_id
         now = lose_worker(pool_state, worker_id, now + 0.01)
         crash_count += 1
         _journal_crashes(pool_state)
@@ -84,7 +84,7 @@
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
     pool_state.note_maybe_begun(run.key, run.number)
-    _crash(pool_state, run.worker, 2.5)
+    _crash(pool_state, run.worker_id, 2.5)
     assert _list_crashes(pool_state, _key("j")) == [(run.number, True)]
 
 
@@ -99,11 +99,11 @@
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
-    worker = pool_state.workers[run.worker]
+    worker = pool_state.workers[run.worker_id]
     worker.sealed, worker.was_evacuated = sealed, was_evacuated
     if maybe_begun:
         pool_state.note_taken(run.key, run.number, 0.0)
-    _crash(pool_state, run.worker, 0.1)
+    _crash(pool_state, run.worker_id, 0.1)
     assert not _list_crashes(pool_state, _key("j"))
 
 
@@ -112,9 +112,9 @@
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    work.note_silent(pool_state, run.worker, 0.5)
+    work.note_silent(pool_state, run.worker_id, 0.5)
     assert _list_crashes(pool_state, _key("j"))
-    _report_runs(pool_state, run.worker, 1.0)
+    _report_runs(pool_state, run.worker_id, 1.0)
     assert not _list_crashes(pool_state, _key("j"))
 
 
@@ -127,7 +127,7 @@
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    work.note_silent(pool_state, run.worker, 0.1)
+    work.note_silent(pool_state, run.worker_id, 0.1)
     assert "j" in pool_state.dirty
     progress = progresses.parse_progress(
         progresses.dump_progress(pool_state.jobs["j"].progress)
@@ -138,13 +138,13 @@
     build.apply_plan(new_owner, 2.0)
     next_run = new_owner.runs[_key("j")]
     next_run.number = run.number + 1
-    assert not new_owner.workers[next_run.worker].may_take(2.0)
-    now = _crash(new_owner, next_run.worker, 2.1)
+    assert not new_owner.workers[next_run.worker_id].may_take(2.0)
+    now = _crash(new_owner, next_run.worker_id, 2.1)
     _journal_crashes(new_owner)
     build.apply_plan(new_owner, now)
     next_run = new_owner.runs[_key("j")]
     next_run.number = run.number + 2
-    _crash(new_owner, next_run.worker, now + 0.1)
+    _crash(new_owner, next_run.worker_id, now + 0.1)
     assert new_owner.jobs["j"].progress.final is work.State.FAILED
 
 
@@ -167,7 +167,7 @@
     """
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
-    now = _crash(pool_state, pool_state.runs[_key("j")].worker, 0.1)
+    now = _crash(pool_state, pool_state.runs[_key("j")].worker_id, 0.1)
     assert build.apply_plan(pool_state, now).placements == []
     _journal_crashes(pool_state)
     assert build.apply_plan(pool_state, now).placements
@@ -196,13 +196,13 @@
         pool_state.runs[_key("bad")],
         pool_state.runs[_key("good")],
     )
-    assert bad_run.worker != good_run.worker
-    assert not pool_state.workers[good_run.worker].may_take(now)
-    now = _crash(pool_state, bad_run.worker, now + 0.1)
+    assert bad_run.worker_id != good_run.worker_id
+    assert not pool_state.workers[good_run.worker_id].may_take(now)
+    now = _crash(pool_state, bad_run.worker_id, now + 0.1)
     _journal_crashes(pool_state)
-    _report_runs(pool_state, good_run.worker, now)
+    _report_runs(pool_state, good_run.worker_id, now)
     build.apply_plan(pool_state, now)
-    _crash(pool_state, pool_state.runs[_key("bad")].worker, now + 0.1)
+    _crash(pool_state, pool_state.runs[_key("bad")].worker_id, now + 0.1)
     assert pool_state.jobs["bad"].progress.final is work.State.FAILED
     assert not pool_state.jobs["good"].is_final
 
@@ -212,14 +212,14 @@
         build.make_job("old", build.make_step(gpu=2)), workers=("w0", "w1")
     )
     build.apply_plan(pool_state)
-    worker_id = pool_state.runs[_key("old")].worker
+    worker_id = pool_state.runs[_key("old")].worker_id
     _report_runs(pool_state, worker_id, 8.0)
     pool_state.runs[_key("old")].progressed_at = 8.0
     build.add_job(
         pool_state, build.make_job("new", build.make_step(gpu=2)), now=8.0
     )
     build.apply_plan(pool_state, 8.0)
-    assert pool_state.runs[_key("new")].worker == worker_id
+    assert pool_state.runs[_key("new")].worker_id == worker_id
     _crash(pool_state, worker_id, 8.1)
     assert [
         crash.early for crash in _list_crashes(pool_state, _key("old"))
@@ -240,7 +240,7 @@
     now, crash_count = 0.0, 0
     while not pool_state.jobs["j"].is_final and crash_count < len(_WORKERS):
         build.apply_plan(pool_state, now)
-        worker_id = pool_state.runs[_key("j")].worker
+        worker_id = pool_state.runs[_key("j")].worker_id
         _report_runs(pool_state, worker_id, now + 2.5)
         now = _crash(pool_state, worker_id, now + 4.0)
         crash_count += 1
@@ -254,11 +254,11 @@
     tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    _report_runs(pool_state, run.worker, 1.0)
+    _report_runs(pool_state, run.worker_id, 1.0)
     assert tracked_step.kept.is_suspect
-    _report_runs(pool_state, run.worker, runs.TRIAL_S)
+    _report_runs(pool_state, run.worker_id, runs.TRIAL_S)
     assert not tracked_step.kept.is_suspect
-    _report_runs(pool_state, run.worker, 61.0)
+    _report_runs(pool_state, run.worker_id, 61.0)
     assert not tracked_step.kept.crashes
 
 
@@ -276,7 +276,7 @@
     build.apply_plan(pool_state)
     assert list(tracked_step.running) == [2]
     assert build.apply_plan(pool_state, 1.0).placements == []
-    _report_runs(pool_state, tracked_step.running[2].worker, 2.5)
+    _report_runs(pool_state, tracked_step.running[2].worker_id, 2.5)
     build.apply_plan(pool_state, 2.5)
     assert not tracked_step.waiting
 
@@ -372,7 +372,7 @@
     pool_state.set_worker(build.make_entry("w1"), 2.5)
     pool_state.workers["w1"].reached = True
     build.apply_plan(pool_state, 2.5)
-    assert pool_state.runs[_key("j", 1)].worker == "w1"
+    assert pool_state.runs[_key("j", 1)].worker_id == "w1"
 
 
 def test_innocent_gang_is_not_given_up_where_workers_restart_by_themselves():
@@ -389,10 +389,14 @@
     for _ in range(3):
         build.apply_plan(pool_state, now)
         ours = next(
-            run.worker for key, run in pool_state.runs.items() if key.job == "j"
+            run.worker_id
+            for key, run in pool_state.runs.items()
+            if key.job == "j"
         )
         beside = next(
-            run.worker for run in pool_state.runs.values() if run.worker != ours
+            run.worker_id
+            for run in pool_state.runs.values()
+            if run.worker_id != ours
         )
         for worker in (beside, ours):
             _crash(pool_state, worker, now + 0.4)
--- a/crocusrouter/work/tests/test_rescue.py
+++ b/crocusrouter/work/tests/test_rescue.py
@@ -33,7 +33,7 @@
     )
     build.apply_plan(pool_state)
     run = _find_run(pool_state)
-    entry = pool_state.workers[run.worker].entry
+    entry = pool_state.workers[run.worker_id].entry
     leaving = dataclasses.replace(entry, draining=True, stays_s=stays_s)
     pool_state.set_worker(leaving, 0.0)
     run.progressed_at = ran_s
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -73,7 +73,7 @@
 def test_runs_that_are_stopped_to_empty_a_worker(step, leave_by, stopped):
     pool_state = _make_book(build.make_job("j", step))
     build.apply_plan(pool_state)
-    worker_id = next(iter(pool_state.runs.values())).worker
+    worker_id = next(iter(pool_state.runs.values())).worker_id
     assert (
         len(upkeep.list_evacuations(pool_state, worker_id, 1.0, leave_by))
         == stopped
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -138,7 +138,7 @@
         """Count the victims as stopped from now on."""
         for run in victims.runs:
             self.chosen.add(run.key)
-        affected_workers = {run.worker for run in victims.runs}
+        affected_workers = {run.worker_id for run in victims.runs}
         for worker_id, priority in list(self._candidates):
             if worker_id in affected_workers:
                 del self._candidates[worker_id, priority]
@@ -394,9 +394,9 @@
             if member.key in self._stopped_runs:
                 continue
             self._stopped_runs[member.key] = member
-            if member.worker in self._free_rooms:
-                self._free_rooms[member.worker] = self._free_rooms[
-                    member.worker
+            if member.worker_id in self._free_rooms:
+                self._free_rooms[member.worker_id] = self._free_rooms[
+                    member.worker_id
                 ].plus(tracked_step.step.charge)
-                affected_workers.add(member.worker)
+                affected_workers.add(member.worker_id)
         return affected_workers
