--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -233,7 +233,7 @@
             # Not running yet; all that was loaded is opened then.
             return
         held = self.book.workers[worker]
-        if worker in self._links or held.gone:
+        if worker in self._links or held.replaced:
             return
         open_connection = functools.partial(
             self._platform.open_connection, worker, address
@@ -262,7 +262,10 @@
         It may not be listed yet; it is asked at once what it runs. Orders that
         were under way tell the same once more.
         """
-        if worker not in self.book.workers or self.book.workers[worker].gone:
+        if (
+            worker not in self.book.workers
+            or self.book.workers[worker].replaced
+        ):
             return
         now = self._times.steady()
         if other is not None:
@@ -277,7 +280,7 @@
         held = self.book.workers.get(worker)
         if held is None:
             return
-        if held.listed and not held.gone:
+        if held.listed and not held.replaced:
             # Listed again while its link was being closed.
             self._open_link(worker, held.entry.address)
         else:
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -59,9 +59,9 @@
         late_stops: Stops of the starts that the successor may carry out late.
     """
     worker = pool_state.workers.get(worker_id)
-    if worker is None or worker.gone:
+    if worker is None or worker.replaced:
         return
-    worker.gone = True
+    worker.replaced = True
     pool_state.note(
         "worker:restarted",
         worker=worker_id,
@@ -96,5 +96,5 @@
     return {
         worker.entry.worker: worker_id
         for worker_id, worker in pool_state.workers.items()
-        if worker.listed and not worker.gone
+        if worker.listed and not worker.replaced
     }
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -105,7 +105,7 @@
     silent_since: float | None = None
     last_report_at: float | None = None
     lapsed: bool = False
-    gone: bool = False
+    replaced: bool = False
     used: model.Room = model.Room()
     runs: dict[model.TaskKey, Run] = dataclasses.field(default_factory=dict)
     strays: set[tuple[model.TaskKey, int]] = dataclasses.field(
@@ -149,7 +149,7 @@
             and self.reached
             and not self.sealed
             and not self.resting
-            and not self.gone
+            and not self.replaced
             # A stray run takes room until it has ended. A worker that does not
             # check its room would start more tasks than it has room for.
             and not self.strays
