--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -241,7 +241,7 @@
             and run.number == order.run
             and run.phase is runs.Phase.ORDERED
             and held is not None
-            and not held.sealed
+            and not held.was_draining
             and run.tracked_step is not None
             and not held.is_over(run.tracked_step.step.charge)
             and self._may_start(self._times.steady())
@@ -250,7 +250,7 @@
     def _note_if_leaving(self, order: orders.Start) -> None:
         """Tell of a start that crossed the word that its worker leaves."""
         held = self._book.workers.get(self.worker)
-        if held is not None and held.sealed:
+        if held is not None and held.was_draining:
             self._book.note(
                 "run:on-leaving",
                 task=order.key,
--- a/crocusrouter/pools/listing.py
+++ b/crocusrouter/pools/listing.py
@@ -128,7 +128,9 @@
             self._unlist(record.key)
         self._incarnations[record.key] = entry.id
         known = self._book.workers.get(entry.id)
-        leaves = entry.draining and not (known is not None and known.sealed)
+        leaves = entry.draining and not (
+            known is not None and known.was_draining
+        )
         self._book.set_worker(entry, now)
         if leaves:
             self._tell_leaving(entry.id, record.revision)
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -60,7 +60,7 @@
                 held = self._book.workers[name]
                 unlisted.append(held)
             if jobs is not None:
-                held.sealed = True
+                held.was_draining = True
                 held.blocks = frozenset(jobs)
         return unlisted
 
@@ -68,7 +68,7 @@
         rows = []
         for name, held in sorted(self._book.workers.items()):
             jobs: list[str] | None = None
-            if held.sealed:
+            if held.was_draining:
                 jobs = sorted({key.job for key in held.runs})
                 if held.is_untold:
                     known = held.blocks
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -231,14 +231,16 @@
         """
         worker = self.workers.get(entry.id)
         if worker is None:
-            self.workers[entry.id] = runs.Worker(entry, sealed=entry.draining)
+            self.workers[entry.id] = runs.Worker(
+                entry, was_draining=entry.draining
+            )
             self.note("worker:listed", worker=entry.id)
             return True
         if worker.entry.draining != entry.draining:
             self.note("worker:state", worker=entry.id, draining=entry.draining)
         worker.entry = entry
         worker.listed = True
-        worker.sealed = worker.sealed or entry.draining
+        worker.was_draining = worker.was_draining or entry.draining
         if entry.stays_s is not None:
             # Each heartbeat repeats the time left; the earliest deadline comes
             # from the least delayed heartbeat.
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -220,7 +220,7 @@
 
     There are none if the worker was draining or emptied for upkeep.
     """
-    if worker.sealed or worker.was_evacuated:
+    if worker.was_draining or worker.was_evacuated:
         return []
     return [run for run in lost_runs if _may_have_crashed_worker(run, worker)]
 
--- a/crocusrouter/work/racks.py
+++ b/crocusrouter/work/racks.py
@@ -30,7 +30,11 @@
         """Workers by rack; computed only when a step waits for a rack."""
         workers_by_rack = collections.defaultdict(list)
         for worker in self._pool_state.workers.values():
-            if worker.listed and not worker.sealed and not worker.replaced:
+            if (
+                worker.listed
+                and not worker.was_draining
+                and not worker.replaced
+            ):
                 workers_by_rack[packing.find_rack(worker.entry.labels)].append(
                     worker
                 )
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -115,7 +115,7 @@
     suspect_until: float = 0.0
     noted: int = 0
     leaves_at: float | None = None
-    sealed: bool = False
+    was_draining: bool = False
     resting: bool = False
     was_evacuated: bool = False
     trial_until: float = 0.0
@@ -147,7 +147,7 @@
         return (
             self.listed
             and self.reached
-            and not self.sealed
+            and not self.was_draining
             and not self.resting
             and not self.replaced
             # A stray run takes room until it has ended. A worker that does not
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -100,7 +100,7 @@
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
     worker = pool_state.workers[run.worker_id]
-    worker.sealed, worker.was_evacuated = sealed, was_evacuated
+    worker.was_draining, worker.was_evacuated = sealed, was_evacuated
     if maybe_begun:
         pool_state.note_taken(run.key, run.number, 0.0)
     _crash(pool_state, run.worker_id, 0.1)
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -128,7 +128,7 @@
     pool_state.set_worker(build.make_entry(_NEW_WORKER), 2.0)
     pool_state.workers[_NEW_WORKER].reached = True
     assert pool_state.workers[_NEW_WORKER].may_take(2.0)
-    assert pool_state.workers[_OLD_WORKER].sealed
+    assert pool_state.workers[_OLD_WORKER].was_draining
 
 
 def test_incarnations_are_found_by_the_platforms_worker_ids():
