--- a/bench/steps.py
+++ b/bench/steps.py
@@ -171,7 +171,7 @@
         if other != key
     )
     ended = orders.RunEnd(
-        held.noted + 1, key, run.number, orders.RunOutcome.DONE
+        held.last_end_number + 1, key, run.number, orders.RunOutcome.DONE
     )
     report = orders.Report(0, rows, (ended,))
     work.take_report(book, run.worker_id, report, now, now)
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -36,7 +36,7 @@
             "worker:reached",
             worker=worker_id,
             clock_ms=report.clock_ms,
-            noted=worker.noted,
+            noted=worker.last_end_number,
             ends=[run_end.number for run_end in report.ended],
         )
     worker.silent_since = None
@@ -44,8 +44,8 @@
     worker.last_report_at = now
     for run_end in report.ended:
         # The worker lists an end until it is confirmed.
-        if run_end.number > worker.noted:
-            worker.noted = run_end.number
+        if run_end.number > worker.last_end_number:
+            worker.last_end_number = run_end.number
             _apply_end(pool_state, worker_id, run_end, now)
     running_by_key = {
         reported_run.key: reported_run for reported_run in report.running
@@ -151,7 +151,7 @@
             run=run.number,
             worker=run.worker_id,
             ran_s=round(now - run.ordered_at, 3),
-            noted=worker.noted,
+            noted=worker.last_end_number,
         )
         pool_state.drop_run(run)
         pool_state.requeue(run, orders.RunOutcome.LAPSED, now)
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -113,7 +113,7 @@
     )
     failures: set[str] = dataclasses.field(default_factory=set)
     suspect_until: float = 0.0
-    noted: int = 0
+    last_end_number: int = 0
     leaves_at: float | None = None
     was_draining: bool = False
     resting: bool = False
