--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -61,7 +61,7 @@
                 unlisted.append(held)
             if jobs is not None:
                 held.was_draining = True
-                held.blocks = frozenset(jobs)
+                held.possible_jobs = frozenset(jobs)
         return unlisted
 
     def _describe(self) -> bytes:
@@ -71,7 +71,7 @@
             if held.was_draining:
                 jobs = sorted({key.job for key in held.runs})
                 if held.is_untold:
-                    known = held.blocks
+                    known = held.possible_jobs
                     jobs = sorted(known) if known is not None else None
                 elif not jobs and not held.listed:
                     # One that is still listed stands here as long as that: a
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -270,9 +270,9 @@
         ]
         blocked_jobs: set[str] = set()
         for worker in unreported_workers:
-            if worker.blocks is None:
+            if worker.possible_jobs is None:
                 return None
-            blocked_jobs |= worker.blocks
+            blocked_jobs |= worker.possible_jobs
         return frozenset(blocked_jobs)
 
     def may_run_unseen(
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -119,7 +119,7 @@
     resting: bool = False
     was_evacuated: bool = False
     trial_until: float = 0.0
-    blocks: frozenset[str] | None = None
+    possible_jobs: frozenset[str] | None = None
 
     @property
     def is_untold(self) -> bool:
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -188,7 +188,7 @@
         pool_state, build.make_job("new", build.make_step()), created=60
     )
     pool_state.set_worker(build.make_entry("gone"), 0.0)
-    pool_state.workers["gone"].blocks = blocks
+    pool_state.workers["gone"].possible_jobs = blocks
     plan = work.plan(pool_state, 0.0, build.WALL)
     assert {placement.step.job for placement in plan.placements} == expected
 
