--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -100,7 +100,7 @@
                 held = self._book.workers.get(self.worker)
                 if held is None:
                     return
-                idle = not held.runs and not held.strays
+                idle = not held.runs and not held.stray_runs
                 if idle and held.silent_since is None:
                     if not held.listed:
                         return
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -50,7 +50,7 @@
     running_by_key = {
         reported_run.key: reported_run for reported_run in report.running
     }
-    worker.strays.clear()
+    worker.stray_runs.clear()
     ended_keys = {
         (reported_run.key, reported_run.run) for reported_run in report.ended
     }
@@ -100,7 +100,7 @@
             worker=worker_id,
         )
         return
-    worker.strays.add((reported_run.key, reported_run.run))
+    worker.stray_runs.add((reported_run.key, reported_run.run))
     pool_state.outbox.append(
         (worker_id, orders.Stop(reported_run.key, reported_run.run))
     )
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -108,7 +108,7 @@
     replaced: bool = False
     used: model.Room = model.Room()
     runs: dict[model.TaskKey, Run] = dataclasses.field(default_factory=dict)
-    strays: set[tuple[model.TaskKey, int]] = dataclasses.field(
+    stray_runs: set[tuple[model.TaskKey, int]] = dataclasses.field(
         default_factory=set
     )
     failures: set[str] = dataclasses.field(default_factory=set)
@@ -152,7 +152,7 @@
             and not self.replaced
             # A stray run takes room until it has ended. A worker that does not
             # check its room would start more tasks than it has room for.
-            and not self.strays
+            and not self.stray_runs
             and self.silent_since is None
             and now >= self.suspect_until
             and now >= self.trial_until
