--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -152,7 +152,7 @@
         now = self._times.steady()
         work.note_silent(self._book, self.worker, now)
         held = self._book.workers[self.worker]
-        if not held.lapsed and self.lease.has_lapsed(now):
+        if not held.all_runs_ended and self.lease.has_lapsed(now):
             why = "its lease has ended"
             work.note_lapsed(self._book, self.worker, why, now)
             self._changed()
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -78,7 +78,7 @@
                     # successor that knew nothing of it would hold all older
                     # jobs back until its lease had ended.
                     continue
-            elif held.replaced or (held.lapsed and not held.listed):
+            elif held.replaced or (held.all_runs_ended and not held.listed):
                 continue
             rows.append([name, held.entry.address, jobs])
         return cbor2.dumps(rows)
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -340,7 +340,7 @@
             )
             self.drop_run(run)
             self.requeue(run, orders.RunOutcome.LAPSED, now)
-        worker.lapsed = True
+        worker.all_runs_ended = True
         return lost_runs
 
     def forget_worker(self, worker_id: str) -> None:
@@ -387,7 +387,7 @@
         if run.key not in worker.runs:
             worker.used = worker.used.plus(tracked_step.step.charge)
             worker.runs[run.key] = run
-            worker.lapsed = False
+            worker.all_runs_ended = False
 
     def move_run(self, run: runs.Run, worker_id: str) -> None:
         """Assign a run to another worker, where it may still start."""
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -104,7 +104,7 @@
     reached: bool = False
     silent_since: float | None = None
     last_report_at: float | None = None
-    lapsed: bool = False
+    all_runs_ended: bool = False
     replaced: bool = False
     used: model.Room = model.Room()
     runs: dict[model.TaskKey, Run] = dataclasses.field(default_factory=dict)
@@ -124,7 +124,7 @@
     @property
     def is_untold(self) -> bool:
         """Whether a previous owner's runs there are still unknown."""
-        return not self.reached and not self.lapsed
+        return not self.reached and not self.all_runs_ended
 
     @property
     def free(self) -> model.Room:
