--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -218,7 +218,7 @@
             ):
                 self._book.stop_run(run, why, now)
                 self._changed()
-            if held is None or not held.resting or held.runs:
+            if held is None or not held.evacuating or held.runs:
                 continue
             await self._order(wave.number, record, vm, vms)
 
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -253,8 +253,8 @@
         emptied.
         """
         for worker_id, worker in self.workers.items():
-            worker.resting = worker_id in worker_ids
-            worker.was_evacuated = worker.was_evacuated or worker.resting
+            worker.evacuating = worker_id in worker_ids
+            worker.was_evacuated = worker.was_evacuated or worker.evacuating
 
     def list_blocked(self) -> frozenset[str] | None:
         """Return the jobs that may run on a worker that has not reported yet.
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -116,7 +116,7 @@
     last_end_number: int = 0
     leaves_at: float | None = None
     was_draining: bool = False
-    resting: bool = False
+    evacuating: bool = False
     was_evacuated: bool = False
     trial_until: float = 0.0
     possible_jobs: frozenset[str] | None = None
@@ -148,7 +148,7 @@
             self.listed
             and self.reached
             and not self.was_draining
-            and not self.resting
+            and not self.evacuating
             and not self.replaced
             # A stray run takes room until it has ended. A worker that does not
             # check its room would start more tasks than it has room for.
