--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -354,7 +354,7 @@
         """Note when every worker has told what an earlier owner started."""
         if self.is_recovered:
             return
-        if any(held.is_untold for held in self.book.workers.values()):
+        if any(held.has_unknown_runs for held in self.book.workers.values()):
             return
         self.is_recovered = True
         self.book.check_gangs(now)
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -70,7 +70,7 @@
             jobs: list[str] | None = None
             if held.was_draining:
                 jobs = sorted({key.job for key in held.runs})
-                if held.is_untold:
+                if held.has_unknown_runs:
                     known = held.possible_jobs
                     jobs = sorted(known) if known is not None else None
                 elif not jobs and not held.listed:
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -266,7 +266,9 @@
             owner could have started may start.
         """
         unreported_workers = [
-            worker for worker in self.workers.values() if worker.is_untold
+            worker
+            for worker in self.workers.values()
+            if worker.has_unknown_runs
         ]
         blocked_jobs: set[str] = set()
         for worker in unreported_workers:
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -122,7 +122,7 @@
     possible_jobs: frozenset[str] | None = None
 
     @property
-    def is_untold(self) -> bool:
+    def has_unknown_runs(self) -> bool:
         """Whether a previous owner's runs there are still unknown."""
         return not self.reached and not self.all_runs_ended
 
