--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -243,7 +243,7 @@
             and held is not None
             and not held.was_draining
             and run.tracked_step is not None
-            and not held.is_over(run.tracked_step.step.charge)
+            and not held.is_overcommitted(run.tracked_step.step.charge)
             and self._may_start(self._times.steady())
         )
 
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -131,7 +131,7 @@
         """Room that no run takes; negative if the worker has shrunk."""
         return self.entry.room.minus(self.used)
 
-    def is_over(self, charge: model.Room) -> bool:
+    def is_overcommitted(self, charge: model.Room) -> bool:
         """Tell whether its runs take more than it has of what a run needs.
 
         Args:
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -296,9 +296,12 @@
     build.apply_plan(pool_state)
     pool_state.set_worker(build.make_entry("w0", gpu=gpu), 1.0)
     assert (
-        pool_state.workers["w0"].is_over(build.make_step(gpu=6).charge) is over
+        pool_state.workers["w0"].is_overcommitted(build.make_step(gpu=6).charge)
+        is over
+    )
+    assert not pool_state.workers["w0"].is_overcommitted(
+        build.make_step(gpu=0).charge
     )
-    assert not pool_state.workers["w0"].is_over(build.make_step(gpu=0).charge)
 
 
 def test_job_ends_whose_last_occurrence_was_done_before_it_was_opened():
