--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -73,7 +73,7 @@
     advised = book.jobs[placement.step.job].job.advised
     for name in set(workers):
         worker = book.workers.get(name)
-        if worker is None or not worker.may_take(now):
+        if worker is None or not worker.may_start_tasks(now):
             return False
         if advised and not found.permits.find_ticket(name, now):
             # The ticket has run out while victims were ending; the step is
--- a/crocusrouter/pools/tests/test_roster.py
+++ b/crocusrouter/pools/tests/test_roster.py
@@ -33,9 +33,9 @@
     await opened.load()
     [known] = opened.list_unlisted(0.0)
     known.reached = True
-    assert not known.may_take(0.0)
+    assert not known.may_start_tasks(0.0)
     book.set_worker(build.make_entry("w0"), 1.0)
-    assert known.may_take(1.0) is may_take
+    assert known.may_start_tasks(1.0) is may_take
 
 
 async def test_all_workers_are_used_after_an_outage_in_which_entries_lapsed(
@@ -67,6 +67,6 @@
         await trio.sleep(3.0)
         owner = held.entries[held.find_owner()].owned[clusters.POOL]
         now = trio.current_time()
-        usable = [w.may_take(now) for w in owner.book.workers.values()]
+        usable = [w.may_start_tasks(now) for w in owner.book.workers.values()]
         nursery.cancel_scope.cancel()
     assert usable == [True] * len(held.workers)
--- a/crocusrouter/work/advice.py
+++ b/crocusrouter/work/advice.py
@@ -66,7 +66,7 @@
     needed_slots = len(waiting_step.tracked_step.waiting)
     candidates: list[tuple[bool, str]] = []
     for worker_id, worker in pool_state.workers.items():
-        if not worker.may_take(now):
+        if not worker.may_start_tasks(now):
             continue
         if step.label and step.label not in worker.entry.labels:
             continue
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -109,7 +109,7 @@
                 name, packing.find_rack(worker.entry.labels), worker.free
             )
             for name, worker in pool_state.workers.items()
-            if worker.may_take(now) and name not in stalled_workers
+            if worker.may_start_tasks(now) and name not in stalled_workers
         }
         self._racks = racks.Racks(pool_state)
         self._held_workers: set[str] = set()
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -142,7 +142,7 @@
             for needed, left in zip(charge, self.free, strict=True)
         )
 
-    def may_take(self, now: float) -> bool:
+    def may_start_tasks(self, now: float) -> bool:
         """Tell whether new tasks may start there."""
         return (
             self.listed
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -199,8 +199,8 @@
     build.apply_plan(pool_state)
     for index, job in enumerate(jobs):
         build.apply_report(pool_state, "w0", (_key(job, index), HOW.FAILED))
-    assert pool_state.workers["w0"].may_take(2.0) is not suspected
-    assert pool_state.workers["w0"].may_take(20.0)
+    assert pool_state.workers["w0"].may_start_tasks(2.0) is not suspected
+    assert pool_state.workers["w0"].may_start_tasks(20.0)
 
 
 @pytest.mark.parametrize("how", [None, HOW.DONE])
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -138,7 +138,7 @@
     build.apply_plan(new_owner, 2.0)
     next_run = new_owner.runs[_key("j")]
     next_run.number = run.number + 1
-    assert not new_owner.workers[next_run.worker_id].may_take(2.0)
+    assert not new_owner.workers[next_run.worker_id].may_start_tasks(2.0)
     now = _crash(new_owner, next_run.worker_id, 2.1)
     _journal_crashes(new_owner)
     build.apply_plan(new_owner, now)
@@ -197,7 +197,7 @@
         pool_state.runs[_key("good")],
     )
     assert bad_run.worker_id != good_run.worker_id
-    assert not pool_state.workers[good_run.worker_id].may_take(now)
+    assert not pool_state.workers[good_run.worker_id].may_start_tasks(now)
     now = _crash(pool_state, bad_run.worker_id, now + 0.1)
     _journal_crashes(pool_state)
     _report_runs(pool_state, good_run.worker_id, now)
@@ -320,7 +320,8 @@
     while not all(_key(job.id) in pool_state.runs for job in suspected_jobs):
         build.apply_plan(pool_state, now)
         trial_count = sum(
-            not worker.may_take(now) for worker in pool_state.workers.values()
+            not worker.may_start_tasks(now)
+            for worker in pool_state.workers.values()
         )
         assert trial_count <= 2
         now += 0.5
