--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -160,7 +160,7 @@
         tracked_job.over_since = now
         for tracked_step in tracked_job.steps.values():
             for run in self.list_step_runs(tracked_step):
-                if run.key.position not in tracked_step.kept.done:
+                if run.key.position not in tracked_step.progress.done:
                     self.stop_run(run, reason, now)
 
     def list_over(self, before: float) -> list[str]:
@@ -515,7 +515,7 @@
         if run is None or run.number != number or tracked_step is None:
             return
         self.drop_run(run)
-        if key.position not in tracked_step.kept.done:
+        if key.position not in tracked_step.progress.done:
             tracked_step.waiting.add(key.position)
 
     def requeue(
@@ -523,7 +523,10 @@
     ) -> None:
         """Let a task wait again after a run that has not succeeded."""
         tracked_step = self.find_work(run.key)
-        if tracked_step is None or run.key.position in tracked_step.kept.done:
+        if (
+            tracked_step is None
+            or run.key.position in tracked_step.progress.done
+        ):
             return
         tracked_step.waiting.add(run.key.position)
         tracked_step.waiting_since = now
@@ -543,8 +546,8 @@
     ) -> None:
         """Store the checkpoint from which a task or its gang resumes."""
         index = 0 if tracked_step.step.gang else key.position
-        if checkpoint and checkpoint != tracked_step.kept.saved.get(index):
-            tracked_step.kept.saved[index] = checkpoint
+        if checkpoint and checkpoint != tracked_step.progress.saved.get(index):
+            tracked_step.progress.saved[index] = checkpoint
             self.dirty.add(key.job)
 
     # Ends of jobs.
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -135,7 +135,7 @@
     """
     tracked_step = pool_state.find_work(key)
     crashes = (
-        tracked_step.kept.crashes.get(key.position)
+        tracked_step.progress.crashes.get(key.position)
         if tracked_step is not None
         else None
     )
@@ -143,7 +143,7 @@
         return
     remaining_crashes = [crash for crash in crashes if crash.run != run_number]
     if len(remaining_crashes) < len(crashes):
-        tracked_step.kept.crashes[key.position] = remaining_crashes
+        tracked_step.progress.crashes[key.position] = remaining_crashes
         pool_state.dirty.add(key.job)
 
 
@@ -158,7 +158,7 @@
     tracked_step = run.tracked_step
     if (
         tracked_step is None
-        or not tracked_step.kept.crashes
+        or not tracked_step.progress.crashes
         or _is_early(run, worker)
     ):
         return
@@ -169,9 +169,9 @@
     worked_s = _measure_work_time(run, worker)
     if (
         worked_s >= _CLEARED_AFTER_S
-        and run.key.position in tracked_step.kept.crashes
+        and run.key.position in tracked_step.progress.crashes
     ):
-        del tracked_step.kept.crashes[run.key.position]
+        del tracked_step.progress.crashes[run.key.position]
         pool_state.dirty.add(run.key.job)
     clear_working_step(pool_state, tracked_step, run.key.position)
 
@@ -190,11 +190,11 @@
         tracked_step: The step.
         index: Index of the task that works.
     """
-    for crashed_index, crashes in tracked_step.kept.crashes.items():
+    for crashed_index, crashes in tracked_step.progress.crashes.items():
         if crashed_index != index and len(crashes) > 1:
             continue
         if any(crash.early for crash in crashes):
-            tracked_step.kept.crashes[crashed_index] = [
+            tracked_step.progress.crashes[crashed_index] = [
                 crash._replace(early=False) for crash in crashes
             ]
             pool_state.dirty.add(tracked_step.key.job)
@@ -241,7 +241,7 @@
     """Fail the jobs of tasks under which too many workers have crashed."""
     for run in crashed_runs:
         assert run.tracked_step is not None
-        if run.tracked_step.kept.is_given_up(run.key.position):
+        if run.tracked_step.progress.is_given_up(run.key.position):
             _fail_job(pool_state, run, now)
 
 
@@ -250,7 +250,7 @@
 ) -> None:
     if run.tracked_step is None or run.key.job not in pool_state.live:
         return
-    crashes = run.tracked_step.kept.crashes.setdefault(run.key.position, [])
+    crashes = run.tracked_step.progress.crashes.setdefault(run.key.position, [])
     if any(crash.run == run.number for crash in crashes):
         return
     crash = progresses.Crash(run.number, _is_early(run, worker))
@@ -262,7 +262,7 @@
 
 def _list_crashes(run: runs.Run) -> list[progresses.Crash]:
     assert run.tracked_step is not None
-    return run.tracked_step.kept.crashes.get(run.key.position, [])
+    return run.tracked_step.progress.crashes.get(run.key.position, [])
 
 
 def _fail_job(
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -176,8 +176,9 @@
         Returns:
             Whether no task of the step needs further room.
         """
-        if waiting_step.tracked_step.kept.is_suspect and self._place_suspect(
-            waiting_step
+        if (
+            waiting_step.tracked_step.progress.is_suspect
+            and self._place_suspect(waiting_step)
         ):
             return True
         if waiting_step.tracked_step.step.gang:
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -183,7 +183,7 @@
     if tracked_job is None or tracked_step is None:
         return
     tracked_job.begun = True
-    if key.position in tracked_step.kept.done:
+    if key.position in tracked_step.progress.done:
         return
     pool_state.note(
         "run:ended",
@@ -229,8 +229,8 @@
         else (key.position,)
     )
     for index in indices:
-        tracked_step.kept.done.add(index)
-        tracked_step.kept.saved.pop(index, None)
+        tracked_step.progress.done.add(index)
+        tracked_step.progress.saved.pop(index, None)
         tracked_step.waiting.discard(index)
         other_run = pool_state.runs.get(key._replace(position=index))
         if other_run is not None and not tracked_step.step.gang:
@@ -259,7 +259,7 @@
         tracked_step.not_before, now + pool_states.RETRY_PAUSE_S
     )
     index = 0 if tracked_step.step.gang else run_end.key.position
-    failed_runs = tracked_step.kept.failed.setdefault(index, [])
+    failed_runs = tracked_step.progress.failed.setdefault(index, [])
     if run_end.run in failed_runs:
         return
     failed_runs.append(run_end.run)
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -178,7 +178,7 @@
 
     key: model.StepKey
     step: model.Step
-    kept: progresses.StepProgress
+    progress: progresses.StepProgress
     waiting: set[int]
     running: dict[int, Run] = dataclasses.field(default_factory=dict)
     avoided_workers: set[str] = dataclasses.field(default_factory=set)
@@ -189,11 +189,11 @@
     @property
     def is_done(self) -> bool:
         """Whether all tasks have succeeded."""
-        return len(self.kept.done) == self.step.count
+        return len(self.progress.done) == self.step.count
 
     def find_checkpoint(self, index: int) -> str:
         """Return the checkpoint from which a task resumes; empty for none."""
-        return self.kept.saved.get(0 if self.step.gang else index, "")
+        return self.progress.saved.get(0 if self.step.gang else index, "")
 
 
 @dataclasses.dataclass
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -251,15 +251,15 @@
 def test_run_that_has_worked_for_long_is_cleared():
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     tracked_step = pool_state.find_work(_key("j"))
-    tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
+    tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
     _report_runs(pool_state, run.worker_id, 1.0)
-    assert tracked_step.kept.is_suspect
+    assert tracked_step.progress.is_suspect
     _report_runs(pool_state, run.worker_id, runs.TRIAL_S)
-    assert not tracked_step.kept.is_suspect
+    assert not tracked_step.progress.is_suspect
     _report_runs(pool_state, run.worker_id, 61.0)
-    assert not tracked_step.kept.crashes
+    assert not tracked_step.progress.crashes
 
 
 def test_one_task_of_a_suspected_step_is_tried_at_a_time():
@@ -272,7 +272,7 @@
         build.make_job("j", build.make_step(4)), workers=_WORKERS
     )
     tracked_step = pool_state.find_work(_key("j"))
-    tracked_step.kept.crashes[2] = [progresses.Crash(0, True)]
+    tracked_step.progress.crashes[2] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
     assert list(tracked_step.running) == [2]
     assert build.apply_plan(pool_state, 1.0).placements == []
@@ -293,7 +293,7 @@
     build.apply_plan(pool_state)
     build.add_job(pool_state, build.make_job("j", build.make_step()))
     tracked_step = pool_state.find_work(_key("j"))
-    tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
+    tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     assert build.apply_plan(pool_state, 1.0).placements == []
     busy_run = pool_state.runs[_key("busy")]
     busy_run.ordered_at = busy_run.progressed_at = 4.5
@@ -315,7 +315,7 @@
     pool_state = build.make_book(*suspected_jobs, workers=workers)
     for job in suspected_jobs:
         tracked_step = pool_state.find_work(_key(job.id))
-        tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
+        tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     now = 0.0
     while not all(_key(job.id) in pool_state.runs for job in suspected_jobs):
         build.apply_plan(pool_state, now)
@@ -367,7 +367,7 @@
     pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
     tracked_step = pool_state.find_work(_key("j"))
     build.apply_plan(pool_state)
-    tracked_step.kept.crashes[1] = [progresses.Crash(0, True)]
+    tracked_step.progress.crashes[1] = [progresses.Crash(0, True)]
     pool_state.runs[_key("j")].progressed_at = 2.5
     assert build.apply_plan(pool_state, 2.5).placements == []
     pool_state.set_worker(build.make_entry("w1"), 2.5)
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -105,7 +105,7 @@
 def test_restart_counts_as_a_crash_under_the_runs_there(late_tasks):
     """A task that crashes its workers must not start again without limit."""
     pool_state = _restart(build.make_step(1), late_tasks)
-    assert len(pool_state.find_work(_FIRST_TASK).kept.crashes[0]) == 1
+    assert len(pool_state.find_work(_FIRST_TASK).progress.crashes[0]) == 1
     restart_events = [
         fields
         for kind, fields in pool_state.events
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -83,7 +83,9 @@
     After one crash a step is more often innocent than not, and should not wait
     for a trial for long. A trial that is under way is waited for.
     """
-    if any(len(crashes) > 1 for crashes in tracked_step.kept.crashes.values()):
+    if any(
+        len(crashes) > 1 for crashes in tracked_step.progress.crashes.values()
+    ):
         return False
     if any(
         _has_just_started(run, now) for run in tracked_step.running.values()
@@ -141,7 +143,7 @@
     return max(
         tracked_step.waiting,
         key=lambda index: (
-            len(tracked_step.kept.crashes.get(index, ())),
+            len(tracked_step.progress.crashes.get(index, ())),
             -index,
         ),
     )
