--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -183,7 +183,7 @@
 def _has_waited(held: work.TrackedJob, now: float) -> bool:
     """Tell whether tasks of a job have been in turn for a while."""
     return any(
-        step.waiting and now > step.waiting_since + _WAITED_S
+        step.waiting_indices and now > step.waiting_since + _WAITED_S
         for step in held.steps.values()
         if step.waiting_since is not None
     )
--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -61,7 +61,7 @@
     found = book.find_work(placement.step)
     if held is None or found is None:
         return False
-    return set(placement.spots) <= found.waiting
+    return set(placement.spots) <= found.waiting_indices
 
 
 def _has_room(
--- a/crocusrouter/work/advice.py
+++ b/crocusrouter/work/advice.py
@@ -63,7 +63,7 @@
 ) -> tuple[str, ...]:
     step = waiting_step.tracked_step.step
     permits = waiting_step.tracked_step.permits
-    needed_slots = len(waiting_step.tracked_step.waiting)
+    needed_slots = len(waiting_step.tracked_step.waiting_indices)
     candidates: list[tuple[bool, str]] = []
     for worker_id, worker in pool_state.workers.items():
         if not worker.may_start_tasks(now):
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -372,7 +372,7 @@
         run = runs.Run(key, number, worker_id, now, progressed_at=now)
         tracked_step = self.find_work(key)
         if tracked_step is not None:
-            tracked_step.waiting.discard(key.position)
+            tracked_step.waiting_indices.discard(key.position)
             tracked_step.running[key.position] = run
             run.tracked_step = tracked_step
             run.checkpoint = tracked_step.find_checkpoint(key.position)
@@ -516,7 +516,7 @@
             return
         self.drop_run(run)
         if key.position not in tracked_step.progress.done:
-            tracked_step.waiting.add(key.position)
+            tracked_step.waiting_indices.add(key.position)
 
     def requeue(
         self, run: runs.Run, outcome: orders.RunOutcome, now: float
@@ -528,7 +528,7 @@
             or run.key.position in tracked_step.progress.done
         ):
             return
-        tracked_step.waiting.add(run.key.position)
+        tracked_step.waiting_indices.add(run.key.position)
         tracked_step.waiting_since = now
         self.keep_checkpoint(tracked_step, run.key, run.checkpoint)
         if tracked_step.step.gang:
@@ -576,9 +576,12 @@
         """Stop gangs of which a previous owner had started only a part."""
         for tracked_job in self.live.values():
             for tracked_step in tracked_job.steps.values():
-                if not tracked_step.step.gang or not tracked_step.waiting:
+                if (
+                    not tracked_step.step.gang
+                    or not tracked_step.waiting_indices
+                ):
                     continue
-                if len(tracked_step.waiting) < tracked_step.step.count:
+                if len(tracked_step.waiting_indices) < tracked_step.step.count:
                     self.stop_step(
                         tracked_step, "members of its gang are missing", now
                     )
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -183,7 +183,7 @@
             return True
         if waiting_step.tracked_step.step.gang:
             return self._place_gang(waiting_step)
-        indices = sorted(waiting_step.tracked_step.waiting)
+        indices = sorted(waiting_step.tracked_step.waiting_indices)
         spaces = self._choose_spaces(waiting_step, len(indices))
         for space in spaces:
             space.take(waiting_step.tracked_step.step.charge)
@@ -196,10 +196,11 @@
             self._plan.placements.append(
                 Placement(waiting_step.tracked_step.key, spots)
             )
-        if len(spots) == len(waiting_step.tracked_step.waiting):
+        if len(spots) == len(waiting_step.tracked_step.waiting_indices):
             return True
         return self._preempt(
-            waiting_step, set(waiting_step.tracked_step.waiting) - set(spots)
+            waiting_step,
+            set(waiting_step.tracked_step.waiting_indices) - set(spots),
         )
 
     def _place_suspect(self, waiting_step: turns.WaitingStep) -> bool:
@@ -359,9 +360,9 @@
         )
         if spaces is None:
             return self._preempt(
-                waiting_step, set(waiting_step.tracked_step.waiting)
+                waiting_step, set(waiting_step.tracked_step.waiting_indices)
             )
-        indices = sorted(waiting_step.tracked_step.waiting)
+        indices = sorted(waiting_step.tracked_step.waiting_indices)
         for space in spaces:
             space.take(waiting_step.tracked_step.step.charge)
         self._plan.placements.append(
@@ -407,7 +408,7 @@
         if job.priority != 0:
             return False
         needed = waiting_step.tracked_step.step.charge.accelerators * len(
-            waiting_step.tracked_step.waiting
+            waiting_step.tracked_step.waiting_indices
         )
         used = self._guaranteed_used.get(job.customer, 0)
         return used + needed <= self._pool_state.guaranteed.get(job.customer, 0)
@@ -465,7 +466,7 @@
     def _hold_workers(self, waiting_step: turns.WaitingStep) -> None:
         """Keep later steps off the workers that will fit this step first."""
         step = waiting_step.tracked_step.step
-        task_count = len(waiting_step.tracked_step.waiting)
+        task_count = len(waiting_step.tracked_step.waiting_indices)
         ranked_spaces = sorted(
             self._list_allowed_spaces(waiting_step),
             key=lambda space: self._free_times.find(space.worker, step.charge),
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -120,7 +120,7 @@
         tracked_job is not None
         and not tracked_job.is_final
         and tracked_step is not None
-        and key.position in tracked_step.waiting
+        and key.position in tracked_step.waiting_indices
     )
 
 
@@ -221,7 +221,7 @@
     suspicion.note_success(pool_state.workers.get(worker_id))
     if tracked_step.step.lasting:
         # A lasting task runs again until its job is cancelled, however it ends.
-        tracked_step.waiting.add(key.position)
+        tracked_step.waiting_indices.add(key.position)
         return
     indices = (
         range(tracked_step.step.count)
@@ -231,7 +231,7 @@
     for index in indices:
         tracked_step.progress.done.add(index)
         tracked_step.progress.saved.pop(index, None)
-        tracked_step.waiting.discard(index)
+        tracked_step.waiting_indices.discard(index)
         other_run = pool_state.runs.get(key._replace(position=index))
         if other_run is not None and not tracked_step.step.gang:
             pool_state.stop_run(other_run, "its task has ended elsewhere", now)
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -179,7 +179,7 @@
     key: model.StepKey
     step: model.Step
     progress: progresses.StepProgress
-    waiting: set[int]
+    waiting_indices: set[int]
     running: dict[int, Run] = dataclasses.field(default_factory=dict)
     avoided_workers: set[str] = dataclasses.field(default_factory=set)
     not_before: float = 0.0
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -278,7 +278,7 @@
     assert build.apply_plan(pool_state, 1.0).placements == []
     _report_runs(pool_state, tracked_step.running[2].worker_id, 2.5)
     build.apply_plan(pool_state, 2.5)
-    assert not tracked_step.waiting
+    assert not tracked_step.waiting_indices
 
 
 def test_suspect_does_not_wait_for_a_quiet_worker_for_ever():
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -44,7 +44,7 @@
         for key in (_FIRST_TASK, _SECOND_TASK)
         if key not in late_tasks
     }
-    assert pool_state.find_work(_FIRST_TASK).waiting == waiting_indices
+    assert pool_state.find_work(_FIRST_TASK).waiting_indices == waiting_indices
     assert set(pool_state.workers[_NEW_WORKER].runs) == set(late_tasks)
     assert not pool_state.workers[_OLD_WORKER].runs
     assert [stop.key for worker_id, stop in pool_state.outbox] == list(
@@ -61,7 +61,7 @@
     assert _FIRST_TASK in pool_state.runs
     pool_state.note_settled(_FIRST_TASK, number, 2.0)
     build.apply_report(pool_state, _NEW_WORKER, now=2.5, running=())
-    assert pool_state.find_work(_FIRST_TASK).waiting == {0}
+    assert pool_state.find_work(_FIRST_TASK).waiting_indices == {0}
 
 
 def test_late_start_that_was_carried_out_is_not_adopted():
@@ -80,7 +80,7 @@
         (_FIRST_TASK, orders.RunOutcome.STOPPED),
         now=1.8,
     )
-    assert pool_state.find_work(_FIRST_TASK).waiting == {0}
+    assert pool_state.find_work(_FIRST_TASK).waiting_indices == {0}
 
 
 def test_gang_with_a_member_that_may_start_late_is_stopped():
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -141,7 +141,7 @@
 def _choose_index(tracked_step: runs.TrackedStep) -> int:
     """Return the task with the most crashes, as the most informative one."""
     return max(
-        tracked_step.waiting,
+        tracked_step.waiting_indices,
         key=lambda index: (
             len(tracked_step.progress.crashes.get(index, ())),
             -index,
@@ -158,7 +158,11 @@
         gang_spaces = _list_task_spaces(tracked_step.step, spaces)
         if len(gang_spaces) >= tracked_step.step.count:
             return dict(
-                zip(sorted(tracked_step.waiting), gang_spaces, strict=False)
+                zip(
+                    sorted(tracked_step.waiting_indices),
+                    gang_spaces,
+                    strict=False,
+                )
             )
     return None
 
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -70,11 +70,14 @@
         if tracked_job.has_unsaved_crash:
             continue
         for tracked_step in tracked_job.steps.values():
-            if not tracked_step.waiting or tracked_step.not_before > now:
+            if (
+                not tracked_step.waiting_indices
+                or tracked_step.not_before > now
+            ):
                 continue
             if (
                 tracked_step.step.gang
-                and len(tracked_step.waiting) < tracked_step.step.count
+                and len(tracked_step.waiting_indices) < tracked_step.step.count
             ):
                 continue
             if pool_state.is_ready(tracked_job, tracked_step):
