--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -177,7 +177,7 @@
 def _has_run(held: work.TrackedJob | None) -> bool:
     if held is None:
         return False
-    return any(step.running for step in held.steps.values())
+    return any(step.runs_by_index for step in held.steps.values())
 
 
 def _has_waited(held: work.TrackedJob, now: float) -> bool:
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -187,7 +187,7 @@
 
     def list_step_runs(self, tracked_step: runs.TrackedStep) -> list[runs.Run]:
         """Return the runs of a step."""
-        return list(tracked_step.running.values())
+        return list(tracked_step.runs_by_index.values())
 
     def find_work(
         self, key: model.TaskKey | model.StepKey
@@ -373,7 +373,7 @@
         tracked_step = self.find_work(key)
         if tracked_step is not None:
             tracked_step.waiting_indices.discard(key.position)
-            tracked_step.running[key.position] = run
+            tracked_step.runs_by_index[key.position] = run
             run.tracked_step = tracked_step
             run.checkpoint = tracked_step.find_checkpoint(key.position)
             self._assign_run(run, tracked_step, worker_id)
@@ -410,7 +410,7 @@
         if self.runs.get(run.key) is run:
             del self.runs[run.key]
             if tracked_step is not None:
-                tracked_step.running.pop(run.key.position, None)
+                tracked_step.runs_by_index.pop(run.key.position, None)
         if worker is not None and run.key in worker.runs:
             del worker.runs[run.key]
             if tracked_step is not None:
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -180,7 +180,7 @@
     step: model.Step
     progress: progresses.StepProgress
     waiting_indices: set[int]
-    running: dict[int, Run] = dataclasses.field(default_factory=dict)
+    runs_by_index: dict[int, Run] = dataclasses.field(default_factory=dict)
     avoided_workers: set[str] = dataclasses.field(default_factory=set)
     not_before: float = 0.0
     waiting_since: float | None = None
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -274,9 +274,9 @@
     tracked_step = pool_state.find_work(_key("j"))
     tracked_step.progress.crashes[2] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
-    assert list(tracked_step.running) == [2]
+    assert list(tracked_step.runs_by_index) == [2]
     assert build.apply_plan(pool_state, 1.0).placements == []
-    _report_runs(pool_state, tracked_step.running[2].worker_id, 2.5)
+    _report_runs(pool_state, tracked_step.runs_by_index[2].worker_id, 2.5)
     build.apply_plan(pool_state, 2.5)
     assert not tracked_step.waiting_indices
 
@@ -298,7 +298,7 @@
     busy_run = pool_state.runs[_key("busy")]
     busy_run.ordered_at = busy_run.progressed_at = 4.5
     build.apply_plan(pool_state, 4.5)
-    assert tracked_step.running
+    assert tracked_step.runs_by_index
 
 
 def test_many_suspects_leave_workers_to_others():
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -51,7 +51,8 @@
         Space by index of the task; None if the step has to wait.
     """
     if any(
-        _has_just_started(run, now) for run in tracked_step.running.values()
+        _has_just_started(run, now)
+        for run in tracked_step.runs_by_index.values()
     ):
         return None
     quiet_spaces = [
@@ -88,7 +89,8 @@
     ):
         return False
     if any(
-        _has_just_started(run, now) for run in tracked_step.running.values()
+        _has_just_started(run, now)
+        for run in tracked_step.runs_by_index.values()
     ):
         return False
     return _has_waited_long(tracked_step, now)
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -42,7 +42,7 @@
             continue
         for tracked_step in tracked_job.steps.values():
             used_accelerators = (
-                len(tracked_step.running)
+                len(tracked_step.runs_by_index)
                 * tracked_step.step.charge.accelerators
             )
             used_by_customer[tracked_job.job.customer] += used_accelerators
