--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -293,7 +293,7 @@
         if tracked_job.parked:
             return False
         if blocked_jobs is None:
-            return tracked_job.created <= self.epoch
+            return tracked_job.accepted_revision <= self.epoch
         return tracked_job.job.id in blocked_jobs
 
     def unlist_worker(self, worker_id: str) -> None:
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -218,7 +218,7 @@
 
     job: model.Job
     progress: progresses.Progress
-    created: int = 0
+    accepted_revision: int = 0
     steps: dict[model.StepKey, TrackedStep] = dataclasses.field(
         default_factory=dict
     )
