--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -103,9 +103,9 @@
         if tracked_job is None or tracked_job.is_final:
             return
         last = min(key.occurrence + 1, tracked_job.job.occurrences)
-        while tracked_job.opened < last:
-            self._open_occurrence(tracked_job, tracked_job.opened, now)
-            tracked_job.opened += 1
+        while tracked_job.opened_count < last:
+            self._open_occurrence(tracked_job, tracked_job.opened_count, now)
+            tracked_job.opened_count += 1
 
     def open_due(self, wall: float, now: float) -> None:
         """Open the occurrences that have become due.
@@ -115,13 +115,15 @@
             now: Steady time in seconds.
         """
         for tracked_job in list(self.live.values()):
-            opened_before = tracked_job.opened
-            while tracked_job.opened < tracked_job.job.occurrences:
-                if tracked_job.job.find_due(tracked_job.opened) > wall:
+            opened_before = tracked_job.opened_count
+            while tracked_job.opened_count < tracked_job.job.occurrences:
+                if tracked_job.job.find_due(tracked_job.opened_count) > wall:
                     break
-                self._open_occurrence(tracked_job, tracked_job.opened, now)
-                tracked_job.opened += 1
-            if tracked_job.opened > opened_before:
+                self._open_occurrence(
+                    tracked_job, tracked_job.opened_count, now
+                )
+                tracked_job.opened_count += 1
+            if tracked_job.opened_count > opened_before:
                 # A previous owner may have recorded the end of the occurrence
                 # that opens last. No further end would then finish the job.
                 self.finish_if_done(tracked_job, now)
@@ -130,9 +132,9 @@
         """Return the Unix time at which the next occurrence is due."""
         return min(
             (
-                tracked_job.job.find_due(tracked_job.opened)
+                tracked_job.job.find_due(tracked_job.opened_count)
                 for tracked_job in self.live.values()
-                if tracked_job.opened < tracked_job.job.occurrences
+                if tracked_job.opened_count < tracked_job.job.occurrences
             ),
             default=None,
         )
@@ -565,7 +567,7 @@
 
     def finish_if_done(self, tracked_job: runs.TrackedJob, now: float) -> None:
         """Finish a job if all of its tasks have succeeded."""
-        if tracked_job.opened < tracked_job.job.occurrences:
+        if tracked_job.opened_count < tracked_job.job.occurrences:
             return
         if all(
             tracked_step.is_done for tracked_step in tracked_job.steps.values()
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -222,7 +222,7 @@
     steps: dict[model.StepKey, TrackedStep] = dataclasses.field(
         default_factory=dict
     )
-    opened: int = 0
+    opened_count: int = 0
     begun: bool = False
     durable: bool = False
     over_since: float | None = None
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -174,7 +174,7 @@
     assert pool_state.find_next_due() == build.WALL + 10
     for wall, opened in ((9.9, 0), (10.0, 1), (14.9, 1), (21.0, 3)):
         pool_state.open_due(build.WALL + wall, wall)
-        assert pool_state.jobs["j"].opened == opened
+        assert pool_state.jobs["j"].opened_count == opened
 
 
 def test_pending_counts_jobs_that_have_not_started():
