--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -74,7 +74,7 @@
         tracked_job = self.jobs.get(job.id)
         if tracked_job is None:
             tracked_job = runs.TrackedJob(job, progress, created)
-            tracked_job.begun = (
+            tracked_job.has_started = (
                 bool(progress.steps) or progress.final is not None
             )
             tracked_job.durable = progress.final is not None
@@ -220,7 +220,7 @@
         return sum(
             1
             for tracked_job in self.live.values()
-            if tracked_job.job.queue == queue and not tracked_job.begun
+            if tracked_job.job.queue == queue and not tracked_job.has_started
         )
 
     # Workers.
@@ -472,7 +472,7 @@
             run.phase = runs.Phase.RUNNING
         tracked_job = self.jobs.get(key.job)
         if tracked_job is not None:
-            tracked_job.begun = True
+            tracked_job.has_started = True
 
     def note_paced(
         self, key: model.TaskKey, number: int, percent: int, now: float
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -182,7 +182,7 @@
             pool_state.note_stopped(run, now)
     if tracked_job is None or tracked_step is None:
         return
-    tracked_job.begun = True
+    tracked_job.has_started = True
     if key.position in tracked_step.progress.done:
         return
     pool_state.note(
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -223,7 +223,7 @@
         default_factory=dict
     )
     opened_count: int = 0
-    begun: bool = False
+    has_started: bool = False
     durable: bool = False
     over_since: float | None = None
     has_unsaved_crash: bool = False
@@ -244,4 +244,4 @@
             return self.progress.final
         if self.job.cancelled:
             return model.State.CANCELLED
-        return model.State.RUNNING if self.begun else model.State.QUEUED
+        return model.State.RUNNING if self.has_started else model.State.QUEUED
