--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -54,7 +54,7 @@
     """
 
     done: set[int] = dataclasses.field(default_factory=set)
-    failed: dict[int, list[int]] = dataclasses.field(default_factory=dict)
+    failed_runs: dict[int, list[int]] = dataclasses.field(default_factory=dict)
     saved: dict[int, str] = dataclasses.field(default_factory=dict)
     crashes: dict[int, list[Crash]] = dataclasses.field(default_factory=dict)
 
@@ -119,7 +119,7 @@
                 occurrence,
                 step,
                 sorted(step_progress.done),
-                step_progress.failed,
+                step_progress.failed_runs,
                 step_progress.saved,
                 {
                     index: list(map(list, step_progress.crashes[index]))
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -259,7 +259,7 @@
         tracked_step.not_before, now + pool_states.RETRY_PAUSE_S
     )
     index = 0 if tracked_step.step.gang else run_end.key.position
-    failed_runs = tracked_step.progress.failed.setdefault(index, [])
+    failed_runs = tracked_step.progress.failed_runs.setdefault(index, [])
     if run_end.run in failed_runs:
         return
     failed_runs.append(run_end.run)
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -57,7 +57,7 @@
     job = build.make_job("j", build.make_step(), max_attempts=2)
     pool_state = build.make_book(job, workers=("w0",))
     progress = work.Progress()
-    progress.get(0, 0).failed[0] = [7]
+    progress.get(0, 0).failed_runs[0] = [7]
     successor = build.make_book(workers=("w0",))
     successor.put_job(
         job, work.parse_progress(work.dump_progress(progress)), 2, 0.0
