--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -548,8 +548,10 @@
     ) -> None:
         """Store the checkpoint from which a task or its gang resumes."""
         index = 0 if tracked_step.step.gang else key.position
-        if checkpoint and checkpoint != tracked_step.progress.saved.get(index):
-            tracked_step.progress.saved[index] = checkpoint
+        if checkpoint and checkpoint != tracked_step.progress.checkpoints.get(
+            index
+        ):
+            tracked_step.progress.checkpoints[index] = checkpoint
             self.dirty.add(key.job)
 
     # Ends of jobs.
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -55,7 +55,7 @@
 
     done: set[int] = dataclasses.field(default_factory=set)
     failed_runs: dict[int, list[int]] = dataclasses.field(default_factory=dict)
-    saved: dict[int, str] = dataclasses.field(default_factory=dict)
+    checkpoints: dict[int, str] = dataclasses.field(default_factory=dict)
     crashes: dict[int, list[Crash]] = dataclasses.field(default_factory=dict)
 
     @property
@@ -120,7 +120,7 @@
                 step,
                 sorted(step_progress.done),
                 step_progress.failed_runs,
-                step_progress.saved,
+                step_progress.checkpoints,
                 {
                     index: list(map(list, step_progress.crashes[index]))
                     for index in step_progress.crashes
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -193,7 +193,7 @@
 
     def find_checkpoint(self, index: int) -> str:
         """Return the checkpoint from which a task resumes; empty for none."""
-        return self.progress.saved.get(0 if self.step.gang else index, "")
+        return self.progress.checkpoints.get(0 if self.step.gang else index, "")
 
 
 @dataclasses.dataclass
