--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -241,7 +241,7 @@
     """Fail the jobs of tasks under which too many workers have crashed."""
     for run in crashed_runs:
         assert run.tracked_step is not None
-        if run.tracked_step.progress.is_given_up(run.key.position):
+        if run.tracked_step.progress.has_crashed_too_often(run.key.position):
             _fail_job(pool_state, run, now)
 
 
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -67,7 +67,7 @@
             for crashes in self.crashes.values()
         )
 
-    def is_given_up(self, index: int) -> bool:
+    def has_crashed_too_often(self, index: int) -> bool:
         """Tell whether a task has met too many crashes to start again."""
         crashes = self.crashes.get(index, [])
         early_count = sum(crash.early for crash in crashes)
@@ -94,7 +94,7 @@
     def is_given_up(self) -> bool:
         """Whether one of the job's tasks has met too many worker crashes."""
         return any(
-            step_progress.is_given_up(index)
+            step_progress.has_crashed_too_often(index)
             for step_progress in self.steps.values()
             for index in step_progress.crashes
         )
