--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -83,7 +83,7 @@
                 tracked_job.over_since = now
                 return
             self.live[job.id] = tracked_job
-            if progress.is_given_up:
+            if progress.has_crashed_too_often:
                 # A previous owner was lost before it could journal the failure.
                 self.finish(tracked_job, model.State.FAILED, now)
             return
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -91,7 +91,7 @@
     finished_at: float = 0.0
 
     @property
-    def is_given_up(self) -> bool:
+    def has_crashed_too_often(self) -> bool:
         """Whether one of the job's tasks has met too many worker crashes."""
         return any(
             step_progress.has_crashed_too_often(index)
