--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -295,7 +295,7 @@
     def _note_ended(self, now: float) -> None:
         for job_id in sorted(self.book.dirty):
             held = self.book.jobs[job_id]
-            if held.progress.final is not None:
+            if held.progress.final_state is not None:
                 self.ended_at.setdefault(job_id, now)
         self.book.dirty.clear()
 
@@ -388,7 +388,7 @@
             if arrival.cancelled_at is not None:
                 continue
             held = self.book.jobs.get(job_id)
-            state = held.progress.final if held is not None else None
+            state = held.progress.final_state if held is not None else None
             wanted = work.State.FAILED if arrival.poisoned else work.State.DONE
             ended = self.ended_at.get(job_id) if state is wanted else None
             after = ended - arrival.at if ended is not None else None
--- a/crocusrouter/pools/desk.py
+++ b/crocusrouter/pools/desk.py
@@ -192,8 +192,8 @@
             raise StateUnknownError(str(error)) from error
         job: work.Job = codec.unpack(work.Job, found.value)
         progress = work.parse_progress(kept.value) if kept else work.Progress()
-        if progress.final is not None:
-            return progress.final
+        if progress.final_state is not None:
+            return progress.final_state
         if job.cancelled:
             return work.State.CANCELLED
         return work.State.RUNNING if progress.steps else work.State.QUEUED
--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -92,7 +92,7 @@
 
     def _has_final(self) -> bool:
         return any(
-            held.progress.final is not None
+            held.progress.final_state is not None
             for job_id in self._book.dirty
             if (held := self._book.jobs.get(job_id)) is not None
         )
@@ -109,7 +109,7 @@
         finals = [
             job_id
             for job_id in values
-            if self._book.jobs[job_id].progress.final is not None
+            if self._book.jobs[job_id].progress.final_state is not None
         ]
         while values:
             outcome = await self._write(values)
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -75,9 +75,9 @@
         if tracked_job is None:
             tracked_job = runs.TrackedJob(job, progress, created)
             tracked_job.has_started = (
-                bool(progress.steps) or progress.final is not None
+                bool(progress.steps) or progress.final_state is not None
             )
-            tracked_job.durable = progress.final is not None
+            tracked_job.durable = progress.final_state is not None
             self.jobs[job.id] = tracked_job
             if tracked_job.is_final:
                 tracked_job.over_since = now
@@ -562,7 +562,7 @@
         """Set a job's final state; callers see it once it is journaled."""
         if tracked_job.is_final:
             return
-        tracked_job.progress.final = state
+        tracked_job.progress.final_state = state
         self.dirty.add(tracked_job.job.id)
         self.note("job:final", job=tracked_job.job.id, state=str(state))
         self._close_job(tracked_job, f"job {state}", now)
@@ -615,6 +615,6 @@
             tracked_job = self.jobs.get(job_id)
             if (
                 tracked_job is not None
-                and tracked_job.progress.final is not None
+                and tracked_job.progress.final_state is not None
             ):
                 tracked_job.durable = True
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -87,7 +87,7 @@
     steps: dict[tuple[int, int], StepProgress] = dataclasses.field(
         default_factory=dict
     )
-    final: model.State | None = None
+    final_state: model.State | None = None
     finished_at: float = 0.0
 
     @property
@@ -113,7 +113,7 @@
     """
     steps = (
         []
-        if progress.final is not None
+        if progress.final_state is not None
         else [
             [
                 occurrence,
@@ -129,7 +129,9 @@
             for (occurrence, step), step_progress in progress.steps.items()
         ]
     )
-    final = str(progress.final) if progress.final is not None else None
+    final = (
+        str(progress.final_state) if progress.final_state is not None else None
+    )
     return cbor2.dumps([final, progress.finished_at, steps])
 
 
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/runs.py
@@ -232,7 +232,7 @@
     @property
     def is_final(self) -> bool:
         """Whether no task of the job will start any more."""
-        return self.job.cancelled or self.progress.final is not None
+        return self.job.cancelled or self.progress.final_state is not None
 
     def show_state(self) -> model.State:
         """Return the state that callers see.
@@ -240,8 +240,8 @@
         A final state is shown only once it is durable: otherwise a new owner
         that has not read the last end would say "running" after "done".
         """
-        if self.progress.final is not None and self.durable:
-            return self.progress.final
+        if self.progress.final_state is not None and self.durable:
+            return self.progress.final_state
         if self.job.cancelled:
             return model.State.CANCELLED
         return model.State.RUNNING if self.has_started else model.State.QUEUED
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -29,7 +29,7 @@
     for index, how in enumerate(ends):
         run = pool_state.runs[_key("j", index)]
         build.apply_report(pool_state, run.worker_id, (_key("j", index), how))
-    assert pool_state.jobs["j"].progress.final is state
+    assert pool_state.jobs["j"].progress.final_state is state
 
 
 def test_final_state_is_shown_once_durable():
@@ -65,8 +65,8 @@
     successor.open_due(build.WALL, 0.0)
     ended = orders.RunEnd(3, _key("j"), 7, HOW.FAILED)
     work.take_report(successor, "w0", orders.Report(0, (), (ended,)), 0.0, 0.0)
-    assert pool_state.jobs["j"].progress.final is None
-    assert successor.jobs["j"].progress.final is None
+    assert pool_state.jobs["j"].progress.final_state is None
+    assert successor.jobs["j"].progress.final_state is None
 
 
 def test_job_fails_after_its_last_attempt():
@@ -79,7 +79,7 @@
         build.apply_report(
             pool_state, run.worker_id, (_key("j"), HOW.FAILED), now=now + 1
         )
-    assert pool_state.jobs["j"].progress.final is work.State.FAILED
+    assert pool_state.jobs["j"].progress.final_state is work.State.FAILED
     other_run = pool_state.runs[_key("j", 1)]
     assert other_run.phase is runs.Phase.STOPPING
 
@@ -320,6 +320,6 @@
     pool_state.put_job(job, progress, 2, 0.0)
     end = orders.RunEnd(1, _key("j"), 7, HOW.DONE)
     work.take_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
-    assert pool_state.jobs["j"].progress.final is None
+    assert pool_state.jobs["j"].progress.final_state is None
     pool_state.open_due(build.WALL + 5.0, 1.1)
-    assert pool_state.jobs["j"].progress.final is work.State.DONE
+    assert pool_state.jobs["j"].progress.final_state is work.State.DONE
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -71,7 +71,7 @@
         now = lose_worker(pool_state, worker_id, now + 0.01)
         crash_count += 1
         _journal_crashes(pool_state)
-    assert pool_state.jobs["j"].progress.final is work.State.FAILED
+    assert pool_state.jobs["j"].progress.final_state is work.State.FAILED
     assert crash_count == 3
 
 
@@ -145,7 +145,7 @@
     next_run = new_owner.runs[_key("j")]
     next_run.number = run.number + 2
     _crash(new_owner, next_run.worker_id, now + 0.1)
-    assert new_owner.jobs["j"].progress.final is work.State.FAILED
+    assert new_owner.jobs["j"].progress.final_state is work.State.FAILED
 
 
 def test_progress_of_an_earlier_version_has_no_crashes():
@@ -203,7 +203,7 @@
     _report_runs(pool_state, good_run.worker_id, now)
     build.apply_plan(pool_state, now)
     _crash(pool_state, pool_state.runs[_key("bad")].worker_id, now + 0.1)
-    assert pool_state.jobs["bad"].progress.final is work.State.FAILED
+    assert pool_state.jobs["bad"].progress.final_state is work.State.FAILED
     assert not pool_state.jobs["good"].is_final
 
 
@@ -353,7 +353,7 @@
     pool_state = build.make_book()
     job = build.make_job("j", build.make_step())
     pool_state.put_job(job, progress, 2, 0.0)
-    assert pool_state.jobs["j"].progress.final is state
+    assert pool_state.jobs["j"].progress.final_state is state
     assert ("j" in pool_state.dirty) is (state is not None)
 
 
@@ -403,4 +403,4 @@
             _crash(pool_state, worker, now + 0.4)
         now += 0.4 + _RESTART_S
         _journal_crashes(pool_state)
-    assert pool_state.jobs["j"].progress.final is None
+    assert pool_state.jobs["j"].progress.final_state is None
