--- a/crocusrouter/pools/tests/test_upkeep.py
+++ b/crocusrouter/pools/tests/test_upkeep.py
@@ -69,7 +69,7 @@
 async def test_owner_sees_what_other_owners_have_done(autojump_clock):
     store = stores.Store(1)
     platform = _Vms()
-    begun = upkeep.WaveRecord(begun={"m1": "w1"})
+    begun = upkeep.WaveRecord(started={"m1": "w1"})
     store.put(_KEY, upkeep.dump_record(begun))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_make_duty(store, platform).run)
--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -185,7 +185,7 @@
         now = self._times.steady()
         chosen = upkeep.choose_vm(self._book, pool, wave, record, listed, now)
         if chosen is not None:
-            record.begun[chosen.name] = chosen.worker
+            record.started[chosen.name] = chosen.worker
         is_over = upkeep.is_over(wave, record, listed)
         changed = is_over or upkeep.dump_record(record) != before
         if changed and not await self._write(wave.number, record, is_over):
@@ -206,7 +206,7 @@
         """Empty the VMs that are begun; order down those that are empty."""
         now = self._times.steady()
         ours = {vm.name: vm for vm in listed if vm.pool == self._tenure.pool}
-        for name in list(record.begun):
+        for name in list(record.started):
             vm = ours.get(name)
             if vm is None or vm.state is not vm_port.VmState.UP:
                 continue
@@ -238,18 +238,20 @@
         if answer is vm_port.Upkeep.FENCED:
             self._fenced = True
         if answer is vm_port.Upkeep.FOREIGN:
-            record.begun.pop(vm.name)
+            record.started.pop(vm.name)
             record.done.add(vm.name)
             await self._write(wave, record, False)
         if answer is vm_port.Upkeep.DONE:
             # Kept with the worker from before the first order: that one may
             # have been carried out and its answer lost, and the VM be back.
-            record.down[vm.name] = record.begun.pop(vm.name)
+            record.down[vm.name] = record.started.pop(vm.name)
             await self._write(wave, record, False)
 
     def _rest(self, listed: tuple[vm_port.Vm, ...]) -> None:
         """Keep new work off the workers that are being emptied."""
-        begun = {name for held in self._records.values() for name in held.begun}
+        begun = {
+            name for held in self._records.values() for name in held.started
+        }
         self._book.set_resting({vm.worker for vm in listed if vm.name in begun})
         self._changed()
 
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -24,8 +24,8 @@
     ("record", "expected"),
     [
         (upkeep.WaveRecord(), "m0"),
-        (upkeep.WaveRecord(begun={"m0": "w0"}), "m1"),
-        (upkeep.WaveRecord(begun={"m0": "w0"}, down={"m1": "w1"}), None),
+        (upkeep.WaveRecord(started={"m0": "w0"}), "m1"),
+        (upkeep.WaveRecord(started={"m0": "w0"}, down={"m1": "w1"}), None),
         (upkeep.WaveRecord(done={"m0", "m1"}), "m2"),
         (upkeep.WaveRecord(done={"m0", "m1", "m2"}), None),
     ],
@@ -109,7 +109,7 @@
     ("record", "vm", "done"),
     [
         (
-            upkeep.WaveRecord(begun={"m0": "w0"}),
+            upkeep.WaveRecord(started={"m0": "w0"}),
             vms.Vm("m0", "p", _UP, "w9"),
             False,
         ),
@@ -128,7 +128,7 @@
             vms.Vm("m0", "p", vms.VmState.UPKEEP, "w9"),
             False,
         ),
-        (upkeep.WaveRecord(begun={"m0": "w0"}), None, True),
+        (upkeep.WaveRecord(started={"m0": "w0"}), None, True),
     ],
 )
 def test_which_vms_are_back(record, vm, done):
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -33,7 +33,7 @@
         done: VMs that are back or have been removed.
     """
 
-    begun: dict[str, str] = dataclasses.field(default_factory=dict)
+    started: dict[str, str] = dataclasses.field(default_factory=dict)
     down: dict[str, str] = dataclasses.field(default_factory=dict)
     done: set[str] = dataclasses.field(default_factory=set)
 
@@ -43,7 +43,7 @@
         A VM counts before its order is sent, since an order without an answer
         may be carried out at any later time.
         """
-        return len(self.begun) + len(self.down)
+        return len(self.started) + len(self.down)
 
 
 def dump_record(record: WaveRecord) -> bytes:
@@ -52,7 +52,7 @@
     >>> parse_record(dump_record(WaveRecord({"m": "w"}))).begun
     {'m': 'w'}
     """
-    return cbor2.dumps([record.begun, record.down, sorted(record.done)])
+    return cbor2.dumps([record.started, record.down, sorted(record.done)])
 
 
 def parse_record(data: bytes) -> WaveRecord:
@@ -93,7 +93,7 @@
         for vm in listed
         if vm.name in wave.vms
         and vm.name not in record.done
-        and vm.name not in record.begun
+        and vm.name not in record.started
         and vm.name not in record.down
         and vm.pool == pool
         and vm.state is vms.VmState.UP
@@ -224,7 +224,7 @@
     """
     by_name = {vm.name: vm for vm in listed}
     changed = False
-    for name, old_worker in [*record.down.items(), *record.begun.items()]:
+    for name, old_worker in [*record.down.items(), *record.started.items()]:
         vm = by_name.get(name)
         is_back = (
             vm is not None
@@ -233,7 +233,7 @@
             and vm.worker not in ("", old_worker)
         )
         if vm is None or is_back:
-            record.begun.pop(name, None)
+            record.started.pop(name, None)
             record.down.pop(name, None)
             record.done.add(name)
             changed = True
