--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -103,5 +103,5 @@
             revision=revision,
             repeat=known,
             objective_s=round(job.objective_s, 3),
-            expected_s=round(max(job.tails, default=0.0), 3),
+            expected_s=round(max(job.critical_paths_s, default=0.0), 3),
         )
--- a/crocusrouter/work/model.py
+++ b/crocusrouter/work/model.py
@@ -173,7 +173,7 @@
     advised: bool = False
 
     @functools.cached_property
-    def tails(self) -> tuple[float, ...]:
+    def critical_paths_s(self) -> tuple[float, ...]:
         """Result of `measure_tails`.
 
         It is cached, since each decision needs it.
@@ -183,7 +183,9 @@
     @property
     def objective_s(self) -> float:
         """Seconds from the due time to the desired end."""
-        return self.slack * max(self.tails, default=0.0) + self.target_s
+        return (
+            self.slack * max(self.critical_paths_s, default=0.0) + self.target_s
+        )
 
     @property
     def occurrences(self) -> int:
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -96,7 +96,7 @@
     job = tracked_job.job
     due_at = job.find_due(tracked_step.key.occurrence)
     objective_s = job.objective_s
-    remaining_s = job.tails[tracked_step.key.step]
+    remaining_s = job.critical_paths_s[tracked_step.key.step]
     hopeless = (
         wall > due_at + policy.late_factor * objective_s
         and not tracked_step.step.lasting
