--- a/crocusrouter/work/model.py
+++ b/crocusrouter/work/model.py
@@ -178,7 +178,7 @@
 
         It is cached, since each decision needs it.
         """
-        return measure_tails(self.steps)
+        return measure_critical_paths(self.steps)
 
     @property
     def objective_s(self) -> float:
@@ -237,7 +237,7 @@
     return StepKey(key.job, key.occurrence, key.step)
 
 
-def measure_tails(steps: tuple[Step, ...]) -> tuple[float, ...]:
+def measure_critical_paths(steps: tuple[Step, ...]) -> tuple[float, ...]:
     """Return the length of the critical path from each step's start.
 
     >>> one = Step(1, Room(), 2.0)
