--- a/crocusrouter/work/model.py
+++ b/crocusrouter/work/model.py
@@ -232,7 +232,7 @@
         return ".".join(map(str, self))
 
 
-def find_step(key: TaskKey) -> StepKey:
+def get_step_key(key: TaskKey) -> StepKey:
     """Return the key of the step that a task belongs to."""
     return StepKey(key.job, key.occurrence, key.step)
 
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -302,7 +302,7 @@
         running_count = sum(
             1
             for key in self._pool_state.workers[space.worker].runs
-            if model.find_step(key) == waiting_step.tracked_step.key
+            if model.get_step_key(key) == waiting_step.tracked_step.key
         )
         return max(
             0,
