--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -148,7 +148,7 @@
             if self._is_held_back(waiting_step):
                 continue
             placed = self._place(waiting_step)
-            if placed or holding_count >= self._policy.most_holding:
+            if placed or holding_count >= self._policy.max_holding_steps:
                 continue
             self._hold_workers(waiting_step)
             holding_count += 1
--- a/crocusrouter/work/policy.py
+++ b/crocusrouter/work/policy.py
@@ -43,7 +43,7 @@
     rack_patience: float = 5.0
     idle_rack_patience: float = 2.0
     guaranteed_rack_patience_s: float = 1.6
-    most_holding: int = 3
+    max_holding_steps: int = 3
     late_factor: float = 3.0
     loss_factor: float = 2.0
     second_loss_factor: float = 0.05
