--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -124,7 +124,8 @@
         Jobs that are over do no harm there.
         """
         return any(
-            _has_run(self._book.live.get(job_id)) for job_id in self._recorded
+            _has_run(self._book.live_jobs.get(job_id))
+            for job_id in self._recorded
         )
 
     def _choose(self, now: float) -> frozenset[str]:
@@ -136,7 +137,7 @@
         blocked = self._book.list_blocked()
         return frozenset(
             job_id
-            for job_id, held in self._book.live.items()
+            for job_id, held in self._book.live_jobs.items()
             if not held.is_final
             and not self._book.may_run_unseen(held, blocked)
             and not _has_run(held)
--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -57,7 +57,7 @@
 
 
 def _is_wanted(book: work.PoolState, placement: work.Placement) -> bool:
-    held = book.live.get(placement.step.job)
+    held = book.live_jobs.get(placement.step.job)
     found = book.find_work(placement.step)
     if held is None or found is None:
         return False
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -41,7 +41,7 @@
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
         self.jobs: dict[str, runs.TrackedJob] = {}
-        self.live: dict[str, runs.TrackedJob] = {}
+        self.live_jobs: dict[str, runs.TrackedJob] = {}
         self.workers: dict[str, runs.Worker] = {}
         self.runs: dict[model.TaskKey, runs.Run] = {}
         self.dirty: set[str] = set()
@@ -82,7 +82,7 @@
             if tracked_job.is_final:
                 tracked_job.over_since = now
                 return
-            self.live[job.id] = tracked_job
+            self.live_jobs[job.id] = tracked_job
             if progress.has_crashed_too_often:
                 # A previous owner was lost before it could journal the failure.
                 self.finish(tracked_job, model.State.FAILED, now)
@@ -114,7 +114,7 @@
             wall: Unix time in seconds.
             now: Steady time in seconds.
         """
-        for tracked_job in list(self.live.values()):
+        for tracked_job in list(self.live_jobs.values()):
             opened_before = tracked_job.opened_count
             while tracked_job.opened_count < tracked_job.job.occurrences:
                 if tracked_job.job.find_due(tracked_job.opened_count) > wall:
@@ -133,7 +133,7 @@
         return min(
             (
                 tracked_job.job.find_due(tracked_job.opened_count)
-                for tracked_job in self.live.values()
+                for tracked_job in self.live_jobs.values()
                 if tracked_job.opened_count < tracked_job.job.occurrences
             ),
             default=None,
@@ -158,7 +158,7 @@
         Members of a gang that has succeeded end by themselves, so a stop order
         for each of them would be wasted.
         """
-        self.live.pop(tracked_job.job.id, None)
+        self.live_jobs.pop(tracked_job.job.id, None)
         tracked_job.over_since = now
         for tracked_step in tracked_job.steps.values():
             for run in self.list_step_runs(tracked_step):
@@ -185,7 +185,7 @@
     def forget_job(self, job_id: str) -> None:
         """Remove a job that has been over for long enough."""
         self.jobs.pop(job_id, None)
-        self.live.pop(job_id, None)
+        self.live_jobs.pop(job_id, None)
 
     def list_step_runs(self, tracked_step: runs.TrackedStep) -> list[runs.Run]:
         """Return the runs of a step."""
@@ -219,7 +219,7 @@
         """Return how many jobs of a queue have not started."""
         return sum(
             1
-            for tracked_job in self.live.values()
+            for tracked_job in self.live_jobs.values()
             if tracked_job.job.queue == queue and not tracked_job.has_started
         )
 
@@ -578,7 +578,7 @@
 
     def check_gangs(self, now: float) -> None:
         """Stop gangs of which a previous owner had started only a part."""
-        for tracked_job in self.live.values():
+        for tracked_job in self.live_jobs.values():
             for tracked_step in tracked_job.steps.values():
                 if (
                     not tracked_step.step.gang
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -248,7 +248,7 @@
 def _record_crash(
     pool_state: pool_states.PoolState, run: runs.Run, worker: runs.Worker
 ) -> None:
-    if run.tracked_step is None or run.key.job not in pool_state.live:
+    if run.tracked_step is None or run.key.job not in pool_state.live_jobs:
         return
     crashes = run.tracked_step.progress.crashes.setdefault(run.key.position, [])
     if any(crash.run == run.number for crash in crashes):
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -62,7 +62,7 @@
     """
     waiting_steps = []
     blocked_jobs = pool_state.list_blocked()
-    for tracked_job in pool_state.live.values():
+    for tracked_job in pool_state.live_jobs.values():
         if tracked_job.is_final or pool_state.may_run_unseen(
             tracked_job, blocked_jobs
         ):
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -37,7 +37,7 @@
 def count_guaranteed(pool_state: pool_states.PoolState) -> dict[str, int]:
     """Return the accelerators that priority 0 uses now, by customer."""
     used_by_customer: collections.Counter[str] = collections.Counter()
-    for tracked_job in pool_state.live.values():
+    for tracked_job in pool_state.live_jobs.values():
         if tracked_job.job.priority != 0:
             continue
         for tracked_step in tracked_job.steps.values():
