--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -41,7 +41,7 @@
         Reservations that can't be kept any more are dropped too.
         """
         ready = []
-        stop_s = book.stop_times.expected_s
+        stop_s = book.stop_durations.expected_s
         longest_s = _STOP_FACTOR * stop_s + _REPEATED_ORDER_S
         for key, held in list(self._held.items()):
             placement = held.placement
--- a/crocusrouter/pools/tests/test_reservations.py
+++ b/crocusrouter/pools/tests/test_reservations.py
@@ -32,7 +32,7 @@
     job = build.make_job("j", build.make_step(1, gpu=8))
     book = build.make_book(job, workers=("w0",))
     for _ in range(60):
-        book.stop_times.note(seen_s)
+        book.stop_durations.note(seen_s)
     book.workers["w0"].used = work.Room(0, 0, 8)
     held = reservations.Reservations()
     held.add(work.Placement(work.StepKey("j", 0, 0), {0: "w0"}), 0.0)
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -47,7 +47,7 @@
         self.dirty: set[str] = set()
         self.outbox: list[WorkerStop] = []
         self.guaranteed: dict[str, int] = {}
-        self.stop_times = stopping.StopDurations()
+        self.stop_durations = stopping.StopDurations()
         self.contended_at: float | None = None
         self.events: collections.deque[tuple[str, dict[str, object]]] = (
             collections.deque(maxlen=2000)
@@ -441,9 +441,9 @@
 
     def note_stopped(self, run: runs.Run, now: float) -> None:
         """Update the estimate of stop durations; log when it rises."""
-        previous_s = self.stop_times.expected_s
-        self.stop_times.note(now - run.stop_ordered_at)
-        expected_s = self.stop_times.expected_s
+        previous_s = self.stop_durations.expected_s
+        self.stop_durations.note(now - run.stop_ordered_at)
+        expected_s = self.stop_durations.expected_s
         if expected_s > previous_s:
             self.note("stops:slower", expected_s=round(expected_s, 3))
 
