--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -345,7 +345,7 @@
                 self.next_run += 1
             key = work.TaskKey(*placement.step, index)
             run = self.book.add_run(key, number, worker, now)
-            self.book.note_taken(key, number, now)
+            self.book.note_started(key, number, now)
             total = arrival.task_s[index] * factor
             self.running[key] = _Running(
                 key,
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -188,7 +188,7 @@
             key = work.TaskKey(*placement.step, index)
             number = len(book.runs) + 1
             book.add_run(key, number, worker, now)
-            book.note_taken(key, number, now)
+            book.note_started(key, number, now)
     for run, why in plan.stops:
         book.stop_run(run, why, now)
     book.outbox.clear()
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -194,7 +194,7 @@
             match result:
                 case orders.Accepted(clock_ms):
                     self.lease.note(clock_ms, now)
-                    self._book.note_taken(order.key, order.run, now)
+                    self._book.note_started(order.key, order.run, now)
                     self._note_if_leaving(order)
                     self.wake()
                     self._changed()
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -196,6 +196,6 @@
     other = work.TaskKey(job.id, 0, 0, 1)
     book.add_run(member, 7, _WORKER, 0.0)
     book.add_run(other, 7, "w1", 0.0)
-    book.note_taken(other, 7, 0.0)
+    book.note_started(other, 7, 0.0)
     await link.start(orders.Start(member, 7, "", ""))
     assert book.runs[other].phase is runs.Phase.STOPPING
--- a/crocusrouter/pools/tests/test_listing.py
+++ b/crocusrouter/pools/tests/test_listing.py
@@ -120,7 +120,7 @@
     began = trio.current_time()
     book.add_run(work.TaskKey("0a", 0, 0, 0), 1, "w0", began)
     book.add_run(work.TaskKey("0a", 0, 0, 1), 2, "w0", began + second_at)
-    book.note_taken(work.TaskKey("0a", 0, 0, 0), 1, began)
+    book.note_started(work.TaskKey("0a", 0, 0, 0), 1, began)
     logger = eliot.testing.MemoryLogger()
     before = eliot.testing.swap_logger(logger)
     try:
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -460,7 +460,7 @@
         if run is not None and run.number == number:
             run.maybe_started = True
 
-    def note_taken(self, key: model.TaskKey, number: int, now: float) -> None:
+    def note_started(self, key: model.TaskKey, number: int, now: float) -> None:
         """Record that a worker has started a run."""
         run = self.runs.get(key)
         if run is None or run.number != number:
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -76,7 +76,7 @@
         and run.number == reported_run.run
         and run.worker_id == worker_id
     ):
-        pool_state.note_taken(reported_run.key, reported_run.run, now)
+        pool_state.note_started(reported_run.key, reported_run.run, now)
         if reported_run.percent != run.percent:
             run.progressed_at = now
         run.percent = reported_run.percent
@@ -92,7 +92,7 @@
             reported_run.checkpoint or adopted_run.checkpoint
         )
         adopted_run.percent = reported_run.percent
-        pool_state.note_taken(reported_run.key, reported_run.run, now)
+        pool_state.note_started(reported_run.key, reported_run.run, now)
         pool_state.note(
             "run:adopted",
             task=reported_run.key,
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -102,7 +102,7 @@
     worker = pool_state.workers[run.worker_id]
     worker.was_draining, worker.was_evacuated = sealed, was_evacuated
     if maybe_begun:
-        pool_state.note_taken(run.key, run.number, 0.0)
+        pool_state.note_started(run.key, run.number, 0.0)
     _crash(pool_state, run.worker_id, 0.1)
     assert not _list_crashes(pool_state, _key("j"))
 
