--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -260,7 +260,7 @@
 
     def _reject(self, order: orders.Start, why: str) -> None:
         now = self._times.steady()
-        self._book.note_not_begun(order.key, order.run, why, now)
+        self._book.note_never_started(order.key, order.run, why, now)
         self._changed()
 
     async def _give_up(self, order: orders.Start, maybe_begun: bool) -> None:
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -483,7 +483,7 @@
             run.pace = percent
             run.paced_at = now
 
-    def note_not_begun(
+    def note_never_started(
         self, key: model.TaskKey, number: int, reason: str, now: float
     ) -> None:
         """Record that an ordered run will certainly never start."""
--- a/crocusrouter/work/tests/test_advice.py
+++ b/crocusrouter/work/tests/test_advice.py
@@ -99,7 +99,7 @@
     build.apply_plan(pool_state, confirm=False)
     key = work.TaskKey(*_STEP_KEY, 0)
     number = pool_state.runs[key].number
-    pool_state.note_not_begun(
+    pool_state.note_never_started(
         key, number, orders.RejectionReason.NO_TICKET, 0.0
     )
     assert work.choose_question(pool_state, 1.0, build.WALL).workers == ("w0",)
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -143,7 +143,7 @@
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
-    pool_state.note_not_begun(_key("j"), run.number, "no-room", 0.0)
+    pool_state.note_never_started(_key("j"), run.number, "no-room", 0.0)
     assert build.apply_plan(pool_state, now=0.1).placements == []
     plan = build.apply_plan(pool_state, now=1.0)
     assert plan.placements[0].spots[0] != run.worker_id
