--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -214,7 +214,7 @@
                 case orders.NoAnswer(cause, maybe_done):
                     maybe_begun = maybe_begun or maybe_done
                     if maybe_done:
-                        self._book.note_maybe_begun(order.key, order.run)
+                        self._book.note_maybe_started(order.key, order.run)
                         self._unanswered.note(order, self.worker, now)
                     log(
                         "order:unanswered",
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -454,7 +454,7 @@
         for run in self.list_step_runs(tracked_step):
             self.stop_run(run, reason, now)
 
-    def note_maybe_begun(self, key: model.TaskKey, number: int) -> None:
+    def note_maybe_started(self, key: model.TaskKey, number: int) -> None:
         """Record that a start without an answer may have been carried out."""
         run = self.runs.get(key)
         if run is not None and run.number == number:
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -83,7 +83,7 @@
     pool_state = build.make_book(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
-    pool_state.note_maybe_begun(run.key, run.number)
+    pool_state.note_maybe_started(run.key, run.number)
     _crash(pool_state, run.worker_id, 2.5)
     assert _list_crashes(pool_state, _key("j")) == [(run.number, True)]
 
