--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -351,6 +351,6 @@
         run = self._book.runs.get(order.key)
         ours = run is not None and run.number == order.run
         if run is not None and ours and run.confirmed_at is None:
-            self._book.note_settled(order.key, order.run, now)
+            self._book.note_stop_accepted(order.key, order.run, now)
             await self._look(0.0)
         self.wake()
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -590,7 +590,9 @@
                         tracked_step, "members of its gang are missing", now
                     )
 
-    def note_settled(self, key: model.TaskKey, number: int, now: float) -> None:
+    def note_stop_accepted(
+        self, key: model.TaskKey, number: int, now: float
+    ) -> None:
         """Record that a worker has accepted a stop order.
 
         From then on the worker rejects a run that had not started, and never
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -59,7 +59,7 @@
     number = pool_state.runs[_FIRST_TASK].number
     build.apply_report(pool_state, _NEW_WORKER, now=1.5, running=())
     assert _FIRST_TASK in pool_state.runs
-    pool_state.note_settled(_FIRST_TASK, number, 2.0)
+    pool_state.note_stop_accepted(_FIRST_TASK, number, 2.0)
     build.apply_report(pool_state, _NEW_WORKER, now=2.5, running=())
     assert pool_state.find_work(_FIRST_TASK).waiting_indices == {0}
 
