--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -117,7 +117,9 @@
                 for job_id in values:
                     self._revisions[job_id] = outcome.revision
                 self._book.note_durable(finals)
-                self._book.note_crashes_kept(values.keys() - self._book.dirty)
+                self._book.note_crashes_journaled(
+                    values.keys() - self._book.dirty
+                )
                 break
             self._take_failure(outcome)
             if not isinstance(outcome, port.Mismatched):
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -604,7 +604,7 @@
         if run.confirmed_at is None:
             run.confirmed_at = now
 
-    def note_crashes_kept(self, job_ids: Iterable[str]) -> None:
+    def note_crashes_journaled(self, job_ids: Iterable[str]) -> None:
         """Record that the journal holds the crashes under these jobs' tasks."""
         for job_id in job_ids:
             tracked_job = self.jobs.get(job_id)
