--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -332,7 +332,7 @@
         self.book.events.clear()
 
     def _start(self, placement: work.Placement, now: float) -> None:
-        found = self.book.find_work(placement.step)
+        found = self.book.find_tracked_step(placement.step)
         assert found is not None
         arrival = self.arrivals[placement.step.job]
         factor = self._find_factor(found, placement)
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -87,7 +87,7 @@
             allowed=sorted(answer.tickets),
             valid_s=answer.valid_s,
         )
-        held = self._book.find_work(step)
+        held = self._book.find_tracked_step(step)
         if held is None:
             return
         valid_until = self._times.steady() + answer.valid_s
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -372,7 +372,7 @@
     def _start(self, placement: work.Placement, now: float) -> None:
         assert self._nursery is not None
         held = self.book.jobs[placement.step.job]
-        found = self.book.find_work(work.TaskKey(*placement.step, 0))
+        found = self.book.find_tracked_step(work.TaskKey(*placement.step, 0))
         assert found is not None
         shared = self._take_number()
         started: list[tuple[links.WorkerLink, orders.Start]] = []
--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -58,7 +58,7 @@
 
 def _is_wanted(book: work.PoolState, placement: work.Placement) -> bool:
     held = book.live_jobs.get(placement.step.job)
-    found = book.find_work(placement.step)
+    found = book.find_tracked_step(placement.step)
     if held is None or found is None:
         return False
     return set(placement.spots) <= found.waiting_indices
@@ -67,7 +67,7 @@
 def _has_room(
     book: work.PoolState, placement: work.Placement, now: float
 ) -> bool:
-    found = book.find_work(placement.step)
+    found = book.find_tracked_step(placement.step)
     assert found is not None
     workers = list(placement.spots.values())
     advised = book.jobs[placement.step.job].job.advised
--- a/crocusrouter/pools/tests/test_advisor.py
+++ b/crocusrouter/pools/tests/test_advisor.py
@@ -36,7 +36,7 @@
     with trio.move_on_after(1.0):
         await asking.run()
     assert policy.asked[0] == ("w0",)
-    permits = book.find_work(work.StepKey("j", 0, 0)).permits
+    permits = book.find_tracked_step(work.StepKey("j", 0, 0)).permits
     now = trio.current_time()
     assert permits.find_ticket("w0@5", now) == "for w0"
     assert not permits.find_ticket("w0@7", now)
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -123,7 +123,7 @@
         sent = len(port.sent)
     assert len(port.sent) <= sent
     if settled:
-        assert book.find_work(key).waiting_indices == {0}
+        assert book.find_tracked_step(key).waiting_indices == {0}
     else:
         assert run.stop_reason == "its start was not answered"
 
@@ -166,7 +166,7 @@
     book.add_run(key, 7, _WORKER, 0.0)
     await link.start(orders.Start(key, 7, "", ""))
     assert port.sent == []
-    assert book.find_work(key).waiting_indices == {0}
+    assert book.find_tracked_step(key).waiting_indices == {0}
 
 
 async def test_refused_connection_is_not_tried_again_at_once(autojump_clock):
@@ -181,7 +181,7 @@
     with trio.fail_after(5.0):
         await link.start(orders.Start(key, 7, "", ""))
     assert 2 <= len(port.sent) <= 10
-    assert book.find_work(key).waiting_indices == {0}
+    assert book.find_tracked_step(key).waiting_indices == {0}
 
 
 async def test_gang_is_stopped_whole_once_a_member_is_given_up(autojump_clock):
--- a/crocusrouter/pools/tests/test_reservations.py
+++ b/crocusrouter/pools/tests/test_reservations.py
@@ -15,7 +15,7 @@
     job = build.make_job("j", build.make_step(1, gpu=8), advised=advised)
     book = build.make_book(job, workers=("w0",))
     step = work.StepKey("j", 0, 0)
-    book.find_work(step).permits.note_answer(("w0",), {"w0": "t"}, 1.2)
+    book.find_tracked_step(step).permits.note_answer(("w0",), {"w0": "t"}, 1.2)
     held = reservations.Reservations()
     held.add(work.Placement(step, {0: "w0"}), 0.0)
     assert len(held.take_ready(book, now)) == ready
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -191,7 +191,7 @@
         """Return the runs of a step."""
         return list(tracked_step.runs_by_index.values())
 
-    def find_work(
+    def find_tracked_step(
         self, key: model.TaskKey | model.StepKey
     ) -> runs.TrackedStep | None:
         """Return the step of a task; None if its job is unknown."""
@@ -372,7 +372,7 @@
             alone: Whether the worker takes no other task for a while.
         """
         run = runs.Run(key, number, worker_id, now, progressed_at=now)
-        tracked_step = self.find_work(key)
+        tracked_step = self.find_tracked_step(key)
         if tracked_step is not None:
             tracked_step.waiting_indices.discard(key.position)
             tracked_step.runs_by_index[key.position] = run
@@ -408,7 +408,7 @@
     def drop_run(self, run: runs.Run) -> None:
         """Remove a run that has certainly ended."""
         worker = self.workers.get(run.worker_id)
-        tracked_step = self.find_work(run.key)
+        tracked_step = self.find_tracked_step(run.key)
         if self.runs.get(run.key) is run:
             del self.runs[run.key]
             if tracked_step is not None:
@@ -499,7 +499,7 @@
         )
         self.drop_run(run)
         self.requeue(run, orders.RunOutcome.STOPPED, now)
-        tracked_step = self.find_work(key)
+        tracked_step = self.find_tracked_step(key)
         if tracked_step is None:
             return
         tracked_step.not_before = max(
@@ -513,7 +513,7 @@
     def withdraw_run(self, key: model.TaskKey, number: int) -> None:
         """Remove a run whose start order was never sent."""
         run = self.runs.get(key)
-        tracked_step = self.find_work(key)
+        tracked_step = self.find_tracked_step(key)
         if run is None or run.number != number or tracked_step is None:
             return
         self.drop_run(run)
@@ -524,7 +524,7 @@
         self, run: runs.Run, outcome: orders.RunOutcome, now: float
     ) -> None:
         """Let a task wait again after a run that has not succeeded."""
-        tracked_step = self.find_work(run.key)
+        tracked_step = self.find_tracked_step(run.key)
         if (
             tracked_step is None
             or run.key.position in tracked_step.progress.done
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -133,7 +133,7 @@
         key: The task.
         run_number: Number of the run that the worker lists as running or ended.
     """
-    tracked_step = pool_state.find_work(key)
+    tracked_step = pool_state.find_tracked_step(key)
     crashes = (
         tracked_step.progress.crashes.get(key.position)
         if tracked_step is not None
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -123,7 +123,7 @@
             self._take_reserved(key, spots)
 
     def _take_reserved(self, key: model.StepKey, spots: dict[int, str]) -> None:
-        tracked_step = self._pool_state.find_work(key)
+        tracked_step = self._pool_state.find_tracked_step(key)
         if tracked_step is None:
             return
         for worker_id in spots.values():
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -115,7 +115,7 @@
 def _may_adopt(pool_state: pool_states.PoolState, key: model.TaskKey) -> bool:
     """Tell whether a run that a previous owner started is still wanted."""
     tracked_job = pool_state.jobs.get(key.job)
-    tracked_step = pool_state.find_work(key)
+    tracked_step = pool_state.find_tracked_step(key)
     return (
         tracked_job is not None
         and not tracked_job.is_final
@@ -173,7 +173,7 @@
         and run.number == run_end.run
         and run.worker_id == worker_id
     )
-    tracked_step = pool_state.find_work(key)
+    tracked_step = pool_state.find_tracked_step(key)
     tracked_job = pool_state.jobs.get(key.job)
     if is_current and run is not None:
         run.checkpoint = run_end.checkpoint or run.checkpoint
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -103,7 +103,7 @@
     build.apply_report(
         pool_state, second_run.worker_id, (second_run.key, HOW.STOPPED), now=6.0
     )
-    assert pool_state.find_work(first_run.key).waiting_indices == {0, 1}
+    assert pool_state.find_tracked_step(first_run.key).waiting_indices == {0, 1}
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
     )
     build.apply_report(pool_state, "w0", running=running)
     assert pool_state.runs[_key("j")].number == 5
-    assert pool_state.find_work(_key("j")).waiting_indices == {1}
+    assert pool_state.find_tracked_step(_key("j")).waiting_indices == {1}
     assert [order.key for _, order in pool_state.outbox] == [_key("x")]
 
 
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -250,7 +250,7 @@
 
 def test_run_that_has_worked_for_long_is_cleared():
     pool_state = build.make_book(build.make_job("j", build.make_step()))
-    tracked_step = pool_state.find_work(_key("j"))
+    tracked_step = pool_state.find_tracked_step(_key("j"))
     tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
@@ -271,7 +271,7 @@
     pool_state = build.make_book(
         build.make_job("j", build.make_step(4)), workers=_WORKERS
     )
-    tracked_step = pool_state.find_work(_key("j"))
+    tracked_step = pool_state.find_tracked_step(_key("j"))
     tracked_step.progress.crashes[2] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
     assert list(tracked_step.runs_by_index) == [2]
@@ -292,7 +292,7 @@
     )
     build.apply_plan(pool_state)
     build.add_job(pool_state, build.make_job("j", build.make_step()))
-    tracked_step = pool_state.find_work(_key("j"))
+    tracked_step = pool_state.find_tracked_step(_key("j"))
     tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     assert build.apply_plan(pool_state, 1.0).placements == []
     busy_run = pool_state.runs[_key("busy")]
@@ -314,7 +314,7 @@
     workers = [f"w{number}" for number in range(8)]
     pool_state = build.make_book(*suspected_jobs, workers=workers)
     for job in suspected_jobs:
-        tracked_step = pool_state.find_work(_key(job.id))
+        tracked_step = pool_state.find_tracked_step(_key(job.id))
         tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     now = 0.0
     while not all(_key(job.id) in pool_state.runs for job in suspected_jobs):
@@ -365,7 +365,7 @@
     """
     step = build.make_step(2, per_worker=1)
     pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
-    tracked_step = pool_state.find_work(_key("j"))
+    tracked_step = pool_state.find_tracked_step(_key("j"))
     build.apply_plan(pool_state)
     tracked_step.progress.crashes[1] = [progresses.Crash(0, True)]
     pool_state.runs[_key("j")].progressed_at = 2.5
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -44,7 +44,10 @@
         for key in (_FIRST_TASK, _SECOND_TASK)
         if key not in late_tasks
     }
-    assert pool_state.find_work(_FIRST_TASK).waiting_indices == waiting_indices
+    assert (
+        pool_state.find_tracked_step(_FIRST_TASK).waiting_indices
+        == waiting_indices
+    )
     assert set(pool_state.workers[_NEW_WORKER].runs) == set(late_tasks)
     assert not pool_state.workers[_OLD_WORKER].runs
     assert [stop.key for worker_id, stop in pool_state.outbox] == list(
@@ -61,7 +64,7 @@
     assert _FIRST_TASK in pool_state.runs
     pool_state.note_stop_accepted(_FIRST_TASK, number, 2.0)
     build.apply_report(pool_state, _NEW_WORKER, now=2.5, running=())
-    assert pool_state.find_work(_FIRST_TASK).waiting_indices == {0}
+    assert pool_state.find_tracked_step(_FIRST_TASK).waiting_indices == {0}
 
 
 def test_late_start_that_was_carried_out_is_not_adopted():
@@ -80,7 +83,7 @@
         (_FIRST_TASK, orders.RunOutcome.STOPPED),
         now=1.8,
     )
-    assert pool_state.find_work(_FIRST_TASK).waiting_indices == {0}
+    assert pool_state.find_tracked_step(_FIRST_TASK).waiting_indices == {0}
 
 
 def test_gang_with_a_member_that_may_start_late_is_stopped():
@@ -105,7 +108,9 @@
 def test_restart_counts_as_a_crash_under_the_runs_there(late_tasks):
     """A task that crashes its workers must not start again without limit."""
     pool_state = _restart(build.make_step(1), late_tasks)
-    assert len(pool_state.find_work(_FIRST_TASK).progress.crashes[0]) == 1
+    assert (
+        len(pool_state.find_tracked_step(_FIRST_TASK).progress.crashes[0]) == 1
+    )
     restart_events = [
         fields
         for kind, fields in pool_state.events
