--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -91,7 +91,7 @@
             tracked_job.job = job
             self._close_job(tracked_job, "cancelled", now)
 
-    def open_reported(self, key: model.TaskKey, now: float) -> None:
+    def open_reported_occurrence(self, key: model.TaskKey, now: float) -> None:
         """Open an occurrence that a worker reports before it is due.
 
         Workers report to a new owner before its first decision, and its clock
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -68,7 +68,7 @@
 ) -> None:
     """Update a run, adopt it after a takeover, or stop it as a stray."""
     worker_id = worker.entry.id
-    pool_state.open_reported(reported_run.key, now)
+    pool_state.open_reported_occurrence(reported_run.key, now)
     crashes.withdraw_crash(pool_state, reported_run.key, reported_run.run)
     run = pool_state.runs.get(reported_run.key)
     if (
@@ -165,7 +165,7 @@
 ) -> None:
     """Record the end of a run."""
     key = run_end.key
-    pool_state.open_reported(key, now)
+    pool_state.open_reported_occurrence(key, now)
     crashes.withdraw_crash(pool_state, key, run_end.run)
     run = pool_state.runs.get(key)
     is_current = (
