--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -174,7 +174,7 @@
             job = self.pending.pop(0).job
             self.book.put_job(job, work.Progress(), 2, now)
             changed = True
-        self.book.open_due(_WALL + now, now)
+        self.book.open_due_occurrences(_WALL + now, now)
         for arrival in self.arrivals.values():
             at = arrival.cancelled_at
             if at is not None and now - _TICK_S < at <= now:
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -155,7 +155,7 @@
         now,
     )
     book.put_job(job, work.Progress(), 2, now)
-    book.open_due(now, now)
+    book.open_due_occurrences(now, now)
     return count
 
 
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -325,7 +325,7 @@
             took_s = self._times.steady() - began
 
     def _decide(self, now: float, wall: float) -> None:
-        self.book.open_due(wall, now)
+        self.book.open_due_occurrences(wall, now)
         self._check_recovered(now)
         if self._tenure.is_valid() and not self._draining:
             if self._may_start(now):
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -107,7 +107,7 @@
             self._open_occurrence(tracked_job, tracked_job.opened_count, now)
             tracked_job.opened_count += 1
 
-    def open_due(self, wall: float, now: float) -> None:
+    def open_due_occurrences(self, wall: float, now: float) -> None:
         """Open the occurrences that have become due.
 
         Args:
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -62,7 +62,7 @@
     successor.put_job(
         job, work.parse_progress(work.dump_progress(progress)), 2, 0.0
     )
-    successor.open_due(build.WALL, 0.0)
+    successor.open_due_occurrences(build.WALL, 0.0)
     ended = orders.RunEnd(3, _key("j"), 7, HOW.FAILED)
     work.take_report(successor, "w0", orders.Report(0, (), (ended,)), 0.0, 0.0)
     assert pool_state.jobs["j"].progress.final_state is None
@@ -173,7 +173,7 @@
     pool_state = build.make_book(job)
     assert pool_state.find_next_due() == build.WALL + 10
     for wall, opened in ((9.9, 0), (10.0, 1), (14.9, 1), (21.0, 3)):
-        pool_state.open_due(build.WALL + wall, wall)
+        pool_state.open_due_occurrences(build.WALL + wall, wall)
         assert pool_state.jobs["j"].opened_count == opened
 
 
@@ -224,7 +224,7 @@
     work.take_report(
         pool_state, "w0", orders.Report(0, running, ended), 0.0, 0.0
     )
-    pool_state.open_due(build.WALL + 9, 9.0)
+    pool_state.open_due_occurrences(build.WALL + 9, 9.0)
     assert pool_state.outbox == []
     assert work.plan(pool_state, 9.0, build.WALL + 9).placements == []
 
@@ -321,5 +321,5 @@
     end = orders.RunEnd(1, _key("j"), 7, HOW.DONE)
     work.take_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
     assert pool_state.jobs["j"].progress.final_state is None
-    pool_state.open_due(build.WALL + 5.0, 1.1)
+    pool_state.open_due_occurrences(build.WALL + 5.0, 1.1)
     assert pool_state.jobs["j"].progress.final_state is work.State.DONE
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -134,7 +134,7 @@
     )
     new_owner = build.make_book(workers=_WORKERS)
     new_owner.put_job(pool_state.jobs["j"].job, progress, 2, 2.0)
-    new_owner.open_due(build.WALL, 2.0)
+    new_owner.open_due_occurrences(build.WALL, 2.0)
     build.apply_plan(new_owner, 2.0)
     next_run = new_owner.runs[_key("j")]
     next_run.number = run.number + 1
