--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -134,7 +134,7 @@
         A task of theirs that has ended must be known to a successor, which
         would start it again at once.
         """
-        blocked = self._book.list_blocked()
+        blocked = self._book.list_blocked_jobs()
         return frozenset(
             job_id
             for job_id, held in self._book.live_jobs.items()
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -258,7 +258,7 @@
             worker.evacuating = worker_id in worker_ids
             worker.was_evacuated = worker.was_evacuated or worker.evacuating
 
-    def list_blocked(self) -> frozenset[str] | None:
+    def list_blocked_jobs(self) -> frozenset[str] | None:
         """Return the jobs that may run on a worker that has not reported yet.
 
         A previous owner may have started them there.
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -61,7 +61,7 @@
         policy: Weights and limits of the planner.
     """
     waiting_steps = []
-    blocked_jobs = pool_state.list_blocked()
+    blocked_jobs = pool_state.list_blocked_jobs()
     for tracked_job in pool_state.live_jobs.values():
         if tracked_job.is_final or pool_state.may_run_unseen(
             tracked_job, blocked_jobs
