--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -139,7 +139,7 @@
             job_id
             for job_id, held in self._book.live_jobs.items()
             if not held.is_final
-            and not self._book.may_run_unseen(held, blocked)
+            and not self._book.may_run_unreported(held, blocked)
             and not _has_run(held)
             and (
                 job_id in self._recorded
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -279,7 +279,7 @@
             blocked_jobs |= worker.possible_jobs
         return frozenset(blocked_jobs)
 
-    def may_run_unseen(
+    def may_run_unreported(
         self, tracked_job: runs.TrackedJob, blocked_jobs: frozenset[str] | None
     ) -> bool:
         """Tell whether a job may be running on a worker that has not reported.
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -63,7 +63,7 @@
     waiting_steps = []
     blocked_jobs = pool_state.list_blocked_jobs()
     for tracked_job in pool_state.live_jobs.values():
-        if tracked_job.is_final or pool_state.may_run_unseen(
+        if tracked_job.is_final or pool_state.may_run_unreported(
             tracked_job, blocked_jobs
         ):
             continue
