--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -124,7 +124,7 @@
             await self._work_forever(meeting)
         finally:
             # Workers that were being emptied take work again.
-            self._book.set_resting(set())
+            self._book.set_evacuating(set())
 
     async def _work_forever(self, meeting: Upkeeping) -> None:
         while not self._fenced:
@@ -135,7 +135,7 @@
                 if wave.number not in self._over
             ]
             if not waves:
-                self._book.set_resting(set())
+                self._book.set_evacuating(set())
                 continue
             await self._work(waves, meeting)
 
@@ -252,7 +252,9 @@
         begun = {
             name for held in self._records.values() for name in held.started
         }
-        self._book.set_resting({vm.worker for vm in listed if vm.name in begun})
+        self._book.set_evacuating(
+            {vm.worker for vm in listed if vm.name in begun}
+        )
         self._changed()
 
     # The record.
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -250,7 +250,7 @@
             worker.leaves_at = min(worker.leaves_at or stays_until, stays_until)
         return False
 
-    def set_resting(self, worker_ids: set[str]) -> None:
+    def set_evacuating(self, worker_ids: set[str]) -> None:
         """Set which workers are being emptied; all others stop being
         emptied.
         """
--- a/crocusrouter/work/tests/test_racks.py
+++ b/crocusrouter/work/tests/test_racks.py
@@ -91,7 +91,7 @@
     if crowded:
         _occupy_workers(pool_state, "rest", other_workers)
     else:
-        pool_state.set_resting(set(other_workers))
+        pool_state.set_evacuating(set(other_workers))
         pool_state.forget_job("rest")
     gang_step = build.make_step(2, gpu=8, gang=True, one_rack=True)
     build.add_job(pool_state, build.make_job("gang", gang_step))
