--- a/crocusrouter/pools/expiry.py
+++ b/crocusrouter/pools/expiry.py
@@ -37,7 +37,7 @@
     """
     while True:
         await trio.sleep(_TICK_S)
-        over = book.list_over(read_clock() - keep_s)[:_BATCH_JOBS]
+        over = book.list_ended_jobs(read_clock() - keep_s)[:_BATCH_JOBS]
         if not over:
             continue
         removals = tuple(
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -165,7 +165,7 @@
                 if run.key.position not in tracked_step.progress.done:
                     self.stop_run(run, reason, now)
 
-    def list_over(self, before: float) -> list[str]:
+    def list_ended_jobs(self, before: float) -> list[str]:
         """Return the ids of jobs that ended before a given time.
 
         Jobs with runs left or with progress to journal are not included.
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -240,12 +240,12 @@
     run = pool_state.runs[_key("j")]
     cancelled_job = build.make_job("j", build.make_step(1), cancelled=True)
     pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
-    assert pool_state.list_over(before=5.0) == []
+    assert pool_state.list_ended_jobs(before=5.0) == []
     build.apply_report(
         pool_state, run.worker_id, (run.key, HOW.STOPPED), now=2.0
     )
-    assert pool_state.list_over(before=1.0) == []
-    assert pool_state.list_over(before=5.0) == ["j"]
+    assert pool_state.list_ended_jobs(before=1.0) == []
+    assert pool_state.list_ended_jobs(before=5.0) == ["j"]
 
 
 def test_runs_lost_with_their_worker_are_logged():
