--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -360,7 +360,7 @@
         worker_id: str,
         now: float,
         *,
-        alone: bool = False,
+        is_trial: bool = False,
     ) -> runs.Run:
         """Add a run whose start is about to be ordered.
 
@@ -379,7 +379,7 @@
             run.tracked_step = tracked_step
             run.checkpoint = tracked_step.find_checkpoint(key.position)
             self._assign_run(run, tracked_step, worker_id)
-            if alone:
+            if is_trial:
                 self.workers[worker_id].trial_until = now + runs.TRIAL_S
         self.runs[key] = run
         return run
