--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -380,7 +380,7 @@
             number = shared if found.step.gang else self._take_number()
             key = work.TaskKey(*placement.step, index)
             run = self.book.add_run(
-                key, number, worker, now, is_trial=placement.alone
+                key, number, worker, now, is_trial=placement.is_trial
             )
             ticket = found.permits.find_ticket(worker, now)
             order = orders.Start(
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -35,7 +35,7 @@
 
     step: model.StepKey
     spots: dict[int, str]
-    alone: bool = False
+    is_trial: bool = False
 
 
 @dataclasses.dataclass
@@ -235,7 +235,9 @@
         spots = {
             index: space.worker for index, space in spaces_by_index.items()
         }
-        placement = Placement(waiting_step.tracked_step.key, spots, alone=True)
+        placement = Placement(
+            waiting_step.tracked_step.key, spots, is_trial=True
+        )
         self._plan.placements.append(placement)
         return True
 
