--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -288,7 +288,7 @@
             report = orders.Report(0, rows, tuple(self.ends[name]))
             changed |= bool(self.ends[name])
             self.ends[name] = []
-            work.take_report(self.book, name, report, now, now)
+            work.apply_report(self.book, name, report, now, now)
         self._note_ended(now)
         return changed
 
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -174,7 +174,7 @@
         held.last_end_number + 1, key, run.number, orders.RunOutcome.DONE
     )
     report = orders.Report(0, rows, (ended,))
-    work.take_report(book, run.worker_id, report, now, now)
+    work.apply_report(book, run.worker_id, report, now, now)
 
 
 def _decide(
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -139,7 +139,7 @@
     async def _take_report(self, report: orders.Report, sent_at: float) -> None:
         now = self._times.steady()
         self.lease.note(report.clock_ms, now)
-        work.take_report(self._book, self.worker, report, sent_at, now)
+        work.apply_report(self._book, self.worker, report, sent_at, now)
         self._changed()
         if not report.ended:
             return
--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -23,7 +23,7 @@
 from crocusrouter.work.progress import parse_progress
 from crocusrouter.work.replacement import add_successor
 from crocusrouter.work.replacement import map_incarnations
-from crocusrouter.work.reports import take_report
+from crocusrouter.work.reports import apply_report
 from crocusrouter.work.runs import TrackedJob
 
 __all__ = [
@@ -51,5 +51,5 @@
     "note_silent",
     "parse_progress",
     "plan",
-    "take_report",
+    "apply_report",
 ]
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -11,7 +11,7 @@
 _ENDS_BY_TASK = frozenset({orders.RunOutcome.DONE, orders.RunOutcome.FAILED})
 
 
-def take_report(
+def apply_report(
     pool_state: pool_states.PoolState,
     worker_id: str,
     report: orders.Report,
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -116,4 +116,4 @@
         )
     report = orders.Report(0, running, ended)
     asked_at = now if sent_at is None else sent_at
-    work.take_report(pool_state, worker_id, report, asked_at, now)
+    work.apply_report(pool_state, worker_id, report, asked_at, now)
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -64,7 +64,7 @@
     )
     successor.open_due_occurrences(build.WALL, 0.0)
     ended = orders.RunEnd(3, _key("j"), 7, HOW.FAILED)
-    work.take_report(successor, "w0", orders.Report(0, (), (ended,)), 0.0, 0.0)
+    work.apply_report(successor, "w0", orders.Report(0, (), (ended,)), 0.0, 0.0)
     assert pool_state.jobs["j"].progress.final_state is None
     assert successor.jobs["j"].progress.final_state is None
 
@@ -221,7 +221,7 @@
     pool_state.put_job(job, work.Progress(), 2, 0.0)
     running = () if how else (orders.ReportedRun(_key("j"), 5),)
     ended = (orders.RunEnd(1, _key("j"), 5, how),) if how else ()
-    work.take_report(
+    work.apply_report(
         pool_state, "w0", orders.Report(0, running, ended), 0.0, 0.0
     )
     pool_state.open_due_occurrences(build.WALL + 9, 9.0)
@@ -319,7 +319,7 @@
     pool_state = build.make_book(workers=("w0",))
     pool_state.put_job(job, progress, 2, 0.0)
     end = orders.RunEnd(1, _key("j"), 7, HOW.DONE)
-    work.take_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
+    work.apply_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
     assert pool_state.jobs["j"].progress.final_state is None
     pool_state.open_due_occurrences(build.WALL + 5.0, 1.1)
     assert pool_state.jobs["j"].progress.final_state is work.State.DONE
