--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -166,7 +166,7 @@
             if run.worker == name and self.running.get(run.key) is run:
                 self._end(run, orders.RunOutcome.BROKEN)
         self.book.unlist_worker(name)
-        replacement.note_gone(self.book, name, now)
+        replacement.note_incarnation_replaced(self.book, name, now)
 
     def _take_arrivals(self, now: float) -> bool:
         changed = False
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -101,7 +101,9 @@
     for run in suspected_runs:
         _record_crash(pool_state, run, worker)
     _log_crash(pool_state, worker, suspected_runs)
-    replacement.note_gone(pool_state, worker_id, now, successor, late_stops)
+    replacement.note_incarnation_replaced(
+        pool_state, worker_id, now, successor, late_stops
+    )
     _fail_crashing_tasks(pool_state, suspected_runs, now)
 
 
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -38,7 +38,7 @@
     pool_state.unlist_worker(successor)
 
 
-def note_gone(
+def note_incarnation_replaced(
     pool_state: pool_states.PoolState,
     worker_id: str,
     now: float,
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -257,7 +257,7 @@
     build.apply_plan(pool_state, now=1.0)
     worker_id = pool_state.runs[_key("j")].worker_id
     pool_state.note_silent(worker_id, 1.25)
-    replacement.note_gone(pool_state, worker_id, 4.0)
+    replacement.note_incarnation_replaced(pool_state, worker_id, 4.0)
     lost_events = [
         fields for kind, fields in pool_state.events if kind == "run:lost"
     ]
