--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/rescue.py
@@ -96,7 +96,7 @@
     if worker.leaves_at is None:
         return False
     left_s = worker.leaves_at - now
-    if victims.estimate_rest(run, tracked_step, now) <= left_s:
+    if victims.estimate_remaining_s(run, tracked_step, now) <= left_s:
         return False
     return not tracked_step.step.checkpoints or left_s <= 2 * _RESTART_S
 
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -201,7 +201,7 @@
         return stops_left[tracked_step.key] >= 0
     if tracked_step.step.checkpoints:
         return True
-    remaining_s = victims.estimate_rest(run, tracked_step, now)
+    remaining_s = victims.estimate_remaining_s(run, tracked_step, now)
     return now >= leave_by or now + remaining_s > leave_by
 
 
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -49,7 +49,7 @@
     return used_by_customer
 
 
-def estimate_rest(
+def estimate_remaining_s(
     run: runs.Run, tracked_step: runs.TrackedStep, now: float
 ) -> float:
     """Return the estimated seconds until a run ends."""
@@ -93,7 +93,9 @@
         ends = []
         for run in self._pool_state.workers[worker_id].runs.values():
             if run.tracked_step is not None:
-                remaining_s = estimate_rest(run, run.tracked_step, self._now)
+                remaining_s = estimate_remaining_s(
+                    run, run.tracked_step, self._now
+                )
                 ends.append((remaining_s, run.tracked_step.step.charge))
         return sorted(ends)
 
