--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -212,7 +212,7 @@
                 continue
             since = self._since.setdefault(name, now)
             held = self._book.workers.get(vm.worker)
-            leave_by = since + upkeep.measure_patience(wave)
+            leave_by = since + upkeep.measure_evacuation_s(wave)
             for run, why in upkeep.list_evacuations(
                 self._book, vm.worker, now, leave_by
             ):
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -120,7 +120,7 @@
     return total_loss
 
 
-def measure_patience(wave: vms.Wave) -> float:
+def measure_evacuation_s(wave: vms.Wave) -> float:
     """Return the seconds that emptying one VM may take.
 
     VMs go down in batches of `most_at_once`; each batch has an equal share of
