--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -181,7 +181,7 @@
             # Owners of other pools change it too.
             record = await self._load(wave.number)
         before = upkeep.dump_record(record)
-        upkeep.note_back(record, listed)
+        upkeep.mark_returned_vms(record, listed)
         now = self._times.steady()
         chosen = upkeep.choose_vm(self._book, pool, wave, record, listed, now)
         if chosen is not None:
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -132,7 +132,7 @@
     ],
 )
 def test_which_vms_are_back(record, vm, done):
-    upkeep.note_back(record, _list_vms(m0=vm))
+    upkeep.mark_returned_vms(record, _list_vms(m0=vm))
     assert ("m0" in record.done) is done
 
 
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -216,7 +216,7 @@
     return tracked_step.step.count - at_work_count
 
 
-def note_back(record: WaveRecord, listed: tuple[vms.Vm, ...]) -> bool:
+def mark_returned_vms(record: WaveRecord, listed: tuple[vms.Vm, ...]) -> bool:
     """Mark the VMs as done that are back with another worker or removed.
 
     Returns:
