--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -177,7 +177,9 @@
     ) -> None:
         record = self._records.get(wave.number)
         pool = self._tenure.pool
-        if record is None or upkeep.is_shared(wave, record, listed, pool):
+        if record is None or upkeep.waits_for_other_pools(
+            wave, record, listed, pool
+        ):
             # Owners of other pools change it too.
             record = await self._load(wave.number)
         before = upkeep.dump_record(record)
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -240,7 +240,7 @@
     return changed
 
 
-def is_shared(
+def waits_for_other_pools(
     wave: vms.Wave,
     record: WaveRecord,
     listed: tuple[vms.Vm, ...],
