--- a/crocusrouter/work/packing.py
+++ b/crocusrouter/work/packing.py
@@ -40,7 +40,7 @@
         """Count a task of a step as placed here."""
         self._tasks[key] += 1
 
-    def count_task(self, key: model.StepKey) -> int:
+    def count_tasks(self, key: model.StepKey) -> int:
         """Return how many tasks of a step this plan has placed here."""
         return self._tasks[key]
 
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -310,7 +310,7 @@
             0,
             limit
             - running_count
-            - space.count_task(waiting_step.tracked_step.key),
+            - space.count_tasks(waiting_step.tracked_step.key),
         )
 
     def _choose_spaces(
