--- a/crocusrouter/pools/tests/test_advisor.py
+++ b/crocusrouter/pools/tests/test_advisor.py
@@ -29,7 +29,7 @@
 ):
     """A ticket ends with its process; the next one refused it."""
     job = build.make_job("j", build.make_step(1), advised=True)
-    book = build.make_book(job, workers=("w0@5",))
+    book = build.make_pool_state(job, workers=("w0@5",))
     times = clock.Clock(trio.current_time, lambda: build.WALL)
     policy = _Policy()
     asking = advisor.Advisor(policy, book, times, lambda: None)
--- a/crocusrouter/pools/tests/test_journal.py
+++ b/crocusrouter/pools/tests/test_journal.py
@@ -20,7 +20,7 @@
         stores.StoreView(store, entry), "p", tenure.Holder(entry), _CLOCK
     )
     assert await held.take()
-    book = build.make_book(build.make_job("j", build.make_step(3)))
+    book = build.make_pool_state(build.make_job("j", build.make_step(3)))
     view = stores.StoreView(store, entry)
     return held, book, journal.Journal(view, held, book, {})
 
--- a/crocusrouter/pools/tests/test_listing.py
+++ b/crocusrouter/pools/tests/test_listing.py
@@ -112,7 +112,7 @@
     deaf owner from an order that took long.
     """
     job = build.make_job("0a", build.make_step(2))
-    book = build.make_book(job, workers=("w0",))
+    book = build.make_pool_state(job, workers=("w0",))
     book.open_due_occurrences(2e6, 0.0)
     leaves = records.Changed(_list_worker("w0", revision=9, draining=True))
     listed, _ = _open_list(_Store(*[_LOST] * lost, leaves), book)
--- a/crocusrouter/pools/tests/test_parking.py
+++ b/crocusrouter/pools/tests/test_parking.py
@@ -35,7 +35,7 @@
 
 def _make_book():
     """Return a book in which one job waits for room, created after epoch 1."""
-    return build.make_book(build.make_job(_JOB, build.make_step()))
+    return build.make_pool_state(build.make_job(_JOB, build.make_step()))
 
 
 def _read(store):
@@ -88,7 +88,7 @@
 
 async def test_job_with_a_run_is_not_recorded(autojump_clock):
     store = stores.Store(1)
-    book = build.make_book(build.make_job(_JOB, build.make_step(2)))
+    book = build.make_pool_state(build.make_job(_JOB, build.make_step(2)))
     book.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 0.0)
     opened = await _open(store, book)
     async with trio.open_nursery() as nursery:
--- a/crocusrouter/pools/tests/test_reservations.py
+++ b/crocusrouter/pools/tests/test_reservations.py
@@ -13,7 +13,7 @@
 )
 def test_start_after_stops_needs_a_ticket_that_still_holds(advised, now, ready):
     job = build.make_job("j", build.make_step(1, gpu=8), advised=advised)
-    book = build.make_book(job, workers=("w0",))
+    book = build.make_pool_state(job, workers=("w0",))
     step = work.StepKey("j", 0, 0)
     book.find_tracked_step(step).permits.note_answer(("w0",), {"w0": "t"}, 1.2)
     held = reservations.Reservations()
@@ -30,7 +30,7 @@
 )
 def test_reservation_outlasts_the_stops_that_are_seen(seen_s, now, kept):
     job = build.make_job("j", build.make_step(1, gpu=8))
-    book = build.make_book(job, workers=("w0",))
+    book = build.make_pool_state(job, workers=("w0",))
     for _ in range(60):
         book.stop_durations.note(seen_s)
     book.workers["w0"].used = work.Room(0, 0, 8)
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -44,7 +44,7 @@
     return dataclasses.replace(entry, **overrides)
 
 
-def make_book(*jobs, workers=("w0", "w1"), racks=None, guaranteed=None):
+def make_pool_state(*jobs, workers=("w0", "w1"), racks=None, guaranteed=None):
     """Return a pool state whose workers have all answered."""
     pool_state = work.PoolState(epoch=1)
     pool_state.guaranteed = guaranteed or {}
--- a/crocusrouter/work/tests/test_advice.py
+++ b/crocusrouter/work/tests/test_advice.py
@@ -9,7 +9,7 @@
 
 def _make_book(step, workers=("w0", "w1", "w2", "w3"), **changes):
     job = build.make_job("j", step, advised=True, **changes)
-    return build.make_book(job, workers=workers)
+    return build.make_pool_state(job, workers=workers)
 
 
 def _record_answer(pool_state, tickets, asked, valid_until=3.0):
--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_book.py
@@ -24,7 +24,7 @@
     ],
 )
 def test_ends_decide_the_final_state(steps, ends, state):
-    pool_state = build.make_book(build.make_job("j", *steps))
+    pool_state = build.make_pool_state(build.make_job("j", *steps))
     build.apply_plan(pool_state)
     for index, how in enumerate(ends):
         run = pool_state.runs[_key("j", index)]
@@ -38,7 +38,7 @@
     Otherwise a caller may read "done", and "running" later: the owner is
     killed, and the new owner has not read the last end.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
     build.apply_report(pool_state, run.worker_id, (_key("j"), HOW.DONE))
@@ -55,10 +55,10 @@
     Failures are kept by the number of the run, so this one counts once.
     """
     job = build.make_job("j", build.make_step(), max_attempts=2)
-    pool_state = build.make_book(job, workers=("w0",))
+    pool_state = build.make_pool_state(job, workers=("w0",))
     progress = work.Progress()
     progress.get(0, 0).failed_runs[0] = [7]
-    successor = build.make_book(workers=("w0",))
+    successor = build.make_pool_state(workers=("w0",))
     successor.put_job(
         job, work.parse_progress(work.dump_progress(progress)), 2, 0.0
     )
@@ -70,7 +70,7 @@
 
 
 def test_job_fails_after_its_last_attempt():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2), max_attempts=2)
     )
     for now in (0.0, 10.0):
@@ -90,7 +90,7 @@
     After a member's worker is lost, the others are stopped, and none starts
     again before all have ended.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2, gpu=8, gang=True))
     )
     build.apply_plan(pool_state)
@@ -116,7 +116,7 @@
     This happens if a previous owner confirmed the end of the run and died. Only
     a report that was requested after the start was confirmed proves it.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step()), workers=("w0",)
     )
     build.apply_plan(pool_state, confirm=confirmed)
@@ -128,7 +128,7 @@
     """After a takeover a task must neither start twice nor run unwanted."""
     job = build.make_job("j", build.make_step(2))
     cancelled_job = build.make_job("x", build.make_step(1), cancelled=True)
-    pool_state = build.make_book(job, cancelled_job)
+    pool_state = build.make_pool_state(job, cancelled_job)
     running = (
         orders.ReportedRun(_key("j"), 5),
         orders.ReportedRun(_key("x"), 6),
@@ -140,7 +140,7 @@
 
 
 def test_task_of_a_rejected_start_waits_and_starts_on_another_worker():
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
     pool_state.note_never_started(_key("j"), run.number, "no-room", 0.0)
@@ -151,7 +151,7 @@
 
 def test_cancelled_job_stops_and_starts_nothing():
     job = build.make_job("j", build.make_step(2))
-    pool_state = build.make_book(job)
+    pool_state = build.make_pool_state(job)
     build.apply_plan(pool_state)
     cancelled_job = build.make_job("j", build.make_step(2), cancelled=True)
     pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
@@ -170,7 +170,7 @@
         first_due=build.WALL + 10,
         interval_s=5.0,
     )
-    pool_state = build.make_book(job)
+    pool_state = build.make_pool_state(job)
     assert pool_state.find_next_due() == build.WALL + 10
     for wall, opened in ((9.9, 0), (10.0, 1), (14.9, 1), (21.0, 3)):
         pool_state.open_due_occurrences(build.WALL + wall, wall)
@@ -178,7 +178,7 @@
 
 
 def test_pending_counts_jobs_that_have_not_started():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step()),
         build.make_job("k", build.make_step(1, gpu=99)),
     )
@@ -191,7 +191,7 @@
 )
 def test_failures_of_different_jobs_make_the_worker_suspect(jobs, suspected):
     """Jobs must not use up their attempts on a worker that fails all tasks."""
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2), max_attempts=9),
         build.make_job("k", build.make_step(2), max_attempts=9),
         workers=("w0",),
@@ -210,7 +210,7 @@
     Workers report before its first decision, when no occurrence is open yet.
     Such a report opens the occurrence.
     """
-    pool_state = build.make_book()
+    pool_state = build.make_pool_state()
     job = build.make_job(
         "j",
         build.make_step(1),
@@ -235,7 +235,7 @@
     The task would then be unknown, and would keep running until its lease ends.
     """
     job = build.make_job("j", build.make_step(1))
-    pool_state = build.make_book(job)
+    pool_state = build.make_pool_state(job)
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
     cancelled_job = build.make_job("j", build.make_step(1), cancelled=True)
@@ -253,7 +253,7 @@
 
     Without these lines, a task that starts again and again can't be explained.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step(2)))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step(2)))
     build.apply_plan(pool_state, now=1.0)
     worker_id = pool_state.runs[_key("j")].worker_id
     pool_state.note_silent(worker_id, 1.25)
@@ -274,7 +274,7 @@
     A run of a cancelled job, found after a takeover, still takes room there.
     """
     cancelled_job = build.make_job("c", build.make_step(), cancelled=True)
-    pool_state = build.make_book(cancelled_job, workers=("w0",))
+    pool_state = build.make_pool_state(cancelled_job, workers=("w0",))
     build.add_job(pool_state, build.make_job("j", build.make_step(gpu=8)))
     stray = orders.ReportedRun(_key("c"), 7)
     build.apply_report(pool_state, "w0", running=(stray,))
@@ -290,7 +290,7 @@
     ("gpu", "over"), [(8, False), (4, True)], ids=["whole", "shrunk"]
 )
 def test_worker_whose_room_has_shrunk_below_its_runs(gpu, over):
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(gpu=6)), workers=("w0",)
     )
     build.apply_plan(pool_state)
@@ -316,7 +316,7 @@
     )
     progress = work.Progress()
     progress.get(1, 0).done.add(0)
-    pool_state = build.make_book(workers=("w0",))
+    pool_state = build.make_pool_state(workers=("w0",))
     pool_state.put_job(job, progress, 2, 0.0)
     end = orders.RunEnd(1, _key("j"), 7, HOW.DONE)
     work.apply_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -63,7 +63,9 @@
     Otherwise a caller reads "running" while one worker after the other is lost
     under the job, also if each stays away for longer than a lease.
     """
-    pool_state = build.make_book(build.make_job("j", step), workers=_WORKERS)
+    pool_state = build.make_pool_state(
+        build.make_job("j", step), workers=_WORKERS
+    )
     now, crash_count = 0.0, 0
     while not pool_state.jobs["j"].is_final and crash_count < len(_WORKERS):
         build.apply_plan(pool_state, now)
@@ -80,7 +82,7 @@
 
     The run was never confirmed then.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
     pool_state.note_maybe_started(run.key, run.number)
@@ -96,7 +98,7 @@
 def test_end_that_is_no_crash_is_not_counted(
     sealed, was_evacuated, maybe_begun
 ):
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
     worker = pool_state.workers[run.worker_id]
@@ -109,7 +111,7 @@
 
 def test_worker_that_was_only_cut_off_withdraws_the_crash():
     """A worker may fall silent right after a start and report the run later."""
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
     work.note_silent(pool_state, run.worker_id, 0.5)
@@ -124,7 +126,7 @@
     Nobody else knew what was running on the worker, so the task would have one
     crash fewer.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
     work.note_silent(pool_state, run.worker_id, 0.1)
@@ -132,7 +134,7 @@
     progress = progresses.parse_progress(
         progresses.dump_progress(pool_state.jobs["j"].progress)
     )
-    new_owner = build.make_book(workers=_WORKERS)
+    new_owner = build.make_pool_state(workers=_WORKERS)
     new_owner.put_job(pool_state.jobs["j"].job, progress, 2, 2.0)
     new_owner.open_due_occurrences(build.WALL, 2.0)
     build.apply_plan(new_owner, 2.0)
@@ -165,7 +167,7 @@
     Otherwise an owner that is lost right after that start leaves no record of
     the crash to the next owner.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     now = _crash(pool_state, pool_state.runs[_key("j")].worker_id, 0.1)
     assert build.apply_plan(pool_state, now).placements == []
@@ -180,7 +182,7 @@
     both have two crashes. Each gets a worker of its own for its next start, so
     that the second crash counts against only one of them.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("bad", build.make_step(gpu=2)),
         build.make_job("good", build.make_step(gpu=2)),
         workers=("w0",),
@@ -208,7 +210,7 @@
 
 
 def test_long_runs_are_not_suspected_beside_one_that_has_just_started():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("old", build.make_step(gpu=2)), workers=("w0", "w1")
     )
     build.apply_plan(pool_state)
@@ -234,7 +236,7 @@
 
     Each time it does, other tasks have run there for as long.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step()), workers=_WORKERS
     )
     now, crash_count = 0.0, 0
@@ -249,7 +251,7 @@
 
 
 def test_run_that_has_worked_for_long_is_cleared():
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     tracked_step = pool_state.find_tracked_step(_key("j"))
     tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
@@ -268,7 +270,7 @@
     The first tasks of a step crashed one worker each, and so did the second
     ones: 20 workers of 24.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(4)), workers=_WORKERS
     )
     tracked_step = pool_state.find_tracked_step(_key("j"))
@@ -287,7 +289,7 @@
     Under load, tasks start on every worker all the time, and an innocent task
     that was running beside a crash never started again.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("busy", build.make_step()), workers=("w0",)
     )
     build.apply_plan(pool_state)
@@ -312,7 +314,7 @@
         build.make_job(f"s{number}", build.make_step()) for number in range(6)
     ]
     workers = [f"w{number}" for number in range(8)]
-    pool_state = build.make_book(*suspected_jobs, workers=workers)
+    pool_state = build.make_pool_state(*suspected_jobs, workers=workers)
     for job in suspected_jobs:
         tracked_step = pool_state.find_tracked_step(_key(job.id))
         tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
@@ -350,7 +352,7 @@
     progress.get(0, 0).crashes[0] = [
         progresses.Crash(run, early) for run, early in crashes
     ]
-    pool_state = build.make_book()
+    pool_state = build.make_pool_state()
     job = build.make_job("j", build.make_step())
     pool_state.put_job(job, progress, 2, 0.0)
     assert pool_state.jobs["j"].progress.final_state is state
@@ -364,7 +366,9 @@
     step is still running.
     """
     step = build.make_step(2, per_worker=1)
-    pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
+    pool_state = build.make_pool_state(
+        build.make_job("j", step), workers=("w0",)
+    )
     tracked_step = pool_state.find_tracked_step(_key("j"))
     build.apply_plan(pool_state)
     tracked_step.progress.crashes[1] = [progresses.Crash(0, True)]
@@ -383,7 +387,7 @@
         build.make_job(f"k{number}", build.make_step(1, gpu=8))
         for number in range(6)
     ]
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", gang), *others, workers=_WORKERS
     )
     now = 0.0
--- a/crocusrouter/work/tests/test_pacing.py
+++ b/crocusrouter/work/tests/test_pacing.py
@@ -8,7 +8,7 @@
     """Return a pool state with a serving and a filling task on one worker."""
     serving_step = build.make_step(1, lasting=True, target_ms=target_ms)
     filling_step = build.make_step(1, fills=True)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("s", serving_step),
         build.make_job("f", filling_step),
         workers=("w0",),
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -22,7 +22,7 @@
     ],
 )
 def test_small_tasks_leave_whole_workers_free(gpus, free, chosen_worker):
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(1, gpu=gpus))
     )
     for worker_id, count in free.items():
@@ -35,7 +35,7 @@
 
 
 def test_gang_is_placed_whole_or_not_at_all():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(3, gpu=8, gang=True))
     )
     assert work.plan(pool_state, 0.0, build.WALL).placements == []
@@ -45,7 +45,7 @@
 def test_gang_waits_for_one_rack_for_a_while(waited, placed):
     """A gang across racks takes three times as long as one in a rack."""
     step = build.make_step(2, gpu=8, gang=True, one_rack=True)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", step), racks=("r0-0", "r0-1")
     )
     plan = work.plan(pool_state, waited, build.WALL + waited)
@@ -63,7 +63,7 @@
 )
 def test_workers_that_tasks_may_use(overrides, expected):
     step = build.make_step(2, gpu=5, **overrides)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", step), racks=("r0-0", "r0-1")
     )
     plan = work.plan(pool_state, 0.0, build.WALL)
@@ -71,7 +71,7 @@
 
 
 def test_tasks_wait_for_the_steps_before():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2), build.make_step(1, after=(0,)))
     )
     plan = build.apply_plan(pool_state)
@@ -94,7 +94,7 @@
     Runs of lower priority are stopped, and the room is reserved until they have
     ended. Beyond the guarantee, only runs that lose little work are stopped.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("low", build.make_step(16, gpu=1), priority=2),
         guaranteed={"a": guaranteed},
     )
@@ -111,7 +111,7 @@
 
 
 def test_victims_are_the_runs_that_lose_least():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("old", build.make_step(1, gpu=8), priority=2),
         build.make_job("new", build.make_step(1, gpu=8), priority=2),
         guaranteed={"a": 8},
@@ -130,7 +130,7 @@
 
 
 def test_gang_is_stopped_whole():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("g", build.make_step(2, gpu=8, gang=True), priority=2),
         guaranteed={"a": 8},
     )
@@ -149,7 +149,7 @@
     Single accelerators that become free would go to smaller tasks behind it
     again and again. The worker that will have room first is held for it.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("s", build.make_step(1, gpu=1), priority=2),
         workers=("w0",),
     )
@@ -176,7 +176,7 @@
     yet. Until that worker has reported, only jobs start that the previous owner
     cannot have known, or did not list as running there.
     """
-    pool_state = build.make_book()
+    pool_state = build.make_pool_state()
     pool_state.epoch = 50
     build.add_job(
         pool_state, build.make_job("old", build.make_step()), created=40
@@ -194,14 +194,16 @@
 
 
 def test_draining_and_silent_workers_get_nothing():
-    pool_state = build.make_book(build.make_job("j", build.make_step(4, gpu=4)))
+    pool_state = build.make_pool_state(
+        build.make_job("j", build.make_step(4, gpu=4))
+    )
     pool_state.set_worker(build.make_entry("w0", draining=True), 0.0)
     pool_state.note_silent("w1", 0.0)
     assert work.plan(pool_state, 0.0, build.WALL).placements == []
 
 
 def test_stopping_run_keeps_its_room():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(1, gpu=8)), workers=("w0",)
     )
     build.apply_plan(pool_state)
@@ -222,7 +224,7 @@
     """
     low_job = build.make_job("low", build.make_step(2, gpu=8), priority=2)
     gang_step = build.make_step(2, gpu=8, gang=True, one_rack=True)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         low_job, racks=("r0-0", "r0-1"), guaranteed={"a": 16}
     )
     build.apply_plan(pool_state)
@@ -237,7 +239,7 @@
     If each job started just after its latest start, all would end late. Steps
     whose objective is past therefore go last.
     """
-    pool_state = build.make_book(workers=("w0",))
+    pool_state = build.make_pool_state(workers=("w0",))
     build.add_job(
         pool_state,
         build.make_job(
@@ -264,7 +266,7 @@
 )
 def test_runs_that_make_room_for_each_priority(priority, checkpoints, stopped):
     small_step = build.make_step(16, gpu=1, checkpoints=checkpoints)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("small", small_step, priority=3)
     )
     build.apply_plan(pool_state)
@@ -282,7 +284,7 @@
 # enough for both.
 def test_room_that_one_step_frees_serves_the_next_step_too():
     large = build.make_step(1, gpu=8)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("l0", large, priority=2),
         build.make_job("l1", large, priority=2),
     )
@@ -318,7 +320,9 @@
     which had to wait for that stop.
     """
     step = build.make_step(1, lasting=lasting)
-    pool_state = build.make_book(build.make_job("j", step, priority=priority))
+    pool_state = build.make_pool_state(
+        build.make_job("j", step, priority=priority)
+    )
     now = 10.0
     if after_s is not None:
         pool_state.note_contention(now - after_s)
@@ -328,7 +332,7 @@
 
 @pytest.mark.parametrize(("priority", "contended"), [(0, True), (1, False)])
 def test_plan_reports_that_the_first_priority_stops_others(priority, contended):
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("low", build.make_step(2, checkpoints=True), priority=2)
     )
     build.apply_plan(pool_state)
--- a/crocusrouter/work/tests/test_racks.py
+++ b/crocusrouter/work/tests/test_racks.py
@@ -24,12 +24,12 @@
     ],
 )
 def test_steps_that_fit_into_an_empty_rack(step, fits):
-    pool_state = build.make_book(workers=_WORKERS, racks=_RACKS)
+    pool_state = build.make_pool_state(workers=_WORKERS, racks=_RACKS)
     assert racks.Racks(pool_state).can_hold(step) is fits
 
 
 def test_workers_that_leave_are_not_counted():
-    pool_state = build.make_book(workers=_WORKERS, racks=_RACKS)
+    pool_state = build.make_pool_state(workers=_WORKERS, racks=_RACKS)
     entry = pool_state.workers["w0"].entry
     pool_state.set_worker(dataclasses.replace(entry, draining=True), 1.0)
     assert not racks.Racks(pool_state).can_hold(
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize(("tasks", "crowded"), [(1, False), (2, True)])
 def test_pool_is_crowded_when_more_than_half_is_in_use(tasks, crowded):
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(tasks, gpu=8)),
         workers=_WORKERS,
         racks=_RACKS,
@@ -81,7 +81,7 @@
         ["w0", "w2", "w4"],
         ["w6", "w7", "w8", "w9"],
     )
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("half", build.make_step(3, gpu=8)),
         build.make_job("rest", build.make_step(4, gpu=8)),
         workers=worker_ids,
--- a/crocusrouter/work/tests/test_rescue.py
+++ b/crocusrouter/work/tests/test_rescue.py
@@ -28,7 +28,7 @@
 
     It would start elsewhere only after the worker is gone.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(1, **overrides))
     )
     build.apply_plan(pool_state)
@@ -63,7 +63,7 @@
     """
     step = build.make_step(1, **({"expected_s": 8.0} | overrides))
     job = build.make_job("j", step, slack=slack)
-    pool_state = build.make_book(job, workers=("w0",))
+    pool_state = build.make_pool_state(job, workers=("w0",))
     build.apply_plan(pool_state)
     run = _find_run(pool_state)
     run.progressed_at = ran_s
@@ -77,7 +77,7 @@
 
 
 def test_gang_of_a_stalled_member_is_stopped_whole():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2, gpu=8, gang=True))
     )
     build.apply_plan(pool_state)
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -15,7 +15,7 @@
 
 def _restart(step, late_tasks=()):
     """Return the pool state of a job whose worker has restarted."""
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", step), workers=(_OLD_WORKER,)
     )
     build.apply_plan(pool_state)
@@ -89,7 +89,7 @@
 def test_gang_with_a_member_that_may_start_late_is_stopped():
     """The other members would work for a member that is to be stopped."""
     step = build.make_step(2, gang=True, gpu=8)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", step),
         workers=(_OLD_WORKER, "w1@5"),
         racks=("r0", "r0"),
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("known", [False, True])
 def test_next_incarnation_takes_work_once_it_is_listed(known):
     """A worker that drained and restarted must get tasks again."""
-    pool_state = build.make_book(workers=(_OLD_WORKER,))
+    pool_state = build.make_pool_state(workers=(_OLD_WORKER,))
     pool_state.set_worker(build.make_entry(_OLD_WORKER, draining=True), 0.0)
     if known:
         work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
@@ -137,7 +137,7 @@
 
 
 def test_incarnations_are_found_by_the_platforms_worker_ids():
-    pool_state = build.make_book(workers=("w0@5", "w1@5", "w2"))
+    pool_state = build.make_pool_state(workers=("w0@5", "w1@5", "w2"))
     pool_state.unlist_worker("w0@5")
     pool_state.set_worker(build.make_entry("w0@7"), 1.0)
     assert work.map_incarnations(pool_state) == {
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -17,7 +17,7 @@
 
 
 def _make_book(*jobs):
-    return build.make_book(*jobs, workers=("w0", "w1", "w2"))
+    return build.make_pool_state(*jobs, workers=("w0", "w1", "w2"))
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,9 @@
 )
 def test_lasting_tasks_are_stopped_one_by_one(percents, may_miss, stopped):
     step = build.make_step(4, gpu=2, lasting=True, may_miss=may_miss)
-    pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
+    pool_state = build.make_pool_state(
+        build.make_job("j", step), workers=("w0",)
+    )
     build.apply_plan(pool_state)
     for run, percent in zip(pool_state.runs.values(), percents, strict=True):
         run.percent = percent
