--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -59,7 +59,7 @@
 
 def add_job(pool_state, job, created=99, now=0.0, wall=WALL):
     pool_state.put_job(job, work.Progress(), created, now)
-    pool_state.open_due(wall, now)
+    pool_state.open_due_occurrences(wall, now)
 
 
 def apply_plan(pool_state, now=0.0, wall=WALL, confirm=True, **options):
