--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -72,7 +72,7 @@
         + 1
     )
     for placement in plan.placements:
-        tracked_step = pool_state.find_work(placement.step)
+        tracked_step = pool_state.find_tracked_step(placement.step)
         for index, worker_id in placement.spots.items():
             key = work.TaskKey(*placement.step, index)
             pool_state.add_run(
