--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -79,7 +79,7 @@
                 key, next_number, worker_id, now, alone=placement.is_trial
             )
             if confirm:
-                pool_state.note_taken(key, next_number, now)
+                pool_state.note_started(key, next_number, now)
             if not tracked_step.step.gang:
                 next_number += 1
         next_number += 1
