--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -76,7 +76,7 @@
         for index, worker_id in placement.spots.items():
             key = work.TaskKey(*placement.step, index)
             pool_state.add_run(
-                key, next_number, worker_id, now, alone=placement.is_trial
+                key, next_number, worker_id, now, is_trial=placement.is_trial
             )
             if confirm:
                 pool_state.note_started(key, next_number, now)
