--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -102,7 +102,10 @@
     worker = pool_state.workers[worker_id]
     ended = tuple(
         orders.RunEnd(
-            worker.noted + offset + 1, key, pool_state.runs[key].number, how
+            worker.last_end_number + offset + 1,
+            key,
+            pool_state.runs[key].number,
+            how,
         )
         for offset, (key, how) in enumerate(ends)
     )
