--- a/crocusrouter/work/tests/test_advice.py
+++ b/crocusrouter/work/tests/test_advice.py
@@ -13,7 +13,7 @@
 
 
 def _record_answer(pool_state, tickets, asked, valid_until=3.0):
-    pool_state.find_work(_STEP_KEY).permits.note_answer(
+    pool_state.find_tracked_step(_STEP_KEY).permits.note_answer(
         asked, tickets, valid_until
     )
 
