--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -31,7 +31,9 @@
 
 
 def _list_crashes(pool_state, key):
-    return pool_state.find_tracked_step(key).kept.crashes.get(key.position, [])
+    return pool_state.find_tracked_step(key).progress.crashes.get(
+        key.position, []
+    )
 
 
 def _journal_crashes(pool_state):
