--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -37,7 +37,7 @@
 
 
 def _journal_crashes(pool_state):
-    pool_state.note_crashes_kept(list(pool_state.jobs))
+    pool_state.note_crashes_journaled(list(pool_state.jobs))
     pool_state.dirty.clear()
 
 
