--- a/crocusrouter/work/tests/test_racks.py
+++ b/crocusrouter/work/tests/test_racks.py
@@ -54,7 +54,7 @@
         key = work.TaskKey(job, 0, 0, index)
         number = len(pool_state.runs) + 1
         pool_state.add_run(key, number, worker_id, 0.0)
-        pool_state.note_taken(key, number, 0.0)
+        pool_state.note_started(key, number, 0.0)
 
 
 @pytest.mark.parametrize(
