--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -62,7 +62,7 @@
         return False
     book = owner.owned[clusters.POOL].book
     found = book.workers.get(work.map_incarnations(book).get("w1", ""))
-    return found is not None and found.sealed
+    return found is not None and found.was_draining
 
 
 def _configure(held):
