--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -369,7 +369,7 @@
             number: Number of the start.
             worker_id: Worker that runs it.
             now: Steady time in seconds.
-            alone: Whether the worker takes no other task for a while.
+            is_trial: Whether the worker takes no other task for a while.
         """
         run = runs.Run(key, number, worker_id, now, progressed_at=now)
         tracked_step = self.find_tracked_step(key)
