--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/book.py
@@ -290,7 +290,7 @@
 
         Args:
             tracked_job: The job.
-            blocked_jobs: The result of `list_blocked`.
+            blocked_jobs: The result of `list_blocked_jobs`.
         """
         if tracked_job.parked:
             return False
