--- a/crocusrouter/work/model.py
+++ b/crocusrouter/work/model.py
@@ -174,7 +174,7 @@
 
     @functools.cached_property
     def critical_paths_s(self) -> tuple[float, ...]:
-        """Result of `measure_tails`.
+        """Result of `measure_critical_paths`.
 
         It is cached, since each decision needs it.
         """
@@ -241,7 +241,7 @@
     """Return the length of the critical path from each step's start.
 
     >>> one = Step(1, Room(), 2.0)
-    >>> measure_tails((one, Step(1, Room(), 3.0, after=(0,))))
+    >>> measure_critical_paths((one, Step(1, Room(), 3.0, after=(0,))))
     (5.0, 3.0)
 
     Returns:
