--- a/crocusrouter/work/policy.py
+++ b/crocusrouter/work/policy.py
@@ -52,7 +52,7 @@
     def find_loss_factor(self, priority: int) -> float:
         """Return the loss factor of a priority; 0 if it may stop nothing.
 
-        >>> Policy().find_loss_factor(2)
+        >>> PlannerPolicy().find_loss_factor(2)
         0.0
         """
         if priority == 0:
