--- a/crocusrouter/work/policy.py
+++ b/crocusrouter/work/policy.py
@@ -21,7 +21,7 @@
         guaranteed_rack_patience_s: Limit of that wait in seconds for guaranteed
             work, which must have started 2.7 s after its acceptance, including
             the time for stops.
-        most_holding: Maximum number of unplaced steps that hold workers.
+        max_holding_steps: Maximum number of unplaced steps that hold workers.
         late_factor: A result has no value after this multiple of the objective;
             later work goes last.
         loss_factor: Work of the first priority beyond its guarantee may destroy
