--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -80,7 +80,7 @@
 
     Attributes:
         steps: Progress by occurrence and index of the step.
-        final: Final state of the job; None while it has none.
+        final_state: Final state of the job; None while it has none.
         finished_at: Unix time in seconds at which the job ended.
     """
 
@@ -107,8 +107,8 @@
 def dump_progress(progress: Progress) -> bytes:
     """Encode progress for the store.
 
-    >>> done = Progress(final=model.State.DONE)
-    >>> parse_progress(dump_progress(done)).final
+    >>> done = Progress(final_state=model.State.DONE)
+    >>> parse_progress(dump_progress(done)).final_state
     <State.DONE: 'done'>
     """
     steps = (
