--- a/crocusrouter/work/stopping.py
+++ b/crocusrouter/work/stopping.py
@@ -22,7 +22,7 @@
     Attributes:
         expected_s: Duration that stops rarely exceed.
 
-    >>> times = StopTimes()
+    >>> times = StopDurations()
     >>> times.note(0.9)
     >>> times.note(0.4)
     >>> round(times.expected_s, 2)
