--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -27,7 +27,7 @@
     """Progress of a wave; all owners share it in the store.
 
     Attributes:
-        begun: VMs that are being emptied or whose order has no answer yet,
+        started: VMs that are being emptied or whose order has no answer yet,
             with the worker that was there.
         down: VMs whose order was answered, with the worker that was there.
         done: VMs that are back or have been removed.
@@ -49,7 +49,7 @@
 def dump_record(record: WaveRecord) -> bytes:
     """Encode a record for the store.
 
-    >>> parse_record(dump_record(WaveRecord({"m": "w"}))).begun
+    >>> parse_record(dump_record(WaveRecord({"m": "w"}))).started
     {'m': 'w'}
     """
     return cbor2.dumps([record.started, record.down, sorted(record.done)])
