--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -126,7 +126,7 @@
     VMs go down in batches of `most_at_once`; each batch has an equal share of
     the wave's time.
 
-    >>> measure_patience(vms.Wave(1, frozenset("abcd"), 40.0, 2))
+    >>> measure_evacuation_s(vms.Wave(1, frozenset("abcd"), 40.0, 2))
     16.0
     """
     batch_count = -(-len(wave.vms) // max(1, wave.most_at_once))
