--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -36,7 +36,7 @@
 
 
 class PlatformConnection:
-    """Implements `work.orders.Connection`."""
+    """Implements `work.worker_port.Connection`."""
 
     def __init__(self, incarnation: str, address: str) -> None:
         worker = incarnations.find_worker(incarnation)
