--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -13,7 +13,7 @@
 
 
 class PlatformPolicy:
-    """Implements `work.orders.PolicyPort`."""
+    """Implements `work.worker_port.PolicyPort`."""
 
     def __init__(self, address: str) -> None:
         self._caller = calls.Caller(address, _CONNECTIONS)
