--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -30,7 +30,7 @@
 
 
 class Connections:
-    """Implements `work.orders.WorkerPort`."""
+    """Implements `work.worker_port.WorkerPort`."""
 
     def __init__(
         self, incarnation: str, open_connection: Callable[[], orders.Connection]
