--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -2,7 +2,6 @@
 
 from crocusrouter.work.advice import PolicyQuestion
 from crocusrouter.work.advice import choose_question
-from crocusrouter.work.book import PoolState
 from crocusrouter.work.crashes import note_lapsed
 from crocusrouter.work.crashes import note_replaced
 from crocusrouter.work.crashes import note_silent
@@ -18,6 +17,7 @@
 from crocusrouter.work.planner import Plan
 from crocusrouter.work.planner import plan
 from crocusrouter.work.policy import PlannerPolicy
+from crocusrouter.work.pool_state import PoolState
 from crocusrouter.work.progress import Progress
 from crocusrouter.work.progress import dump_progress
 from crocusrouter.work.progress import parse_progress
--- a/crocusrouter/work/advice.py
+++ b/crocusrouter/work/advice.py
@@ -9,8 +9,8 @@
 
 import dataclasses
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import turns
 
 # Maximum number of workers in one question. The service needs time for each of
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -13,9 +13,9 @@
 
 from collections.abc import Iterable
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import orders
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import replacement
 from crocusrouter.work import runs
--- a/crocusrouter/work/pacing.py
+++ b/crocusrouter/work/pacing.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from crocusrouter.work import book as pool_states
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 _MAX_PERCENT = 100
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable
 import dataclasses
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
 from crocusrouter.work import policy as policies
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import racks
 from crocusrouter.work import rescue
 from crocusrouter.work import runs
--- a/crocusrouter/work/racks.py
+++ b/crocusrouter/work/racks.py
@@ -3,9 +3,9 @@
 import collections
 import functools
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 # Share of a pool's accelerators in use. Above it, room that a step holds for
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 import dataclasses
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import orders
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -1,9 +1,9 @@
 """Updates of a pool's state from the reports of its workers."""
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import crashes
 from crocusrouter.work import model
 from crocusrouter.work import orders
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 from crocusrouter.work import suspicion
 
--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/rescue.py
@@ -4,8 +4,8 @@
 worker answers. In both cases a new start elsewhere would finish much earlier.
 """
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 from crocusrouter.work import victims
 
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -6,9 +6,9 @@
 everything that runs there.
 """
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 # Under load there may be no quiet worker for long. After this time any worker
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -6,8 +6,8 @@
 
 import dataclasses
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import policy as policies
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 _DEFAULT = policies.PlannerPolicy()
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -10,8 +10,8 @@
 
 import cbor2
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 from crocusrouter.work import victims
 from crocusrouter.work import vms
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/victims.py
@@ -5,9 +5,9 @@
 import heapq
 from typing import NamedTuple
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
 _NEVER_S = 1e9
