--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -1,7 +1,5 @@
 """Scheduling core: the state of a pool, and the decisions based on it."""
 
-from crocusrouter.work.advice import PolicyQuestion
-from crocusrouter.work.advice import choose_question
 from crocusrouter.work.crashes import note_lapsed
 from crocusrouter.work.crashes import note_replaced
 from crocusrouter.work.crashes import note_silent
@@ -17,6 +15,8 @@
 from crocusrouter.work.planner import Plan
 from crocusrouter.work.planner import plan
 from crocusrouter.work.policy import PlannerPolicy
+from crocusrouter.work.policy_questions import PolicyQuestion
+from crocusrouter.work.policy_questions import choose_question
 from crocusrouter.work.pool_state import PoolState
 from crocusrouter.work.progress import Progress
 from crocusrouter.work.progress import dump_progress
