--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -14,7 +14,7 @@
 from crocusrouter.work.planner import Placement
 from crocusrouter.work.planner import Plan
 from crocusrouter.work.planner import plan
-from crocusrouter.work.policy import PlannerPolicy
+from crocusrouter.work.planner_policy import PlannerPolicy
 from crocusrouter.work.policy_questions import PolicyQuestion
 from crocusrouter.work.policy_questions import choose_question
 from crocusrouter.work.pool_state import PoolState
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -11,7 +11,7 @@
 
 from crocusrouter.work import model
 from crocusrouter.work import packing
-from crocusrouter.work import policy as policies
+from crocusrouter.work import planner_policy as policies
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import racks
 from crocusrouter.work import rescue
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/turns.py
@@ -6,7 +6,7 @@
 
 import dataclasses
 
-from crocusrouter.work import policy as policies
+from crocusrouter.work import planner_policy as policies
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
 
