--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -17,8 +17,8 @@
 from crocusrouter.work import rescue
 from crocusrouter.work import runs
 from crocusrouter.work import trials
-from crocusrouter.work import turns
 from crocusrouter.work import victims
+from crocusrouter.work import waiting_steps
 
 _DEFAULT = policies.PlannerPolicy()
 
@@ -67,7 +67,7 @@
     def __init__(self) -> None:
         self._exhausted: set[tuple[model.Room, str]] = set()
 
-    def note(self, waiting_step: turns.WaitingStep) -> None:
+    def note(self, waiting_step: waiting_steps.WaitingStep) -> None:
         """Record that no worker has room for one task of a step.
 
         Nothing is recorded for a step with restrictions that don't apply to
@@ -80,7 +80,7 @@
             step = waiting_step.tracked_step.step
             self._exhausted.add((step.charge, step.label))
 
-    def is_known(self, waiting_step: turns.WaitingStep) -> bool:
+    def is_known(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether no worker can have room for one task of a step."""
         step = waiting_step.tracked_step.step
         return (step.charge, step.label) in self._exhausted
@@ -139,7 +139,7 @@
         runs_to_stop = rescue.add_gang_members(self._pool_state, relocations)
         self._plan.stops += list(runs_to_stop.values())
         holding_count = 0
-        ordered_steps = turns.list_waiting_steps(
+        ordered_steps = waiting_steps.list_waiting_steps(
             self._pool_state, self._now, self._wall, self._policy
         )
         for waiting_step in ordered_steps:
@@ -154,7 +154,7 @@
             holding_count += 1
         return self._plan
 
-    def _is_held_back(self, waiting_step: turns.WaitingStep) -> bool:
+    def _is_held_back(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step leaves free room to urgent work that may follow.
 
         If the first priority had to stop other work a moment ago, more urgent
@@ -170,7 +170,7 @@
             return False
         return self._now < contended_at + self._policy.hold_back_s
 
-    def _place(self, waiting_step: turns.WaitingStep) -> bool:
+    def _place(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Place as many tasks of a step as possible.
 
         Returns:
@@ -203,7 +203,7 @@
             set(waiting_step.tracked_step.waiting_indices) - set(spots),
         )
 
-    def _place_suspect(self, waiting_step: turns.WaitingStep) -> bool:
+    def _place_suspect(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Start a task or gang that may crash its workers alone on its workers.
 
         It stops no other runs, and holds no room while it waits.
@@ -242,7 +242,7 @@
         return True
 
     def _list_allowed_spaces(
-        self, waiting_step: turns.WaitingStep
+        self, waiting_step: waiting_steps.WaitingStep
     ) -> list[packing.Space]:
         """Return the workers that may run a step.
 
@@ -264,7 +264,7 @@
         return preferred_spaces or allowed_spaces
 
     def _list_fitting_spaces(
-        self, waiting_step: turns.WaitingStep
+        self, waiting_step: waiting_steps.WaitingStep
     ) -> list[packing.Space]:
         """Return the allowed spaces with room for at least one task."""
         charge = waiting_step.tracked_step.step.charge
@@ -286,7 +286,7 @@
         )
 
     def _is_permitted(
-        self, waiting_step: turns.WaitingStep, worker_id: str
+        self, waiting_step: waiting_steps.WaitingStep, worker_id: str
     ) -> bool:
         if not waiting_step.tracked_job.job.advised:
             return True
@@ -295,7 +295,7 @@
         )
 
     def _count_free_slots(
-        self, waiting_step: turns.WaitingStep, space: packing.Space
+        self, waiting_step: waiting_steps.WaitingStep, space: packing.Space
     ) -> int:
         """Return how many more tasks of the step a worker may take."""
         limit = waiting_step.tracked_step.step.per_worker
@@ -314,7 +314,7 @@
         )
 
     def _choose_spaces(
-        self, waiting_step: turns.WaitingStep, count: int
+        self, waiting_step: waiting_steps.WaitingStep, count: int
     ) -> list[packing.Space]:
         """Return a space for each task that fits, the tightest fit first."""
         step = waiting_step.tracked_step.step
@@ -339,7 +339,7 @@
             )
         return chosen
 
-    def _may_leave_rack(self, waiting_step: turns.WaitingStep) -> bool:
+    def _may_leave_rack(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step has waited long enough for its rack."""
         waiting_since = waiting_step.tracked_step.waiting_since
         waited_s = (
@@ -356,7 +356,7 @@
             )
         return waited_s >= patience_s
 
-    def _place_gang(self, waiting_step: turns.WaitingStep) -> bool:
+    def _place_gang(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         spaces = self._choose_gang(
             waiting_step, self._list_fitting_spaces(waiting_step)
         )
@@ -380,7 +380,7 @@
 
     def _choose_gang(
         self,
-        waiting_step: turns.WaitingStep,
+        waiting_step: waiting_steps.WaitingStep,
         spaces: list[packing.Space],
     ) -> list[packing.Space] | None:
         """Return a space for each gang member; None if they don't all fit."""
@@ -404,7 +404,7 @@
 
     # Guarantees and victims.
 
-    def _is_guaranteed(self, waiting_step: turns.WaitingStep) -> bool:
+    def _is_guaranteed(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step is covered by its customer's guarantee."""
         job = waiting_step.tracked_job.job
         if job.priority != 0:
@@ -416,7 +416,7 @@
         return used + needed <= self._pool_state.guaranteed.get(job.customer, 0)
 
     def _preempt(
-        self, waiting_step: turns.WaitingStep, missing_indices: set[int]
+        self, waiting_step: waiting_steps.WaitingStep, missing_indices: set[int]
     ) -> bool:
         """Stop runs of lower priority to make room for the missing tasks.
 
@@ -465,7 +465,7 @@
             self._spaces[worker].take(step.charge)
         return True
 
-    def _hold_workers(self, waiting_step: turns.WaitingStep) -> None:
+    def _hold_workers(self, waiting_step: waiting_steps.WaitingStep) -> None:
         """Keep later steps off the workers that will fit this step first."""
         step = waiting_step.tracked_step.step
         task_count = len(waiting_step.tracked_step.waiting_indices)
--- a/crocusrouter/work/policy_questions.py
+++ b/crocusrouter/work/policy_questions.py
@@ -11,7 +11,7 @@
 
 from crocusrouter.work import model
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import turns
+from crocusrouter.work import waiting_steps
 
 # Maximum number of workers in one question. The service needs time for each of
 # them, and a job's objective leaves time for a question about some thirty.
@@ -47,7 +47,7 @@
         now: Steady time in seconds.
         wall: Unix time in seconds.
     """
-    for waiting_step in turns.list_waiting_steps(pool_state, now, wall):
+    for waiting_step in waiting_steps.list_waiting_steps(pool_state, now, wall):
         if not waiting_step.tracked_job.job.advised:
             continue
         worker_ids = _choose_workers(pool_state, waiting_step, now)
@@ -58,7 +58,7 @@
 
 def _choose_workers(
     pool_state: pool_states.PoolState,
-    waiting_step: turns.WaitingStep,
+    waiting_step: waiting_steps.WaitingStep,
     now: float,
 ) -> tuple[str, ...]:
     step = waiting_step.tracked_step.step
