--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -14,7 +14,7 @@
 from crocusrouter.work import planner_policy as policies
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import racks
-from crocusrouter.work import rescue
+from crocusrouter.work import relocation
 from crocusrouter.work import runs
 from crocusrouter.work import trials
 from crocusrouter.work import victims
@@ -102,7 +102,7 @@
         self._now = now
         self._wall = wall
         self._plan = Plan()
-        self._stalled_runs = rescue.list_stalled(pool_state, now)
+        self._stalled_runs = relocation.list_stalled(pool_state, now)
         stalled_workers = {run.worker_id for run in self._stalled_runs}
         self._spaces = {
             name: packing.Space(
@@ -133,10 +133,12 @@
 
     def run(self) -> Plan:
         """Choose the runs to relocate, then place all steps in order."""
-        relocations = rescue.list_relocations(
+        relocations = relocation.list_relocations(
             self._pool_state, self._stalled_runs, self._now, self._wall
         )
-        runs_to_stop = rescue.add_gang_members(self._pool_state, relocations)
+        runs_to_stop = relocation.add_gang_members(
+            self._pool_state, relocations
+        )
         self._plan.stops += list(runs_to_stop.values())
         holding_count = 0
         ordered_steps = waiting_steps.list_waiting_steps(
