--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -5,7 +5,7 @@
 from crocusrouter.work import orders
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import runs
-from crocusrouter.work import suspicion
+from crocusrouter.work import worker_failures
 
 # These ends are caused by the task itself and leave its worker running.
 _ENDS_BY_TASK = frozenset({orders.RunOutcome.DONE, orders.RunOutcome.FAILED})
@@ -218,7 +218,7 @@
     now: float,
 ) -> None:
     """Record that a task has succeeded."""
-    suspicion.note_success(pool_state.workers.get(worker_id))
+    worker_failures.note_success(pool_state.workers.get(worker_id))
     if tracked_step.step.lasting:
         # A lasting task runs again until its job is cancelled, however it ends.
         tracked_step.waiting_indices.add(key.position)
@@ -248,7 +248,7 @@
     now: float,
 ) -> None:
     """Record that a task has failed; fail its job after the last attempt."""
-    suspicion.note_failure(
+    worker_failures.note_failure(
         pool_state.workers.get(worker_id),
         tracked_job.job.id,
         now,
