--- a/crocusrouter/work/pool_state.py
+++ b/crocusrouter/work/pool_state.py
@@ -12,7 +12,7 @@
 from crocusrouter.work import orders
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import runs
-from crocusrouter.work import stopping
+from crocusrouter.work import stop_durations
 
 # Pause before a failed task starts again, so that a task which fails at once
 # does not use up its attempts during a short disturbance of the workers.
@@ -47,7 +47,7 @@
         self.dirty: set[str] = set()
         self.outbox: list[WorkerStop] = []
         self.guaranteed: dict[str, int] = {}
-        self.stop_durations = stopping.StopDurations()
+        self.stop_durations = stop_durations.StopDurations()
         self.contended_at: float | None = None
         self.events: collections.deque[tuple[str, dict[str, object]]] = (
             collections.deque(maxlen=2000)
