--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -13,11 +13,11 @@
 from crocusrouter.work import packing
 from crocusrouter.work import planner_policy as policies
 from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
 from crocusrouter.work import racks
 from crocusrouter.work import relocation
 from crocusrouter.work import runs
 from crocusrouter.work import trials
-from crocusrouter.work import victims
 from crocusrouter.work import waiting_steps
 
 _DEFAULT = policies.PlannerPolicy()
@@ -115,9 +115,9 @@
         self._held_workers: set[str] = set()
         self._trial_workers = trials.list_trial_workers(pool_state, now)
         self._exhausted_rooms = _ExhaustedRooms()
-        self._free_times = victims.FreeTimes(pool_state, now)
-        self._losses = victims.Losses(pool_state, now)
-        self._guaranteed_used = victims.count_guaranteed(pool_state)
+        self._free_times = preemption.FreeTimes(pool_state, now)
+        self._losses = preemption.Losses(pool_state, now)
+        self._guaranteed_used = preemption.count_guaranteed(pool_state)
         self._reservations = dict(reserved)
         for key, spots in self._reservations.items():
             self._take_reserved(key, spots)
@@ -433,7 +433,7 @@
         loss_factor = self._policy.find_loss_factor(job.priority)
         if not loss_factor or waiting_step.hopeless or step.lasting:
             return False
-        preempted = victims.choose_victims(
+        preempted = preemption.choose_victims(
             self._losses,
             job.priority,
             step,
--- a/crocusrouter/work/relocation.py
+++ b/crocusrouter/work/relocation.py
@@ -6,8 +6,8 @@
 
 from crocusrouter.work import model
 from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
 from crocusrouter.work import runs
-from crocusrouter.work import victims
 
 # Workers are polled once a second; two polls without progress are needed to
 # tell a stall from chance.
@@ -96,7 +96,7 @@
     if worker.leaves_at is None:
         return False
     left_s = worker.leaves_at - now
-    if victims.estimate_remaining_s(run, tracked_step, now) <= left_s:
+    if preemption.estimate_remaining_s(run, tracked_step, now) <= left_s:
         return False
     return not tracked_step.step.checkpoints or left_s <= 2 * _RESTART_S
 
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -12,8 +12,8 @@
 
 from crocusrouter.work import model
 from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
 from crocusrouter.work import runs
-from crocusrouter.work import victims
 from crocusrouter.work import vms
 
 # Time from the order until the next worker answers: two seconds of upkeep by
@@ -116,7 +116,7 @@
     total_loss = 0.0
     for run in pool_state.workers[worker_id].runs.values():
         if run.tracked_step is not None:
-            total_loss += victims.measure_loss(run, run.tracked_step, now)
+            total_loss += preemption.measure_loss(run, run.tracked_step, now)
     return total_loss
 
 
@@ -201,7 +201,7 @@
         return stops_left[tracked_step.key] >= 0
     if tracked_step.step.checkpoints:
         return True
-    remaining_s = victims.estimate_remaining_s(run, tracked_step, now)
+    remaining_s = preemption.estimate_remaining_s(run, tracked_step, now)
     return now >= leave_by or now + remaining_s > leave_by
 
 
