--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -13,7 +13,7 @@
 from crocusrouter.work import orders
 from crocusrouter.work import packing
 from crocusrouter.work import replacement
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 _WALL = 1_000_000.0
 _TICK_S = 0.05
@@ -359,7 +359,7 @@
             )
 
     def _find_factor(
-        self, found: runs.TrackedStep, placement: work.Placement
+        self, found: tracking.TrackedStep, placement: work.Placement
     ) -> float:
         racks = {
             label
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -12,7 +12,7 @@
 from crocusrouter.pools import unanswered as unanswered_starts
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 # A look waits this long for an end. Longer looks are fewer, shorter ones
 # show sooner that a worker is silent or a task stands still.
@@ -239,7 +239,7 @@
         return (
             run is not None
             and run.number == order.run
-            and run.phase is runs.Phase.ORDERED
+            and run.phase is tracking.Phase.ORDERED
             and held is not None
             and not held.was_draining
             and run.tracked_step is not None
@@ -272,10 +272,10 @@
         run = self._book.runs.get(order.key)
         if run is None or run.number != order.run:
             return
-        if not maybe_begun and run.phase is runs.Phase.ORDERED:
+        if not maybe_begun and run.phase is tracking.Phase.ORDERED:
             self._reject(order, "unreachable")
             return
-        if run.phase is runs.Phase.ORDERED:
+        if run.phase is tracking.Phase.ORDERED:
             now = self._times.steady()
             self._book.stop_run(run, "its start was not answered", now)
             if run.tracked_step is not None and run.tracked_step.step.gang:
--- a/crocusrouter/pools/listing.py
+++ b/crocusrouter/pools/listing.py
@@ -12,7 +12,7 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 # Workers write every 1.5 s; with this pause their changes share calls.
 _PACE_S = 0.4
@@ -161,6 +161,7 @@
                 for run in held.runs.values()
             ),
             under_way=sum(
-                run.phase is runs.Phase.ORDERED for run in held.runs.values()
+                run.phase is tracking.Phase.ORDERED
+                for run in held.runs.values()
             ),
         )
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -16,7 +16,7 @@
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 _TICK_S = 0.25
 
@@ -40,7 +40,7 @@
         """Read what the owner before wrote; raises StoreUnavailableError."""
         self._found = await self._store.read(self._key)
 
-    def list_unlisted(self, now: float) -> list[runs.Worker]:
+    def list_unlisted(self, now: float) -> list[tracking.Worker]:
         """Put the workers into the book that the platform lists no more.
 
         Returns:
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -10,7 +10,7 @@
 from crocusrouter.pools import links
 from crocusrouter.pools import unanswered
 from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work.tests import build
 
 _WORKER = "w0"
@@ -198,4 +198,4 @@
     book.add_run(other, 7, "w1", 0.0)
     book.note_started(other, 7, 0.0)
     await link.start(orders.Start(member, 7, "", ""))
-    assert book.runs[other].phase is runs.Phase.STOPPING
+    assert book.runs[other].phase is tracking.Phase.STOPPING
--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -24,7 +24,7 @@
 from crocusrouter.work.replacement import add_successor
 from crocusrouter.work.replacement import map_incarnations
 from crocusrouter.work.reports import apply_report
-from crocusrouter.work.runs import TrackedJob
+from crocusrouter.work.tracking import TrackedJob
 
 __all__ = [
     "FINAL",
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -18,7 +18,7 @@
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import replacement
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 # A run that has worked for this long did not cause a crash of its worker.
 _CLEARED_AFTER_S = 60.0
@@ -109,8 +109,8 @@
 
 def _log_crash(
     pool_state: pool_states.PoolState,
-    worker: runs.Worker,
-    suspected_runs: list[runs.Run],
+    worker: tracking.Worker,
+    suspected_runs: list[tracking.Run],
 ) -> None:
     if not suspected_runs:
         return
@@ -150,7 +150,9 @@
 
 
 def clear_working_run(
-    pool_state: pool_states.PoolState, run: runs.Run, worker: runs.Worker
+    pool_state: pool_states.PoolState,
+    run: tracking.Run,
+    worker: tracking.Worker,
 ) -> None:
     """Clear a step of suspicion once one of its tasks is seen to work.
 
@@ -180,7 +182,7 @@
 
 def clear_working_step(
     pool_state: pool_states.PoolState,
-    tracked_step: runs.TrackedStep,
+    tracked_step: tracking.TrackedStep,
     index: int,
 ) -> None:
     """Stop counting crashes of a step as early once one of its tasks works.
@@ -202,22 +204,22 @@
             pool_state.dirty.add(tracked_step.key.job)
 
 
-def _measure_work_time(run: runs.Run, worker: runs.Worker) -> float:
+def _measure_work_time(run: tracking.Run, worker: tracking.Worker) -> float:
     """Return for how many seconds a run was certainly seen to work."""
     if run.confirmed_at is None or worker.last_report_at is None:
         return 0.0
     return max(0.0, worker.last_report_at - run.confirmed_at)
 
 
-def _is_early(run: runs.Run, worker: runs.Worker) -> bool:
-    return _measure_work_time(run, worker) < runs.TRIAL_S
+def _is_early(run: tracking.Run, worker: tracking.Worker) -> bool:
+    return _measure_work_time(run, worker) < tracking.TRIAL_S
 
 
 def _list_suspected_runs(
     pool_state: pool_states.PoolState,
-    worker: runs.Worker,
-    lost_runs: list[runs.Run],
-) -> list[runs.Run]:
+    worker: tracking.Worker,
+    lost_runs: list[tracking.Run],
+) -> list[tracking.Run]:
     """Return the runs that may have crashed a worker.
 
     There are none if the worker was draining or emptied for upkeep.
@@ -227,7 +229,9 @@
     return [run for run in lost_runs if _may_have_crashed_worker(run, worker)]
 
 
-def _may_have_crashed_worker(run: runs.Run, worker: runs.Worker) -> bool:
+def _may_have_crashed_worker(
+    run: tracking.Run, worker: tracking.Worker
+) -> bool:
     """Tell whether a run may have started, and not long ago."""
     may_have_started = run.maybe_started or run.confirmed_at is not None
     return (
@@ -238,7 +242,9 @@
 
 
 def _fail_crashing_tasks(
-    pool_state: pool_states.PoolState, crashed_runs: list[runs.Run], now: float
+    pool_state: pool_states.PoolState,
+    crashed_runs: list[tracking.Run],
+    now: float,
 ) -> None:
     """Fail the jobs of tasks under which too many workers have crashed."""
     for run in crashed_runs:
@@ -248,7 +254,9 @@
 
 
 def _record_crash(
-    pool_state: pool_states.PoolState, run: runs.Run, worker: runs.Worker
+    pool_state: pool_states.PoolState,
+    run: tracking.Run,
+    worker: tracking.Worker,
 ) -> None:
     if run.tracked_step is None or run.key.job not in pool_state.live_jobs:
         return
@@ -262,13 +270,13 @@
         pool_state.jobs[run.key.job].has_unsaved_crash = True
 
 
-def _list_crashes(run: runs.Run) -> list[progresses.Crash]:
+def _list_crashes(run: tracking.Run) -> list[progresses.Crash]:
     assert run.tracked_step is not None
     return run.tracked_step.progress.crashes.get(run.key.position, [])
 
 
 def _fail_job(
-    pool_state: pool_states.PoolState, run: runs.Run, now: float
+    pool_state: pool_states.PoolState, run: tracking.Run, now: float
 ) -> None:
     tracked_job = pool_state.jobs.get(run.key.job)
     if tracked_job is None or tracked_job.is_final:
--- a/crocusrouter/work/pacing.py
+++ b/crocusrouter/work/pacing.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 _MAX_PERCENT = 100
 # Pressure is a tail latency as a share of its limit. A latency over its limit
@@ -35,7 +35,7 @@
         percent: 0 to 100.
     """
 
-    run: runs.Run
+    run: tracking.Run
     percent: int
 
 
@@ -59,14 +59,14 @@
 
 
 def _read_worker(
-    pool_state: pool_states.PoolState, worker: runs.Worker
-) -> tuple[list[runs.Run], float]:
+    pool_state: pool_states.PoolState, worker: tracking.Worker
+) -> tuple[list[tracking.Run], float]:
     """Return a worker's filling runs and the highest pressure on it."""
     filling_runs = []
     pressure = 0.0
     for run in worker.runs.values():
         tracked_step = run.tracked_step
-        if tracked_step is None or run.phase is not runs.Phase.RUNNING:
+        if tracked_step is None or run.phase is not tracking.Phase.RUNNING:
             continue
         if tracked_step.step.fills:
             filling_runs.append(run)
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -16,7 +16,7 @@
 from crocusrouter.work import preemption
 from crocusrouter.work import racks
 from crocusrouter.work import relocation
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work import trials
 from crocusrouter.work import waiting_steps
 
@@ -51,7 +51,9 @@
     """
 
     placements: list[Placement] = dataclasses.field(default_factory=list)
-    stops: list[tuple[runs.Run, str]] = dataclasses.field(default_factory=list)
+    stops: list[tuple[tracking.Run, str]] = dataclasses.field(
+        default_factory=list
+    )
     reservations: list[Placement] = dataclasses.field(default_factory=list)
     contended: bool = False
 
--- a/crocusrouter/work/pool_state.py
+++ b/crocusrouter/work/pool_state.py
@@ -11,8 +11,8 @@
 from crocusrouter.work import model
 from crocusrouter.work import orders
 from crocusrouter.work import progress as progresses
-from crocusrouter.work import runs
 from crocusrouter.work import stop_durations
+from crocusrouter.work import tracking
 
 # Pause before a failed task starts again, so that a task which fails at once
 # does not use up its attempts during a short disturbance of the workers.
@@ -40,10 +40,10 @@
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
-        self.jobs: dict[str, runs.TrackedJob] = {}
-        self.live_jobs: dict[str, runs.TrackedJob] = {}
-        self.workers: dict[str, runs.Worker] = {}
-        self.runs: dict[model.TaskKey, runs.Run] = {}
+        self.jobs: dict[str, tracking.TrackedJob] = {}
+        self.live_jobs: dict[str, tracking.TrackedJob] = {}
+        self.workers: dict[str, tracking.Worker] = {}
+        self.runs: dict[model.TaskKey, tracking.Run] = {}
         self.dirty: set[str] = set()
         self.outbox: list[WorkerStop] = []
         self.guaranteed: dict[str, int] = {}
@@ -73,7 +73,7 @@
         """Add an accepted job, or record that a known job was cancelled."""
         tracked_job = self.jobs.get(job.id)
         if tracked_job is None:
-            tracked_job = runs.TrackedJob(job, progress, created)
+            tracked_job = tracking.TrackedJob(job, progress, created)
             tracked_job.has_started = (
                 bool(progress.steps) or progress.final_state is not None
             )
@@ -140,18 +140,18 @@
         )
 
     def _open_occurrence(
-        self, tracked_job: runs.TrackedJob, number: int, now: float
+        self, tracked_job: tracking.TrackedJob, number: int, now: float
     ) -> None:
         for position, step in enumerate(tracked_job.job.steps):
             key = model.StepKey(tracked_job.job.id, number, position)
             progress = tracked_job.progress.get(number, position)
             waiting = set(range(step.count)) - progress.done
-            tracked_step = runs.TrackedStep(key, step, progress, waiting)
+            tracked_step = tracking.TrackedStep(key, step, progress, waiting)
             tracked_step.waiting_since = now
             tracked_job.steps[key] = tracked_step
 
     def _close_job(
-        self, tracked_job: runs.TrackedJob, reason: str, now: float
+        self, tracked_job: tracking.TrackedJob, reason: str, now: float
     ) -> None:
         """Mark a job as over and stop its runs.
 
@@ -187,13 +187,15 @@
         self.jobs.pop(job_id, None)
         self.live_jobs.pop(job_id, None)
 
-    def list_step_runs(self, tracked_step: runs.TrackedStep) -> list[runs.Run]:
+    def list_step_runs(
+        self, tracked_step: tracking.TrackedStep
+    ) -> list[tracking.Run]:
         """Return the runs of a step."""
         return list(tracked_step.runs_by_index.values())
 
     def find_tracked_step(
         self, key: model.TaskKey | model.StepKey
-    ) -> runs.TrackedStep | None:
+    ) -> tracking.TrackedStep | None:
         """Return the step of a task; None if its job is unknown."""
         tracked_job = self.jobs.get(key.job)
         if tracked_job is None:
@@ -203,7 +205,9 @@
         )
 
     def is_ready(
-        self, tracked_job: runs.TrackedJob, tracked_step: runs.TrackedStep
+        self,
+        tracked_job: tracking.TrackedJob,
+        tracked_step: tracking.TrackedStep,
     ) -> bool:
         """Tell whether all steps that a step depends on have succeeded."""
         key = tracked_step.key
@@ -233,7 +237,7 @@
         """
         worker = self.workers.get(entry.id)
         if worker is None:
-            self.workers[entry.id] = runs.Worker(
+            self.workers[entry.id] = tracking.Worker(
                 entry, was_draining=entry.draining
             )
             self.note("worker:listed", worker=entry.id)
@@ -280,7 +284,9 @@
         return frozenset(blocked_jobs)
 
     def may_run_unreported(
-        self, tracked_job: runs.TrackedJob, blocked_jobs: frozenset[str] | None
+        self,
+        tracked_job: tracking.TrackedJob,
+        blocked_jobs: frozenset[str] | None,
     ) -> bool:
         """Tell whether a job may be running on a worker that has not reported.
 
@@ -320,7 +326,7 @@
 
     def note_lapsed(
         self, worker_id: str, reason: str, now: float
-    ) -> list[runs.Run]:
+    ) -> list[tracking.Run]:
         """Record that nothing can be running on a worker any more.
 
         Returns:
@@ -361,7 +367,7 @@
         now: float,
         *,
         is_trial: bool = False,
-    ) -> runs.Run:
+    ) -> tracking.Run:
         """Add a run whose start is about to be ordered.
 
         Args:
@@ -371,7 +377,7 @@
             now: Steady time in seconds.
             is_trial: Whether the worker takes no other task for a while.
         """
-        run = runs.Run(key, number, worker_id, now, progressed_at=now)
+        run = tracking.Run(key, number, worker_id, now, progressed_at=now)
         tracked_step = self.find_tracked_step(key)
         if tracked_step is not None:
             tracked_step.waiting_indices.discard(key.position)
@@ -380,12 +386,15 @@
             run.checkpoint = tracked_step.find_checkpoint(key.position)
             self._assign_run(run, tracked_step, worker_id)
             if is_trial:
-                self.workers[worker_id].trial_until = now + runs.TRIAL_S
+                self.workers[worker_id].trial_until = now + tracking.TRIAL_S
         self.runs[key] = run
         return run
 
     def _assign_run(
-        self, run: runs.Run, tracked_step: runs.TrackedStep, worker_id: str
+        self,
+        run: tracking.Run,
+        tracked_step: tracking.TrackedStep,
+        worker_id: str,
     ) -> None:
         worker = self.workers[worker_id]
         if run.key not in worker.runs:
@@ -393,7 +402,7 @@
             worker.runs[run.key] = run
             worker.all_runs_ended = False
 
-    def move_run(self, run: runs.Run, worker_id: str) -> None:
+    def move_run(self, run: tracking.Run, worker_id: str) -> None:
         """Assign a run to another worker, where it may still start."""
         tracked_step = run.tracked_step
         assert tracked_step is not None
@@ -402,10 +411,10 @@
         old_worker.used = old_worker.used.minus(tracked_step.step.charge)
         run.worker_id = worker_id
         run.confirmed_at = None
-        run.phase = runs.Phase.ORDERED
+        run.phase = tracking.Phase.ORDERED
         self._assign_run(run, tracked_step, worker_id)
 
-    def drop_run(self, run: runs.Run) -> None:
+    def drop_run(self, run: tracking.Run) -> None:
         """Remove a run that has certainly ended."""
         worker = self.workers.get(run.worker_id)
         tracked_step = self.find_tracked_step(run.key)
@@ -418,11 +427,11 @@
             if tracked_step is not None:
                 worker.used = worker.used.minus(tracked_step.step.charge)
 
-    def stop_run(self, run: runs.Run, reason: str, now: float) -> None:
+    def stop_run(self, run: tracking.Run, reason: str, now: float) -> None:
         """Order a stop; the room becomes free once the worker lists the end."""
-        if run.phase is runs.Phase.STOPPING:
+        if run.phase is tracking.Phase.STOPPING:
             return
-        run.phase = runs.Phase.STOPPING
+        run.phase = tracking.Phase.STOPPING
         run.stop_reason = reason
         run.stop_ordered_at = now
         worker = self.workers.get(run.worker_id)
@@ -439,7 +448,7 @@
         )
         self.outbox.append((run.worker_id, orders.Stop(run.key, run.number)))
 
-    def note_stopped(self, run: runs.Run, now: float) -> None:
+    def note_stopped(self, run: tracking.Run, now: float) -> None:
         """Update the estimate of stop durations; log when it rises."""
         previous_s = self.stop_durations.expected_s
         self.stop_durations.note(now - run.stop_ordered_at)
@@ -448,7 +457,7 @@
             self.note("stops:slower", expected_s=round(expected_s, 3))
 
     def stop_step(
-        self, tracked_step: runs.TrackedStep, reason: str, now: float
+        self, tracked_step: tracking.TrackedStep, reason: str, now: float
     ) -> None:
         """Stop all runs of a step."""
         for run in self.list_step_runs(tracked_step):
@@ -468,8 +477,8 @@
         if run.confirmed_at is None:
             run.confirmed_at = now
             run.progressed_at = now
-        if run.phase is runs.Phase.ORDERED:
-            run.phase = runs.Phase.RUNNING
+        if run.phase is tracking.Phase.ORDERED:
+            run.phase = tracking.Phase.RUNNING
         tracked_job = self.jobs.get(key.job)
         if tracked_job is not None:
             tracked_job.has_started = True
@@ -521,7 +530,7 @@
             tracked_step.waiting_indices.add(key.position)
 
     def requeue(
-        self, run: runs.Run, outcome: orders.RunOutcome, now: float
+        self, run: tracking.Run, outcome: orders.RunOutcome, now: float
     ) -> None:
         """Let a task wait again after a run that has not succeeded."""
         tracked_step = self.find_tracked_step(run.key)
@@ -542,7 +551,7 @@
 
     def keep_checkpoint(
         self,
-        tracked_step: runs.TrackedStep,
+        tracked_step: tracking.TrackedStep,
         key: model.TaskKey,
         checkpoint: str,
     ) -> None:
@@ -557,7 +566,7 @@
     # Ends of jobs.
 
     def finish(
-        self, tracked_job: runs.TrackedJob, state: model.State, now: float
+        self, tracked_job: tracking.TrackedJob, state: model.State, now: float
     ) -> None:
         """Set a job's final state; callers see it once it is journaled."""
         if tracked_job.is_final:
@@ -567,7 +576,9 @@
         self.note("job:final", job=tracked_job.job.id, state=str(state))
         self._close_job(tracked_job, f"job {state}", now)
 
-    def finish_if_done(self, tracked_job: runs.TrackedJob, now: float) -> None:
+    def finish_if_done(
+        self, tracked_job: tracking.TrackedJob, now: float
+    ) -> None:
         """Finish a job if all of its tasks have succeeded."""
         if tracked_job.opened_count < tracked_job.job.occurrences:
             return
--- a/crocusrouter/work/preemption.py
+++ b/crocusrouter/work/preemption.py
@@ -8,7 +8,7 @@
 from crocusrouter.work import model
 from crocusrouter.work import packing
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 _NEVER_S = 1e9
 # Limits of one search, so that the duration of a decision doesn't grow with the
@@ -29,7 +29,7 @@
         cost: Core-seconds of lost work.
     """
 
-    runs: tuple[runs.Run, ...]
+    runs: tuple[tracking.Run, ...]
     workers: tuple[str, ...]
     cost: float
 
@@ -50,7 +50,7 @@
 
 
 def estimate_remaining_s(
-    run: runs.Run, tracked_step: runs.TrackedStep, now: float
+    run: tracking.Run, tracked_step: tracking.TrackedStep, now: float
 ) -> float:
     """Return the estimated seconds until a run ends."""
     ran_s = now - (run.confirmed_at if run.confirmed_at else run.ordered_at)
@@ -101,7 +101,7 @@
 
 
 def measure_loss(
-    run: runs.Run, tracked_step: runs.TrackedStep, now: float
+    run: tracking.Run, tracked_step: tracking.TrackedStep, now: float
 ) -> float:
     """Return the core-seconds of work that are lost if a run stops now.
 
@@ -169,7 +169,7 @@
             tracked_job = self.pool_state.jobs.get(key.job)
             if tracked_step is None or tracked_job is None:
                 continue
-            ending = run.phase is runs.Phase.STOPPING or key in self.chosen
+            ending = run.phase is tracking.Phase.STOPPING or key in self.chosen
             if ending:
                 # Its room becomes free in any case.
                 candidates.append(_Candidate(0.0, run, tracked_step))
@@ -193,7 +193,7 @@
         return candidates
 
     def _measure_run_loss(
-        self, tracked_step: runs.TrackedStep, run: runs.Run
+        self, tracked_step: tracking.TrackedStep, run: tracking.Run
     ) -> float:
         """Return the loss of stopping a run together with its whole gang."""
         if not tracked_step.step.gang:
@@ -212,8 +212,8 @@
     """A run that may be stopped, and the core-seconds lost with it."""
 
     loss: float
-    run: runs.Run
-    tracked_step: runs.TrackedStep
+    run: tracking.Run
+    tracked_step: tracking.TrackedStep
 
 
 def choose_victims(
@@ -300,9 +300,9 @@
             worker_id: position
             for position, worker_id in enumerate(self._free_rooms)
         }
-        self._stopped_runs: dict[model.TaskKey, runs.Run] = {}
+        self._stopped_runs: dict[model.TaskKey, tracking.Run] = {}
         self._placed_counts: collections.Counter[str] = collections.Counter()
-        self._offers: dict[str, tuple[float, list[runs.Run]]] = {}
+        self._offers: dict[str, tuple[float, list[tracking.Run]]] = {}
         self._offer_heap: list[tuple[float, int, str]] = []
 
     def run(self, count: int) -> Victims | None:
@@ -321,7 +321,7 @@
         runs_to_stop = tuple(
             run
             for run in self._stopped_runs.values()
-            if run.phase is not runs.Phase.STOPPING
+            if run.phase is not tracking.Phase.STOPPING
             and run.key not in self._losses.chosen
         )
         return Victims(runs_to_stop, tuple(worker_ids), total_cost)
@@ -357,7 +357,7 @@
             return
         free = self._free_rooms[worker_id]
         room = self._step.charge
-        runs_to_stop: list[runs.Run] = []
+        runs_to_stop: list[tracking.Run] = []
         cost = 0.0
         if not free.holds(room):
             for candidate in self._losses.list_candidates(
@@ -377,7 +377,7 @@
             self._offer_heap, (cost, self._order[worker_id], worker_id)
         )
 
-    def _stop_run(self, run: runs.Run) -> set[str]:
+    def _stop_run(self, run: tracking.Run) -> set[str]:
         """Count a run as stopped, together with its whole gang.
 
         Returns:
--- a/crocusrouter/work/racks.py
+++ b/crocusrouter/work/racks.py
@@ -6,7 +6,7 @@
 from crocusrouter.work import model
 from crocusrouter.work import packing
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 # Share of a pool's accelerators in use. Above it, room that a step holds for
 # three times as long is missing to others.
@@ -26,7 +26,7 @@
         self._can_hold_by_step: dict[model.Step, bool] = {}
 
     @functools.cached_property
-    def _workers_by_rack(self) -> dict[str, list[runs.Worker]]:
+    def _workers_by_rack(self) -> dict[str, list[tracking.Worker]]:
         """Workers by rack; computed only when a step waits for a rack."""
         workers_by_rack = collections.defaultdict(list)
         for worker in self._pool_state.workers.values():
@@ -71,7 +71,7 @@
         return self._can_hold_by_step[step]
 
 
-def _count_tasks(rack: list[runs.Worker], step: model.Step) -> int:
+def _count_tasks(rack: list[tracking.Worker], step: model.Step) -> int:
     """Return how many tasks of a step fit into a rack that is empty."""
     total = 0
     for worker in rack:
--- a/crocusrouter/work/relocation.py
+++ b/crocusrouter/work/relocation.py
@@ -7,7 +7,7 @@
 from crocusrouter.work import model
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import preemption
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 # Workers are polled once a second; two polls without progress are needed to
 # tell a stall from chance.
@@ -25,10 +25,10 @@
 
 def list_relocations(
     pool_state: pool_states.PoolState,
-    stalled_runs: list[runs.Run],
+    stalled_runs: list[tracking.Run],
     now: float,
     wall: float,
-) -> list[tuple[runs.Run, str]]:
+) -> list[tuple[tracking.Run, str]]:
     """Return the runs to stop now, with the reason.
 
     Args:
@@ -57,13 +57,15 @@
     return relocations
 
 
-def _may_relocate(run: runs.Run, tracked_step: runs.TrackedStep) -> bool:
-    return run.phase is runs.Phase.RUNNING and not tracked_step.step.lasting
+def _may_relocate(
+    run: tracking.Run, tracked_step: tracking.TrackedStep
+) -> bool:
+    return run.phase is tracking.Phase.RUNNING and not tracked_step.step.lasting
 
 
 def list_stalled(
     pool_state: pool_states.PoolState, now: float
-) -> list[runs.Run]:
+) -> list[tracking.Run]:
     """Return the runs that make no progress.
 
     Each decision checks all runs, so most of them must be excluded by the
@@ -82,9 +84,9 @@
 
 
 def _outlasts_worker(
-    run: runs.Run,
-    tracked_step: runs.TrackedStep,
-    worker: runs.Worker,
+    run: tracking.Run,
+    tracked_step: tracking.TrackedStep,
+    worker: tracking.Worker,
     now: float,
 ) -> bool:
     """Tell whether a run should be stopped since its worker leaves first.
@@ -102,7 +104,7 @@
 
 
 def is_stalled(
-    run: runs.Run, tracked_step: runs.TrackedStep, now: float
+    run: tracking.Run, tracked_step: tracking.TrackedStep, now: float
 ) -> bool:
     """Tell whether a run has made no progress for longer than by chance."""
     stalled_s = now - run.progressed_at
@@ -117,8 +119,8 @@
 
 def _is_worth_restarting(
     pool_state: pool_states.PoolState,
-    run: runs.Run,
-    tracked_step: runs.TrackedStep,
+    run: tracking.Run,
+    tracked_step: tracking.TrackedStep,
     now: float,
     wall: float,
 ) -> bool:
@@ -143,10 +145,11 @@
 
 
 def add_gang_members(
-    pool_state: pool_states.PoolState, relocations: list[tuple[runs.Run, str]]
-) -> dict[model.TaskKey, tuple[runs.Run, str]]:
+    pool_state: pool_states.PoolState,
+    relocations: list[tuple[tracking.Run, str]],
+) -> dict[model.TaskKey, tuple[tracking.Run, str]]:
     """Return the runs to stop, with the other members of their gangs."""
-    stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
+    stops_by_task: dict[model.TaskKey, tuple[tracking.Run, str]] = {}
     for run, reason in relocations:
         tracked_step = run.tracked_step
         assert tracked_step is not None
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -9,7 +9,7 @@
 
 from crocusrouter.work import orders
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 
 def add_successor(
@@ -82,7 +82,7 @@
 
 
 def _stop_gang(
-    pool_state: pool_states.PoolState, run: runs.Run, now: float
+    pool_state: pool_states.PoolState, run: tracking.Run, now: float
 ) -> None:
     """Stop a run's gang, since the other members need this one."""
     if run.tracked_step is not None and run.tracked_step.step.gang:
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -4,7 +4,7 @@
 from crocusrouter.work import model
 from crocusrouter.work import orders
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work import worker_failures
 
 # These ends are caused by the task itself and leave its worker running.
@@ -62,7 +62,7 @@
 
 def _apply_running(
     pool_state: pool_states.PoolState,
-    worker: runs.Worker,
+    worker: tracking.Worker,
     reported_run: orders.ReportedRun,
     now: float,
 ) -> None:
@@ -126,7 +126,7 @@
 
 def _drop_missing_runs(
     pool_state: pool_states.PoolState,
-    worker: runs.Worker,
+    worker: tracking.Worker,
     running_by_key: dict[model.TaskKey, orders.ReportedRun],
     sent_at: float,
     now: float,
@@ -211,8 +211,8 @@
 
 def _apply_success(
     pool_state: pool_states.PoolState,
-    tracked_job: runs.TrackedJob,
-    tracked_step: runs.TrackedStep,
+    tracked_job: tracking.TrackedJob,
+    tracked_step: tracking.TrackedStep,
     key: model.TaskKey,
     worker_id: str,
     now: float,
@@ -241,8 +241,8 @@
 
 def _apply_failure(
     pool_state: pool_states.PoolState,
-    tracked_job: runs.TrackedJob,
-    tracked_step: runs.TrackedStep,
+    tracked_job: tracking.TrackedJob,
+    tracked_step: tracking.TrackedStep,
     run_end: orders.RunEnd,
     worker_id: str,
     now: float,
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -4,7 +4,7 @@
 
 from crocusrouter import work
 from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 WALL = 1_000_000.0
 
@@ -115,7 +115,7 @@
             orders.ReportedRun(key, pool_state.runs[key].number)
             for key in worker.runs
             if key not in ended_keys
-            and pool_state.runs[key].phase is not runs.Phase.ORDERED
+            and pool_state.runs[key].phase is not tracking.Phase.ORDERED
         )
     report = orders.Report(0, running, ended)
     asked_at = now if sent_at is None else sent_at
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -5,7 +5,7 @@
 
 from crocusrouter import work
 from crocusrouter.work import progress as progresses
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work.tests import build
 
 _RESTART_S = 3.3
@@ -260,7 +260,7 @@
     run = pool_state.runs[_key("j")]
     _report_runs(pool_state, run.worker_id, 1.0)
     assert tracked_step.progress.is_suspect
-    _report_runs(pool_state, run.worker_id, runs.TRIAL_S)
+    _report_runs(pool_state, run.worker_id, tracking.TRIAL_S)
     assert not tracked_step.progress.is_suspect
     _report_runs(pool_state, run.worker_id, 61.0)
     assert not tracked_step.progress.crashes
--- a/crocusrouter/work/tests/test_planner.py
+++ b/crocusrouter/work/tests/test_planner.py
@@ -1,7 +1,7 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work.tests import build
 
 
@@ -210,7 +210,7 @@
     run = pool_state.runs[work.TaskKey("j", 0, 0, 0)]
     pool_state.stop_run(run, "test", 1.0)
     build.add_job(pool_state, build.make_job("k", build.make_step(1, gpu=8)))
-    assert run.phase is runs.Phase.STOPPING
+    assert run.phase is tracking.Phase.STOPPING
     assert work.plan(pool_state, 1.0, build.WALL).placements == []
 
 
--- a/crocusrouter/work/tests/test_pool_state.py
+++ b/crocusrouter/work/tests/test_pool_state.py
@@ -3,7 +3,7 @@
 from crocusrouter import work
 from crocusrouter.work import orders
 from crocusrouter.work import replacement
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work.tests import build
 
 HOW = orders.RunOutcome
@@ -81,7 +81,7 @@
         )
     assert pool_state.jobs["j"].progress.final_state is work.State.FAILED
     other_run = pool_state.runs[_key("j", 1)]
-    assert other_run.phase is runs.Phase.STOPPING
+    assert other_run.phase is tracking.Phase.STOPPING
 
 
 def test_lost_gang_member_stops_the_gang():
@@ -98,7 +98,7 @@
         pool_state.runs[_key("j", index)] for index in (0, 1)
     )
     pool_state.note_lapsed(first_run.worker_id, "test", 1.0)
-    assert second_run.phase is runs.Phase.STOPPING
+    assert second_run.phase is tracking.Phase.STOPPING
     assert build.apply_plan(pool_state, now=5.0).placements == []
     build.apply_report(
         pool_state, second_run.worker_id, (second_run.key, HOW.STOPPED), now=6.0
@@ -156,7 +156,7 @@
     cancelled_job = build.make_job("j", build.make_step(2), cancelled=True)
     pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
     assert {run.phase for run in pool_state.runs.values()} == {
-        runs.Phase.STOPPING
+        tracking.Phase.STOPPING
     }
     assert work.plan(pool_state, 2.0, build.WALL).placements == []
     assert pool_state.jobs["j"].show_state() is work.State.CANCELLED
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -4,7 +4,7 @@
 
 from crocusrouter import work
 from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work.tests import build
 
 _OLD_WORKER = "w0@5"
@@ -76,7 +76,7 @@
     build.apply_report(
         pool_state, _NEW_WORKER, now=1.5, running=(reported_run,)
     )
-    assert pool_state.runs[_FIRST_TASK].phase is runs.Phase.STOPPING
+    assert pool_state.runs[_FIRST_TASK].phase is tracking.Phase.STOPPING
     build.apply_report(
         pool_state,
         _NEW_WORKER,
@@ -101,7 +101,7 @@
     work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
     stop = orders.Stop(member.key, member.number)
     work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, [stop])
-    assert other_member.phase is runs.Phase.STOPPING
+    assert other_member.phase is tracking.Phase.STOPPING
 
 
 @pytest.mark.parametrize("late_tasks", [(), (_FIRST_TASK,)])
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -9,7 +9,7 @@
 from crocusrouter.work import model
 from crocusrouter.work import packing
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 # Under load there may be no quiet worker for long. After this time any worker
 # will do, so that an innocent task does not wait while others overtake it.
@@ -32,7 +32,7 @@
 
 def choose_trial(
     pool_state: pool_states.PoolState,
-    tracked_step: runs.TrackedStep,
+    tracked_step: tracking.TrackedStep,
     spaces: list[packing.Space],
     trial_workers: set[str],
     now: float,
@@ -78,7 +78,7 @@
     return spaces_by_index
 
 
-def may_skip_trial(tracked_step: runs.TrackedStep, now: float) -> bool:
+def may_skip_trial(tracked_step: tracking.TrackedStep, now: float) -> bool:
     """Tell whether a suspected step may start without a trial.
 
     After one crash a step is more often innocent than not, and should not wait
@@ -115,8 +115,8 @@
     )
 
 
-def _has_just_started(run: runs.Run, now: float) -> bool:
-    return now - run.ordered_at < runs.TRIAL_S
+def _has_just_started(run: tracking.Run, now: float) -> bool:
+    return now - run.ordered_at < tracking.TRIAL_S
 
 
 def _is_quiet(
@@ -135,12 +135,12 @@
     return space.free != pool_state.workers[space.worker].free
 
 
-def _has_waited_long(tracked_step: runs.TrackedStep, now: float) -> bool:
+def _has_waited_long(tracked_step: tracking.TrackedStep, now: float) -> bool:
     waiting_since = tracked_step.waiting_since
     return waiting_since is not None and now - waiting_since >= _MAX_WAIT_S
 
 
-def _choose_index(tracked_step: runs.TrackedStep) -> int:
+def _choose_index(tracked_step: tracking.TrackedStep) -> int:
     """Return the task with the most crashes, as the most informative one."""
     return max(
         tracked_step.waiting_indices,
@@ -152,7 +152,7 @@
 
 
 def _spread_gang(
-    tracked_step: runs.TrackedStep, quiet_spaces: list[packing.Space]
+    tracked_step: tracking.TrackedStep, quiet_spaces: list[packing.Space]
 ) -> dict[int, packing.Space] | None:
     """Return spaces for all members of a gang, in one rack if possible."""
     racks = list(packing.group_by_rack(quiet_spaces).values())
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -13,7 +13,7 @@
 from crocusrouter.work import model
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import preemption
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work import vms
 
 # Time from the order until the next worker answers: two seconds of upkeep by
@@ -138,7 +138,7 @@
     worker_id: str,
     now: float,
     leave_by: float,
-) -> list[tuple[runs.Run, str]]:
+) -> list[tuple[tracking.Run, str]]:
     """Return the runs to stop now so that a worker's VM can go down.
 
     Args:
@@ -147,13 +147,13 @@
         now: Steady time in seconds.
         leave_by: Steady time at which the worker should be empty.
     """
-    stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
+    stops_by_task: dict[model.TaskKey, tuple[tracking.Run, str]] = {}
     worker = pool_state.workers.get(worker_id)
     stops_left: dict[model.StepKey, int] = {}
     for key in sorted(worker.runs) if worker is not None else ():
         run = pool_state.runs[key]
         tracked_step = run.tracked_step
-        if tracked_step is None or run.phase is not runs.Phase.RUNNING:
+        if tracked_step is None or run.phase is not tracking.Phase.RUNNING:
             continue
         if not _should_stop(
             pool_state, run, tracked_step, stops_left, now, leave_by
@@ -172,8 +172,8 @@
 
 def _should_stop(
     pool_state: pool_states.PoolState,
-    run: runs.Run,
-    tracked_step: runs.TrackedStep,
+    run: tracking.Run,
+    tracked_step: tracking.TrackedStep,
     stops_left: dict[model.StepKey, int],
     now: float,
     leave_by: float,
@@ -206,11 +206,11 @@
 
 
 def count_away(
-    pool_state: pool_states.PoolState, tracked_step: runs.TrackedStep
+    pool_state: pool_states.PoolState, tracked_step: tracking.TrackedStep
 ) -> int:
     """Return how many tasks of a lasting step are not at work."""
     at_work_count = sum(
-        run.phase is runs.Phase.RUNNING and run.percent >= _READY_PERCENT
+        run.phase is tracking.Phase.RUNNING and run.percent >= _READY_PERCENT
         for run in pool_state.list_step_runs(tracked_step)
     )
     return tracked_step.step.count - at_work_count
--- a/crocusrouter/work/waiting_steps.py
+++ b/crocusrouter/work/waiting_steps.py
@@ -8,7 +8,7 @@
 
 from crocusrouter.work import planner_policy as policies
 from crocusrouter.work import pool_state as pool_states
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 _DEFAULT = policies.PlannerPolicy()
 
@@ -25,8 +25,8 @@
         hopeless: Whether the job's result has no value any more.
     """
 
-    tracked_job: runs.TrackedJob
-    tracked_step: runs.TrackedStep
+    tracked_job: tracking.TrackedJob
+    tracked_step: tracking.TrackedStep
     latest_start: float
     late: bool
     hopeless: bool
@@ -88,8 +88,8 @@
 
 
 def _build_waiting_step(
-    tracked_job: runs.TrackedJob,
-    tracked_step: runs.TrackedStep,
+    tracked_job: tracking.TrackedJob,
+    tracked_step: tracking.TrackedStep,
     wall: float,
     policy: policies.PlannerPolicy,
 ) -> WaitingStep:
--- a/crocusrouter/work/worker_failures.py
+++ b/crocusrouter/work/worker_failures.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 
 # Number of different jobs whose failures make a worker suspect. About 2% of
 # tasks fail by themselves, so failures of two jobs in a row on one worker are
@@ -18,14 +18,14 @@
 _SUSPECT_S = 4.0
 
 
-def note_success(worker: runs.Worker | None) -> None:
+def note_success(worker: tracking.Worker | None) -> None:
     """Record that a task succeeded on a worker."""
     if worker is not None:
         worker.failures.clear()
 
 
 def note_failure(
-    worker: runs.Worker | None,
+    worker: tracking.Worker | None,
     job_id: str,
     now: float,
     note: Callable[..., None],
