--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -10,10 +10,10 @@
 from bench.replay import worth
 from crocusrouter import work
 from crocusrouter.pools import reservations
-from crocusrouter.work import orders
 from crocusrouter.work import packing
 from crocusrouter.work import replacement
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 _WALL = 1_000_000.0
 _TICK_S = 0.05
@@ -84,7 +84,7 @@
         self.book = work.PoolState(1)
         self.reserved = reservations.Reservations()
         self.running: dict[work.TaskKey, _Running] = {}
-        self.ends: dict[str, list[orders.RunEnd]] = {}
+        self.ends: dict[str, list[worker_port.RunEnd]] = {}
         self.numbers: dict[str, int] = {}
         self.speeds: dict[str, float] = {}
         self.ended_at: dict[str, float] = {}
@@ -103,7 +103,7 @@
 
     def _add_worker(self, name: str, rack: str, now: float) -> None:
         labels = frozenset({"a", rack})
-        entry = orders.WorkerEntry(
+        entry = worker_port.WorkerEntry(
             name, "pool", "", "dc", False, self.site.room, labels
         )
         self.book.set_worker(entry, now)
@@ -164,7 +164,7 @@
         self.ends.pop(name)
         for run in list(self.running.values()):
             if run.worker == name and self.running.get(run.key) is run:
-                self._end(run, orders.RunOutcome.BROKEN)
+                self._end(run, worker_port.RunOutcome.BROKEN)
         self.book.unlist_worker(name)
         replacement.note_incarnation_replaced(self.book, name, now)
 
@@ -211,13 +211,13 @@
             if now >= run.restored_at:
                 run.done_s += _TICK_S * speed
             if run.stops_at is not None and now >= run.stops_at:
-                self._end(run, orders.RunOutcome.STOPPED)
+                self._end(run, worker_port.RunOutcome.STOPPED)
             elif run.fails_at is not None and run.done_s >= run.fails_at:
-                self._end(run, orders.RunOutcome.FAILED)
+                self._end(run, worker_port.RunOutcome.FAILED)
             elif run.done_s >= run.total_s:
-                self._end(run, orders.RunOutcome.DONE)
+                self._end(run, worker_port.RunOutcome.DONE)
 
-    def _end(self, run: _Running, how: orders.RunOutcome) -> None:
+    def _end(self, run: _Running, how: worker_port.RunOutcome) -> None:
         members = [run]
         if run.step.gang:
             members = [
@@ -229,15 +229,19 @@
         for member in members:
             del self.running[member.key]
             ended = (
-                how if member is run or how is orders.RunOutcome.DONE else None
+                how
+                if member is run or how is worker_port.RunOutcome.DONE
+                else None
+            )
+            self._list_end(
+                member, ended or worker_port.RunOutcome.BROKEN, cause
             )
-            self._list_end(member, ended or orders.RunOutcome.BROKEN, cause)
 
     def _list_end(
-        self, run: _Running, how: orders.RunOutcome, cause: str
+        self, run: _Running, how: worker_port.RunOutcome, cause: str
     ) -> None:
         saved = ""
-        if how is not orders.RunOutcome.DONE:
+        if how is not worker_port.RunOutcome.DONE:
             if run.step.checkpoints:
                 saved = f"{run.done_s:.3f}"
             else:
@@ -247,16 +251,16 @@
             return  # it has left; its owner learns that, and no ends
         self.numbers[run.worker] += 1
         self.ends[run.worker].append(
-            orders.RunEnd(
+            worker_port.RunEnd(
                 self.numbers[run.worker], run.key, run.number, how, saved
             )
         )
 
-    def _name_cause(self, run: _Running, how: orders.RunOutcome) -> str:
+    def _name_cause(self, run: _Running, how: worker_port.RunOutcome) -> str:
         """Return why a run came to nothing, without names of jobs."""
         held = self.book.runs.get(run.key)
         if (
-            how is orders.RunOutcome.STOPPED
+            how is worker_port.RunOutcome.STOPPED
             and held is not None
             and held.stop_reason
         ):
@@ -277,7 +281,7 @@
             if not self.ends[name] and not due:
                 continue
             rows = tuple(
-                orders.ReportedRun(
+                worker_port.ReportedRun(
                     run.key,
                     run.number,
                     "",
@@ -285,7 +289,7 @@
                 )
                 for run in by_worker.get(name, [])
             )
-            report = orders.Report(0, rows, tuple(self.ends[name]))
+            report = worker_port.Report(0, rows, tuple(self.ends[name]))
             changed |= bool(self.ends[name])
             self.ends[name] = []
             work.apply_report(self.book, name, report, now, now)
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -8,7 +8,7 @@
 from bench import figures
 from bench import replay
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 _DAYS = 24
 _LENGTH_S = 34.0
@@ -119,7 +119,7 @@
     for number in range(_LARGE_WORKERS):
         labels = frozenset({"a", f"r0-{number // 14}"})
         room = work.Room(64_000, 262_144, 16)
-        entry = orders.WorkerEntry(
+        entry = worker_port.WorkerEntry(
             f"w{number:04}", "pool", "", "dc", False, room, labels
         )
         book.set_worker(entry, 0.0)
@@ -166,14 +166,14 @@
         return
     held = book.workers[run.worker_id]
     rows = tuple(
-        orders.ReportedRun(other, book.runs[other].number)
+        worker_port.ReportedRun(other, book.runs[other].number)
         for other in held.runs
         if other != key
     )
-    ended = orders.RunEnd(
-        held.last_end_number + 1, key, run.number, orders.RunOutcome.DONE
+    ended = worker_port.RunEnd(
+        held.last_end_number + 1, key, run.number, worker_port.RunOutcome.DONE
     )
-    report = orders.Report(0, rows, (ended,))
+    report = worker_port.Report(0, rows, (ended,))
     work.apply_report(book, run.worker_id, report, now, now)
 
 
--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -20,7 +20,7 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 from crocusrouter.telemetry import open_log
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 _STOPS = (signal.SIGTERM, signal.SIGINT)
 # The balancer asks each second and drops an entry after two misses; callers
@@ -110,7 +110,7 @@
     )
 
 
-def _find_policy(address: str) -> Callable[[], orders.PolicyPort] | None:
+def _find_policy(address: str) -> Callable[[], worker_port.PolicyPort] | None:
     if not address:
         return None
     return lambda: platform.PlatformPolicy(address)
--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -5,7 +5,7 @@
 from crocusrouter.platform import calls
 from crocusrouter.platform import names
 from crocusrouter.work import model
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # The service handles one call of a VM at a time.
 _CONNECTIONS = 1
@@ -20,7 +20,7 @@
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
-    ) -> orders.PolicyAnswer | orders.NoAnswer:
+    ) -> worker_port.PolicyAnswer | worker_port.NoAnswer:
         """Ask which of some workers may run a step."""
         result = await self._caller.call(
             "POST",
@@ -32,9 +32,11 @@
             timeout_s,
         )
         if isinstance(result, calls.Unanswered):
-            return orders.NoAnswer(result.cause, result.maybe_done)
+            return worker_port.NoAnswer(result.cause, result.maybe_done)
         if result.status != _OK:
-            return orders.NoAnswer(f"status {result.status}", maybe_done=False)
+            return worker_port.NoAnswer(
+                f"status {result.status}", maybe_done=False
+            )
         return _parse_answer(result.document)
 
     async def aclose(self) -> None:
@@ -42,9 +44,9 @@
         await self._caller.aclose()
 
 
-def _parse_answer(document: dict[str, Any]) -> orders.PolicyAnswer:
+def _parse_answer(document: dict[str, Any]) -> worker_port.PolicyAnswer:
     rows = document.get("good", ())
-    return orders.PolicyAnswer(
+    return worker_port.PolicyAnswer(
         {str(worker): str(ticket) for worker, ticket in rows},
         float(document.get("valid_ms", 0)) / 1000,
     )
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -14,8 +14,8 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
-from crocusrouter.work import orders
 from crocusrouter.work import vms
+from crocusrouter.work import worker_port
 
 _KEY = work.TaskKey("5c0e7a21d94b36f8", 0, 1, 17)
 _NAME = "5c0e7a21d94b36f8.0.1.17"
@@ -46,33 +46,39 @@
 @pytest.mark.parametrize(
     ("answer", "expected"),
     [
-        (_answer(200, clock_ms=5), orders.Accepted(5)),
+        (_answer(200, clock_ms=5), worker_port.Accepted(5)),
         (
             _answer(409, clock_ms=5, reason="fence"),
-            orders.Rejected(orders.RejectionReason.FENCED, 5),
+            worker_port.Rejected(worker_port.RejectionReason.FENCED, 5),
         ),
         (
             _answer(409, clock_ms=5, reason="room"),
-            orders.Rejected(orders.RejectionReason.NO_ROOM, 5),
+            worker_port.Rejected(worker_port.RejectionReason.NO_ROOM, 5),
         ),
         (
             _answer(409, clock_ms=5, reason="a new one"),
-            orders.Rejected(orders.RejectionReason.INVALID, 5),
+            worker_port.Rejected(worker_port.RejectionReason.INVALID, 5),
         ),
         (
             _answer(421),
-            orders.Rejected(orders.RejectionReason.OTHER_INCARNATION),
+            worker_port.Rejected(worker_port.RejectionReason.OTHER_INCARNATION),
         ),
-        (_answer(503), orders.Rejected(orders.RejectionReason.UNHEALTHY)),
-        (_answer(429), orders.Rejected(orders.RejectionReason.UNHEALTHY)),
-        (_LOST, orders.NoAnswer("lost", maybe_done=True)),
-        (_NOT_SENT, orders.NoAnswer("refused", maybe_done=False)),
+        (
+            _answer(503),
+            worker_port.Rejected(worker_port.RejectionReason.UNHEALTHY),
+        ),
+        (
+            _answer(429),
+            worker_port.Rejected(worker_port.RejectionReason.UNHEALTHY),
+        ),
+        (_LOST, worker_port.NoAnswer("lost", maybe_done=True)),
+        (_NOT_SENT, worker_port.NoAnswer("refused", maybe_done=False)),
     ],
 )
 async def test_answers_to_a_start(monkeypatch, answer, expected):
     wire = _Wire(monkeypatch, answer)
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
-    order = orders.Start(_KEY, 2, "text", "cp")
+    order = worker_port.Start(_KEY, 2, "text", "cp")
     assert await worker.start(7, order, 486000, 0.3) == expected
     assert wire.sent == [
         (
@@ -102,7 +108,7 @@
     )
     assert [row.key for row in report.running] == [_KEY]
     assert report.ended == (
-        orders.RunEnd(2, _KEY, 1, orders.RunOutcome.BROKEN),
+        worker_port.RunEnd(2, _KEY, 1, worker_port.RunOutcome.BROKEN),
     )
 
 
@@ -136,13 +142,13 @@
     )
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
     report = await worker.hold(7, 57, None, 1.0)
-    assert report == orders.Report(
+    assert report == worker_port.Report(
         9,
         (
-            orders.ReportedRun(_KEY, 2, "cp", 41.0),
-            orders.ReportedRun(_KEY, 3, "", 5.0, 12.0),
+            worker_port.ReportedRun(_KEY, 2, "cp", 41.0),
+            worker_port.ReportedRun(_KEY, 3, "", 5.0, 12.0),
         ),
-        (orders.RunEnd(58, _KEY, 1, orders.RunOutcome.DONE, ""),),
+        (worker_port.RunEnd(58, _KEY, 1, worker_port.RunOutcome.DONE, ""),),
     )
     assert wire.sent[0][2] == {
         "fencing_token": 7,
@@ -292,11 +298,11 @@
     [
         (
             _answer(200, good=[["i-1", "t1"]], valid_ms=3000),
-            orders.PolicyAnswer({"i-1": "t1"}, 3.0),
+            worker_port.PolicyAnswer({"i-1": "t1"}, 3.0),
         ),
-        (_answer(200, good=[], valid_ms=0), orders.PolicyAnswer({}, 0.0)),
-        (_answer(429), orders.NoAnswer("status 429", maybe_done=False)),
-        (_LOST, orders.NoAnswer("lost", maybe_done=True)),
+        (_answer(200, good=[], valid_ms=0), worker_port.PolicyAnswer({}, 0.0)),
+        (_answer(429), worker_port.NoAnswer("status 429", maybe_done=False)),
+        (_LOST, worker_port.NoAnswer("lost", maybe_done=True)),
     ],
 )
 async def test_answers_of_the_policy_service(monkeypatch, answer, expected):
@@ -332,8 +338,8 @@
                 vms.Vm("m-2", "", vms.VmState.DOWN, ""),
             ),
         ),
-        ([_answer(429)], orders.NoAnswer("status 429")),
-        ([_LOST], orders.NoAnswer("lost", maybe_done=True)),
+        ([_answer(429)], worker_port.NoAnswer("status 429")),
+        ([_LOST], worker_port.NoAnswer("lost", maybe_done=True)),
     ],
 )
 async def test_vms_of_the_platform(monkeypatch, answers, expected):
@@ -349,8 +355,8 @@
         (_answer(409, reason="busy"), vms.Upkeep.BUSY),
         (_answer(409, reason="wave"), vms.Upkeep.FOREIGN),
         (_answer(400), vms.Upkeep.FOREIGN),
-        (_answer(429), orders.NoAnswer("status 429", maybe_done=False)),
-        (_LOST, orders.NoAnswer("lost", maybe_done=True)),
+        (_answer(429), worker_port.NoAnswer("status 429", maybe_done=False)),
+        (_LOST, worker_port.NoAnswer("lost", maybe_done=True)),
     ],
 )
 async def test_answers_to_an_order_for_upkeep(monkeypatch, answer, expected):
@@ -387,8 +393,8 @@
     wire = _Wire(monkeypatch, _answer(200, clock_ms=5))
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
     assert await worker.pace(
-        7, orders.Pace(_KEY, 2, 40), 0.3
-    ) == orders.Accepted(5)
+        7, worker_port.Pace(_KEY, 2, 40), 0.3
+    ) == worker_port.Accepted(5)
     assert wire.sent == [
         (
             "POST",
--- a/crocusrouter/platform/tests/test_worker_entries.py
+++ b/crocusrouter/platform/tests/test_worker_entries.py
@@ -7,7 +7,7 @@
 
 from crocusrouter import platform
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 
 def test_listed_worker():
@@ -21,7 +21,7 @@
         "seq": 4,
     }
     entry = platform.parse_worker("servers/i-1", orjson.dumps(value))
-    assert entry == orders.WorkerEntry(
+    assert entry == worker_port.WorkerEntry(
         "i-1",
         "s",
         "10.0.0.9:8080",
--- a/crocusrouter/platform/vms.py
+++ b/crocusrouter/platform/vms.py
@@ -8,8 +8,8 @@
 
 from crocusrouter.platform import calls
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
 from crocusrouter.work import vms
+from crocusrouter.work import worker_port
 
 WAVES_PREFIX = "op/wave/"
 _STATUS_PREFIX = "status/wave/"
@@ -32,7 +32,7 @@
     def __init__(self, address: str) -> None:
         self._caller = calls.Caller(address, _CONNECTIONS)
 
-    async def list_vms(self) -> tuple[vms.Vm, ...] | orders.NoAnswer:
+    async def list_vms(self) -> tuple[vms.Vm, ...] | worker_port.NoAnswer:
         """Return all VMs, page by page."""
         found: list[vms.Vm] = []
         token = ""
@@ -41,18 +41,18 @@
             target = f"/machines?{query}" if token else "/machines"
             result = await self._caller.call("GET", target, None, _TIMEOUT_S)
             if isinstance(result, calls.Unanswered):
-                return orders.NoAnswer(result.cause, result.maybe_done)
+                return worker_port.NoAnswer(result.cause, result.maybe_done)
             if result.status != _OK:
-                return orders.NoAnswer(f"status {result.status}")
+                return worker_port.NoAnswer(f"status {result.status}")
             found += map(_parse_vm, result.document.get("machines", ()))
             token = result.document.get("next_token") or ""
             if not token:
                 return tuple(found)
-        return orders.NoAnswer("the list of VMs has no end")
+        return worker_port.NoAnswer("the list of VMs has no end")
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
-    ) -> vms.Upkeep | orders.NoAnswer:
+    ) -> vms.Upkeep | worker_port.NoAnswer:
         """Take a VM down for its upkeep."""
         result = await self._caller.call(
             "POST",
@@ -62,7 +62,7 @@
             {"X-Lease-Holder": holder, "X-Fencing-Token": str(epoch)},
         )
         if isinstance(result, calls.Unanswered):
-            return orders.NoAnswer(result.cause, result.maybe_done)
+            return worker_port.NoAnswer(result.cause, result.maybe_done)
         if result.status == _OK:
             return vms.Upkeep.DONE
         if result.status == _BAD_REQUEST:
@@ -70,7 +70,7 @@
         why = _WHY.get(str(result.document.get("reason", "")))
         if result.status == _CONFLICT and why is not None:
             return why
-        return orders.NoAnswer(f"status {result.status}", maybe_done=False)
+        return worker_port.NoAnswer(f"status {result.status}", maybe_done=False)
 
     async def aclose(self) -> None:
         """Close all connections."""
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -15,7 +15,7 @@
 from crocusrouter.telemetry import log
 from crocusrouter.work import incarnations
 from crocusrouter.work import model
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 WORKERS_PREFIX = "servers/"
 _HOLD_GRACE_S = 0.6
@@ -24,15 +24,15 @@
 _CONFLICT = 409
 _UNHEALTHY = (429, 503)
 _WHY = {
-    "fence": orders.RejectionReason.FENCED,
-    "old": orders.RejectionReason.OLD,
-    "late": orders.RejectionReason.LATE,
-    "room": orders.RejectionReason.NO_ROOM,
-    "ticket": orders.RejectionReason.NO_TICKET,
+    "fence": worker_port.RejectionReason.FENCED,
+    "old": worker_port.RejectionReason.OLD,
+    "late": worker_port.RejectionReason.LATE,
+    "room": worker_port.RejectionReason.NO_ROOM,
+    "ticket": worker_port.RejectionReason.NO_TICKET,
 }
 # "IP:port"; a call to anything else fails in ways that name no worker.
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-_HOW = {how.value: how for how in orders.RunOutcome}
+_HOW = {how.value: how for how in worker_port.RunOutcome}
 
 
 class PlatformConnection:
@@ -50,7 +50,7 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.NoAnswer:
+    ) -> worker_port.Report | worker_port.Rejected | worker_port.NoAnswer:
         """Renew the lease, confirm ends, wait for an end."""
         document: dict[str, Any] = {"fencing_token": epoch, "last_seen": seen}
         if until_ms is not None:
@@ -67,8 +67,12 @@
         return _parse_report(result.document)
 
     async def start(
-        self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self,
+        epoch: int,
+        order: worker_port.Start,
+        until_ms: int,
+        timeout_s: float,
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Start a run."""
         document: dict[str, Any] = {
             "task": names.build_task(order.key),
@@ -84,8 +88,8 @@
         return await self._order("/run-start", document, timeout_s)
 
     async def stop(
-        self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self, epoch: int, order: worker_port.Stop, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Stop a run."""
         document = {
             "task": names.build_task(order.key),
@@ -95,8 +99,8 @@
         return await self._order("/run-stop", document, timeout_s)
 
     async def pace(
-        self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self, epoch: int, order: worker_port.Pace, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Set the share of its speed at which a run works."""
         document = {
             "task": names.build_task(order.key),
@@ -112,7 +116,7 @@
 
     async def _order(
         self, path: str, document: dict[str, Any], timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         result = await self._connection.call(
             "POST", path, document, timeout_s, self._headers
         )
@@ -120,33 +124,38 @@
         if refused is not None:
             return refused
         assert isinstance(result, calls.Answered)
-        return orders.Accepted(int(result.document.get("clock_ms", 0)))
+        return worker_port.Accepted(int(result.document.get("clock_ms", 0)))
 
 
 def _find_refusal(
     result: calls.Result,
-) -> orders.Rejected | orders.NoAnswer | None:
+) -> worker_port.Rejected | worker_port.NoAnswer | None:
     if isinstance(result, calls.Unanswered):
-        return orders.NoAnswer(result.cause, result.maybe_done)
+        return worker_port.NoAnswer(result.cause, result.maybe_done)
     clock = result.document.get("clock_ms")
     if result.status == _OK:
         return None
     if result.status == _CONFLICT:
         why = _WHY.get(
-            result.document.get("reason", ""), orders.RejectionReason.INVALID
+            result.document.get("reason", ""),
+            worker_port.RejectionReason.INVALID,
         )
-        return orders.Rejected(why, clock)
+        return worker_port.Rejected(why, clock)
     if result.status == _OTHER_INCARNATION:
-        return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
+        return worker_port.Rejected(
+            worker_port.RejectionReason.OTHER_INCARNATION
+        )
     if result.status in _UNHEALTHY:
-        return orders.Rejected(orders.RejectionReason.UNHEALTHY, clock)
-    return orders.Rejected(orders.RejectionReason.INVALID, clock)
+        return worker_port.Rejected(
+            worker_port.RejectionReason.UNHEALTHY, clock
+        )
+    return worker_port.Rejected(worker_port.RejectionReason.INVALID, clock)
 
 
-def _parse_report(document: dict[str, Any]) -> orders.Report:
+def _parse_report(document: dict[str, Any]) -> worker_port.Report:
     running = map(_parse_running, document.get("running", ()))
     ended = map(_parse_ended, document.get("finished", ()))
-    return orders.Report(
+    return worker_port.Report(
         int(document["clock_ms"]),
         tuple(row for row in running if row is not None),
         tuple(row for row in ended if row is not None),
@@ -161,26 +170,28 @@
     return value
 
 
-def _parse_running(row: list[Any]) -> orders.ReportedRun | None:
+def _parse_running(row: list[Any]) -> worker_port.ReportedRun | None:
     key = names.parse_task(row[0])
     if key is None:
         log("worker:foreign-run", row=row)
         return None
     load = float(row[4]) if len(row) > 4 else 0.0
-    return orders.ReportedRun(
+    return worker_port.ReportedRun(
         key, int(row[1]), str(row[2] or ""), float(row[3]), load
     )
 
 
-def _parse_ended(row: list[Any]) -> orders.RunEnd | None:
+def _parse_ended(row: list[Any]) -> worker_port.RunEnd | None:
     key = names.parse_task(row[1])
     if key is None:
         log("worker:foreign-end", row=row)
         return None
     # A word that we don't know is an end that was neither well nor the
     # task's own fault.
-    how = _HOW.get(row[3], orders.RunOutcome.BROKEN)
-    return orders.RunEnd(int(row[0]), key, int(row[2]), how, str(row[4] or ""))
+    how = _HOW.get(row[3], worker_port.RunOutcome.BROKEN)
+    return worker_port.RunEnd(
+        int(row[0]), key, int(row[2]), how, str(row[4] or "")
+    )
 
 
 _Amount = Annotated[float, pydantic.Field(ge=0)]
@@ -216,7 +227,7 @@
     born: Annotated[int, pydantic.Field(gt=0)] | None = None
 
 
-def parse_worker(key: str, value: bytes) -> orders.WorkerEntry | None:
+def parse_worker(key: str, value: bytes) -> worker_port.WorkerEntry | None:
     """Decode an entry of the list of workers; None if it names none."""
     try:
         listed = _Listed.model_validate(orjson.loads(value))
@@ -225,7 +236,7 @@
         return None
     room = listed.capacity
     worker = key.removeprefix(WORKERS_PREFIX)
-    return orders.WorkerEntry(
+    return worker_port.WorkerEntry(
         incarnations.build_incarnation(worker, listed.born),
         listed.service,
         listed.address,
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -8,7 +8,7 @@
 from crocusrouter.pools import clock
 from crocusrouter.telemetry import log
 from crocusrouter.work import incarnations
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # An answer takes the service's fixed time and some more for each of at most
 # thirty workers; past this it is taken for lost.
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        policy: orders.PolicyPort | None,
+        policy: worker_port.PolicyPort | None,
         book: work.PoolState,
         times: clock.Clock,
         changed: Callable[[], None],
@@ -76,7 +76,7 @@
         answer = await self._policy.advise(
             step, tuple(by_worker), _ANSWER_TIMEOUT_S
         )
-        if isinstance(answer, orders.NoAnswer):
+        if isinstance(answer, worker_port.NoAnswer):
             log("policy:no-answer", step=step, cause=answer.cause)
             await trio.sleep(_RETRY_S)
             return
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -14,7 +14,7 @@
 import trio
 
 from crocusrouter.work import incarnations
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # One look waits for an end; another may be asked for meanwhile.
 _MOST_LOOKS = 2
@@ -25,15 +25,17 @@
 # milliseconds; a new one costs a round trip more, a look, and its price.
 _SHARING_S = 0.01
 
-_Refused = orders.Rejected | orders.NoAnswer
-_Answer = orders.Accepted | _Refused
+_Refused = worker_port.Rejected | worker_port.NoAnswer
+_Answer = worker_port.Accepted | _Refused
 
 
 class Connections:
     """Implements `work.worker_port.WorkerPort`."""
 
     def __init__(
-        self, incarnation: str, open_connection: Callable[[], orders.Connection]
+        self,
+        incarnation: str,
+        open_connection: Callable[[], worker_port.Connection],
     ) -> None:
         """Prepare; nothing is sent.
 
@@ -43,7 +45,7 @@
         """
         self._incarnation = incarnation
         self._open_connection = open_connection
-        self._idle: list[orders.Connection] = []
+        self._idle: list[worker_port.Connection] = []
         self._is_closed = False
         self._ordering = 0
         self._returned = trio.Event()
@@ -52,7 +54,7 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.NoAnswer:
+    ) -> worker_port.Report | worker_port.Rejected | worker_port.NoAnswer:
         """Look; confirm and renew only where the incarnation is known."""
         async with self._looks:
             connection = await self._take_idle()
@@ -63,15 +65,19 @@
                 answer = self._check(
                     await connection.hold(epoch, seen, until_ms, wait_s)
                 )
-            if isinstance(answer, orders.Report):
+            if isinstance(answer, worker_port.Report):
                 await self._put_back(connection)
             else:
                 await connection.aclose()
             return answer
 
     async def start(
-        self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self,
+        epoch: int,
+        order: worker_port.Start,
+        until_ms: int,
+        timeout_s: float,
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Start a run."""
         return await self._send(
             epoch,
@@ -80,16 +86,16 @@
         )
 
     async def stop(
-        self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self, epoch: int, order: worker_port.Stop, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Stop a run."""
         return await self._send(
             epoch, timeout_s, lambda found: found.stop(epoch, order, timeout_s)
         )
 
     async def pace(
-        self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self, epoch: int, order: worker_port.Pace, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Set the share of its speed at which a run works."""
         return await self._send(
             epoch, timeout_s, lambda found: found.pace(epoch, order, timeout_s)
@@ -105,18 +111,20 @@
         self,
         epoch: int,
         timeout_s: float,
-        call: Callable[[orders.Connection], Awaitable[_Answer]],
+        call: Callable[[worker_port.Connection], Awaitable[_Answer]],
     ) -> _Answer:
         with trio.move_on_after(timeout_s) as waiting:
             await self._orders.acquire()
         if waiting.cancelled_caught:
-            return orders.NoAnswer("all connections are busy", maybe_done=False)
+            return worker_port.NoAnswer(
+                "all connections are busy", maybe_done=False
+            )
         try:
             connection = await self._await_idle()
             if connection is None:
                 connection = self._open_connection()
                 identity = await self._identify(connection, epoch, 0.0)
-                if not isinstance(identity, orders.Report):
+                if not isinstance(identity, worker_port.Report):
                     await connection.aclose()
                     return _mark_unsent(identity)
             self._ordering += 1
@@ -129,14 +137,14 @@
         finally:
             self._orders.release()
 
-    async def _await_idle(self) -> orders.Connection | None:
+    async def _await_idle(self) -> worker_port.Connection | None:
         """Take an idle connection, or one that is about to be."""
         with trio.move_on_after(_SHARING_S):
             while self._ordering and not self._idle:
                 await self._returned.wait()
         return await self._take_idle()
 
-    async def _take_idle(self) -> orders.Connection | None:
+    async def _take_idle(self) -> worker_port.Connection | None:
         """Return a connection on which the incarnation has answered."""
         while self._idle:
             connection = self._idle.pop()
@@ -145,7 +153,7 @@
             await connection.aclose()
         return None
 
-    async def _put_back(self, connection: orders.Connection) -> None:
+    async def _put_back(self, connection: worker_port.Connection) -> None:
         if self._is_closed:
             await connection.aclose()
         else:
@@ -154,29 +162,29 @@
         self._returned = trio.Event()
 
     async def _identify(
-        self, connection: orders.Connection, epoch: int, wait_s: float
-    ) -> orders.Report | _Refused:
+        self, connection: worker_port.Connection, epoch: int, wait_s: float
+    ) -> worker_port.Report | _Refused:
         return self._check(await connection.hold(epoch, 0, None, wait_s))
 
     def _check(
-        self, answer: orders.Report | _Refused
-    ) -> orders.Report | _Refused:
+        self, answer: worker_port.Report | _Refused
+    ) -> worker_port.Report | _Refused:
         """Refuse a report of another incarnation."""
-        if not isinstance(answer, orders.Report):
+        if not isinstance(answer, worker_port.Report):
             return answer
         worker = incarnations.find_worker(self._incarnation)
         told = incarnations.build_incarnation(worker, answer.born_ms)
         if told == self._incarnation:
             return answer
         if answer.born_ms is None:
-            return orders.NoAnswer("does not say when its process started")
-        return orders.Rejected(
-            orders.RejectionReason.OTHER_INCARNATION, answer.clock_ms, told
+            return worker_port.NoAnswer("does not say when its process started")
+        return worker_port.Rejected(
+            worker_port.RejectionReason.OTHER_INCARNATION, answer.clock_ms, told
         )
 
 
 def _mark_unsent(refused: _Refused) -> _Refused:
     """Return why an order was not sent: nobody can carry it out."""
-    if isinstance(refused, orders.NoAnswer):
-        return orders.NoAnswer(refused.cause, maybe_done=False)
+    if isinstance(refused, worker_port.NoAnswer):
+        return worker_port.NoAnswer(refused.cause, maybe_done=False)
     return refused
--- a/crocusrouter/pools/links.py
+++ b/crocusrouter/pools/links.py
@@ -11,8 +11,8 @@
 from crocusrouter.pools import leases
 from crocusrouter.pools import unanswered as unanswered_starts
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # A look waits this long for an end. Longer looks are fewer, shorter ones
 # show sooner that a worker is silent or a task stands still.
@@ -30,7 +30,7 @@
 
 # Told when another incarnation answers: who was meant, who answers (None if
 # that isn't known), and the stops that the latter has to answer.
-Replaced = Callable[[str, str | None, list[orders.Stop]], None]
+Replaced = Callable[[str, str | None, list[worker_port.Stop]], None]
 
 
 class WorkerLink:
@@ -39,7 +39,7 @@
     def __init__(
         self,
         worker: str,
-        port: orders.WorkerPort,
+        port: worker_port.WorkerPort,
         epoch: int,
         book: work.PoolState,
         times: clock.Clock,
@@ -125,18 +125,20 @@
             self._epoch, self._seen, until_ms, wait_s
         )
         match result:
-            case orders.Report():
+            case worker_port.Report():
                 await self._take_report(result, now)
-            case orders.Rejected(orders.RejectionReason.FENCED):
+            case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.worker}")
-            case orders.Rejected(
-                orders.RejectionReason.OTHER_INCARNATION, _, other
+            case worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION, _, other
             ):
                 self._leave(other)
             case _:
                 await self._take_silence()
 
-    async def _take_report(self, report: orders.Report, sent_at: float) -> None:
+    async def _take_report(
+        self, report: worker_port.Report, sent_at: float
+    ) -> None:
         now = self._times.steady()
         self.lease.note(report.clock_ms, now)
         work.apply_report(self._book, self.worker, report, sent_at, now)
@@ -174,7 +176,7 @@
 
     # Orders.
 
-    async def start(self, order: orders.Start) -> None:
+    async def start(self, order: worker_port.Start) -> None:
         """Deliver a start; afterwards the book knows how it went.
 
         Raises:
@@ -192,26 +194,26 @@
             )
             now = self._times.steady()
             match result:
-                case orders.Accepted(clock_ms):
+                case worker_port.Accepted(clock_ms):
                     self.lease.note(clock_ms, now)
                     self._book.note_started(order.key, order.run, now)
                     self._note_if_leaving(order)
                     self.wake()
                     self._changed()
                     return
-                case orders.Rejected(orders.RejectionReason.FENCED):
+                case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                     raise journals.DeposedError(f"fenced by {self.worker}")
-                case orders.Rejected(
-                    orders.RejectionReason.OTHER_INCARNATION, _, other
+                case worker_port.Rejected(
+                    worker_port.RejectionReason.OTHER_INCARNATION, _, other
                 ):
                     self._leave(other)
                     return
-                case orders.Rejected(why):
+                case worker_port.Rejected(why):
                     if not maybe_begun:
                         self._reject(order, str(why))
                         return
                     break
-                case orders.NoAnswer(cause, maybe_done):
+                case worker_port.NoAnswer(cause, maybe_done):
                     maybe_begun = maybe_begun or maybe_done
                     if maybe_done:
                         self._book.note_maybe_started(order.key, order.run)
@@ -227,7 +229,7 @@
                         await trio.sleep(_RETRY_S)
         await self._give_up(order, maybe_begun)
 
-    def _is_wanted(self, order: orders.Start) -> bool:
+    def _is_wanted(self, order: worker_port.Start) -> bool:
         """Tell whether an order may be sent, or sent again.
 
         Not to a worker that drains or shrinks meanwhile: a start that was
@@ -247,7 +249,7 @@
             and self._may_start(self._times.steady())
         )
 
-    def _note_if_leaving(self, order: orders.Start) -> None:
+    def _note_if_leaving(self, order: worker_port.Start) -> None:
         """Tell of a start that crossed the word that its worker leaves."""
         held = self._book.workers.get(self.worker)
         if held is not None and held.was_draining:
@@ -258,12 +260,14 @@
                 worker=self.worker,
             )
 
-    def _reject(self, order: orders.Start, why: str) -> None:
+    def _reject(self, order: worker_port.Start, why: str) -> None:
         now = self._times.steady()
         self._book.note_never_started(order.key, order.run, why, now)
         self._changed()
 
-    async def _give_up(self, order: orders.Start, maybe_begun: bool) -> None:
+    async def _give_up(
+        self, order: worker_port.Start, maybe_begun: bool
+    ) -> None:
         """Settle a start that nobody has confirmed.
 
         It may still be carried out. A stop that is answered keeps it from
@@ -293,11 +297,11 @@
         for order in self._unanswered.list_stops(self.worker, now):
             await self.stop(order)
 
-    def _is_current(self, order: orders.Stop) -> bool:
+    def _is_current(self, order: worker_port.Stop) -> bool:
         run = self._book.runs.get(order.key)
         return run is not None and run.number == order.run
 
-    async def stop(self, order: orders.Stop) -> None:
+    async def stop(self, order: worker_port.Stop) -> None:
         """Deliver a stop; repeated until it is answered or has no object.
 
         A run that the book doesn't know, such as one of a cancelled job that
@@ -311,15 +315,15 @@
         while not self._gone:
             result = await self._port.stop(self._epoch, order, _ORDER_TIMEOUT_S)
             match result:
-                case orders.Rejected(orders.RejectionReason.FENCED):
+                case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                     raise journals.DeposedError(f"fenced by {self.worker}")
-                case orders.Accepted(clock_ms):
+                case worker_port.Accepted(clock_ms):
                     now = self._times.steady()
                     self.lease.note(clock_ms, now)
                     await self._settle_stop(order, now)
                     return
-                case orders.Rejected(
-                    orders.RejectionReason.OTHER_INCARNATION, _, other
+                case worker_port.Rejected(
+                    worker_port.RejectionReason.OTHER_INCARNATION, _, other
                 ):
                     self._leave(other)
                     return
@@ -330,7 +334,7 @@
             self.wake()
             await trio.sleep(_RETRY_S)
 
-    async def pace(self, order: orders.Pace) -> None:
+    async def pace(self, order: worker_port.Pace) -> None:
         """Deliver a pace once; the next decision repeats what was lost.
 
         Raises:
@@ -339,15 +343,15 @@
         result = await self._port.pace(self._epoch, order, _ORDER_TIMEOUT_S)
         now = self._times.steady()
         match result:
-            case orders.Accepted():
+            case worker_port.Accepted():
                 self._book.note_paced(order.key, order.run, order.percent, now)
                 log("run:paced", task=order.key, percent=order.percent)
-            case orders.Rejected(orders.RejectionReason.FENCED):
+            case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.worker}")
             case _:
                 log("run:not-paced", task=order.key, answer=str(result))
 
-    async def _settle_stop(self, order: orders.Stop, now: float) -> None:
+    async def _settle_stop(self, order: worker_port.Stop, now: float) -> None:
         run = self._book.runs.get(order.key)
         ours = run is not None and run.number == order.run
         if run is not None and ours and run.confirmed_at is None:
--- a/crocusrouter/pools/listing.py
+++ b/crocusrouter/pools/listing.py
@@ -11,13 +11,13 @@
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # Workers write every 1.5 s; with this pause their changes share calls.
 _PACE_S = 0.4
 
-ParseWorker = Callable[[str, bytes], orders.WorkerEntry | None]
+ParseWorker = Callable[[str, bytes], worker_port.WorkerEntry | None]
 
 
 @dataclasses.dataclass(frozen=True)
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -27,7 +27,7 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # Events that arrive within this time share one decision.
 _GATHER_S = 0.002
@@ -49,7 +49,7 @@
     "worker:restarted": "worker-restarted",
 }
 
-OpenConnection = Callable[[str, str], orders.Connection]
+OpenConnection = Callable[[str, str], worker_port.Connection]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -71,7 +71,7 @@
     parse_worker: listing.ParseWorker
     open_connection: OpenConnection
     keep_jobs_s: float = 600.0
-    make_policy: Callable[[], orders.PolicyPort] | None = None
+    make_policy: Callable[[], worker_port.PolicyPort] | None = None
     upkeeping: upkeep.Upkeeping | None = None
 
 
@@ -255,7 +255,7 @@
         self._nursery.start_soon(self._run_link, worker, link)
 
     def _take_replaced(
-        self, worker: str, other: str | None, stops: list[orders.Stop]
+        self, worker: str, other: str | None, stops: list[worker_port.Stop]
     ) -> None:
         """Note that another incarnation answers in place of one.
 
@@ -375,7 +375,7 @@
         found = self.book.find_tracked_step(work.TaskKey(*placement.step, 0))
         assert found is not None
         shared = self._take_number()
-        started: list[tuple[links.WorkerLink, orders.Start]] = []
+        started: list[tuple[links.WorkerLink, worker_port.Start]] = []
         for index, worker in placement.spots.items():
             number = shared if found.step.gang else self._take_number()
             key = work.TaskKey(*placement.step, index)
@@ -383,7 +383,7 @@
                 key, number, worker, now, is_trial=placement.is_trial
             )
             ticket = found.permits.find_ticket(worker, now)
-            order = orders.Start(
+            order = worker_port.Start(
                 key, number, held.job.payload, run.checkpoint, ticket
             )
             started.append((self._links[worker], order))
@@ -404,14 +404,14 @@
         )
 
     def _send_starts(
-        self, started: list[tuple[links.WorkerLink, orders.Start]]
+        self, started: list[tuple[links.WorkerLink, worker_port.Start]]
     ) -> None:
         assert self._nursery is not None
         for link, order in started:
             self._nursery.start_soon(link.start, order)
 
     async def _start_parked(
-        self, started: list[tuple[links.WorkerLink, orders.Start]]
+        self, started: list[tuple[links.WorkerLink, worker_port.Start]]
     ) -> None:
         """Send starts once a successor would know that the job may run."""
         job_id = started[0][1].key.job
@@ -443,7 +443,7 @@
             if link is not None:
                 # Sent again only when this one can have been answered.
                 run.paced_at = now
-                order = orders.Pace(run.key, run.number, percent)
+                order = worker_port.Pace(run.key, run.number, percent)
                 self._nursery.start_soon(link.pace, order)
 
     def _write_log(self) -> None:
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -15,8 +15,8 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 _TICK_S = 0.25
 
@@ -120,13 +120,13 @@
         return []
 
 
-def _make_entry(name: str, pool: str, address: str) -> orders.WorkerEntry:
+def _make_entry(name: str, pool: str, address: str) -> worker_port.WorkerEntry:
     """Describe a worker of which only its address is known.
 
     It is not listed and gets nothing, but it doesn't drain: after an outage
     in which all entries lapsed, 17 of 22 workers were taken for draining, and
     15 got nothing any more although they were listed again within a second.
     """
-    return orders.WorkerEntry(
+    return worker_port.WorkerEntry(
         name, pool, address, "", False, work.Room(), frozenset()
     )
--- a/crocusrouter/pools/tests/test_advisor.py
+++ b/crocusrouter/pools/tests/test_advisor.py
@@ -5,7 +5,7 @@
 from crocusrouter import work
 from crocusrouter.pools import advisor
 from crocusrouter.pools import clock
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 
@@ -18,7 +18,7 @@
     async def advise(self, step, workers, timeout_s):
         self.asked.append(workers)
         tickets = {worker: f"for {worker}" for worker in (*workers, "w9")}
-        return orders.PolicyAnswer(tickets, 3.0)
+        return worker_port.PolicyAnswer(tickets, 3.0)
 
     async def aclose(self):
         pass
--- a/crocusrouter/pools/tests/test_connections.py
+++ b/crocusrouter/pools/tests/test_connections.py
@@ -5,12 +5,12 @@
 
 from crocusrouter import work
 from crocusrouter.pools import connections
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 _KEY = work.TaskKey("00000000000000aa", 0, 0, 0)
-_START = orders.Start(_KEY, 7, "")
-_STOP = orders.Stop(_KEY, 7)
-_PACE = orders.Pace(_KEY, 7, 50)
+_START = worker_port.Start(_KEY, 7, "")
+_STOP = worker_port.Stop(_KEY, 7)
+_PACE = worker_port.Pace(_KEY, 7, 50)
 
 
 class _Worker:
@@ -44,22 +44,22 @@
             self._process = self._worker.process
         if self._process != self._worker.process or self._worker.silent:
             self.is_open = False
-            return orders.NoAnswer("broken")
+            return worker_port.NoAnswer("broken")
         self._worker.sent.append(what)
         return answer
 
     async def hold(self, epoch, seen, until_ms, wait_s):
-        report = orders.Report(1, (), (), self._worker.born_ms)
+        report = worker_port.Report(1, (), (), self._worker.born_ms)
         return await self._call(("hold", seen, until_ms, wait_s), report)
 
     async def start(self, epoch, order, until_ms, timeout_s):
-        return await self._call(order, orders.Accepted(1))
+        return await self._call(order, worker_port.Accepted(1))
 
     async def stop(self, epoch, order, timeout_s):
-        return await self._call(order, orders.Accepted(1))
+        return await self._call(order, worker_port.Accepted(1))
 
     async def pace(self, epoch, order, timeout_s):
-        return await self._call(order, orders.Accepted(1))
+        return await self._call(order, worker_port.Accepted(1))
 
     async def aclose(self):
         self.is_open = False
@@ -74,9 +74,9 @@
 
 async def _send(port, order):
     match order:
-        case orders.Start():
+        case worker_port.Start():
             return await port.start(1, order, 9000, 0.3)
-        case orders.Stop():
+        case worker_port.Stop():
             return await port.stop(1, order, 0.3)
     return await port.pace(1, order, 0.3)
 
@@ -104,8 +104,8 @@
         await port.hold(1, 0, None, 0.0)
     worker.restart(born_ms=7)
     answers = [await _send(port, order) for _ in range(2)]
-    assert answers[-1] == orders.Rejected(
-        orders.RejectionReason.OTHER_INCARNATION, 1, "w0@7"
+    assert answers[-1] == worker_port.Rejected(
+        worker_port.RejectionReason.OTHER_INCARNATION, 1, "w0@7"
     )
     assert order not in worker.sent
 
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("order", [_START, _STOP, _PACE])
 async def test_order_follows_a_look_on_a_new_connection(order, autojump_clock):
     worker = _Worker()
-    assert await _send(_open(worker), order) == orders.Accepted(1)
+    assert await _send(_open(worker), order) == worker_port.Accepted(1)
     assert worker.sent == [_FIRST_LOOK, order]
 
 
@@ -150,7 +150,7 @@
     async def hang(*_):
         await trio.sleep(0.35)
         slow.is_open = False
-        return orders.NoAnswer("lost")
+        return worker_port.NoAnswer("lost")
 
     slow.start = hang
     async with trio.open_nursery() as nursery:
@@ -177,12 +177,12 @@
     """A process that tells no start is nobody's where others tell theirs."""
     answer = await _open(_Worker(born_ms), incarnation).hold(1, 0, None, 0.0)
     match answer:
-        case orders.Report():
+        case worker_port.Report():
             assert expected == incarnation
-        case orders.Rejected(why, _, other):
-            assert why is orders.RejectionReason.OTHER_INCARNATION
+        case worker_port.Rejected(why, _, other):
+            assert why is worker_port.RejectionReason.OTHER_INCARNATION
             assert other == expected != incarnation
-        case orders.NoAnswer():
+        case worker_port.NoAnswer():
             assert expected is None
 
 
@@ -191,7 +191,7 @@
     worker = _Worker()
     worker.silent = True
     answer = await _send(_open(worker), _START)
-    assert answer == orders.NoAnswer("broken", maybe_done=False)
+    assert answer == worker_port.NoAnswer("broken", maybe_done=False)
 
 
 async def test_unanswered_orders_leave_room_for_looks(autojump_clock):
@@ -205,7 +205,7 @@
 
     async def hang(*_):
         await trio.sleep(5.0)
-        return orders.NoAnswer("lost")
+        return worker_port.NoAnswer("lost")
 
     connection = worker.open()
     connection.start = hang
@@ -216,8 +216,10 @@
             nursery.start_soon(start)
         await trio.sleep(0.1)
         with trio.fail_after(0.1):
-            assert isinstance(await port.hold(1, 0, None, 0.0), orders.Report)
-    assert orders.NoAnswer("all connections are busy", False) in started
+            assert isinstance(
+                await port.hold(1, 0, None, 0.0), worker_port.Report
+            )
+    assert worker_port.NoAnswer("all connections are busy", False) in started
 
 
 async def test_connection_in_use_is_closed_after_its_answer(autojump_clock):
--- a/crocusrouter/pools/tests/test_links.py
+++ b/crocusrouter/pools/tests/test_links.py
@@ -9,13 +9,13 @@
 from crocusrouter.pools import clock
 from crocusrouter.pools import links
 from crocusrouter.pools import unanswered
-from crocusrouter.work import orders
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 _WORKER = "w0"
-_SILENT = orders.NoAnswer("lost", maybe_done=True)
-_NOT_SENT = orders.NoAnswer("refused", maybe_done=False)
+_SILENT = worker_port.NoAnswer("lost", maybe_done=True)
+_NOT_SENT = worker_port.NoAnswer("refused", maybe_done=False)
 
 
 class _Port:
@@ -28,7 +28,9 @@
     async def _answer(self, order):
         self.sent.append(order)
         await trio.sleep(0.01)
-        return self.answers.pop(0) if self.answers else orders.Accepted(1000)
+        return (
+            self.answers.pop(0) if self.answers else worker_port.Accepted(1000)
+        )
 
     async def start(self, epoch, order, until_ms, timeout_s):
         return await self._answer(order)
@@ -38,7 +40,7 @@
 
     async def hold(self, epoch, seen, until_ms, wait_s):
         await trio.sleep(0.01)
-        return orders.Report(1000, (), ())
+        return worker_port.Report(1000, (), ())
 
     async def aclose(self):
         pass
@@ -86,7 +88,7 @@
     port = _Port(*[_SILENT] * lost)
     _, link = _make_link(port)
     key = work.TaskKey("00000000000000aa", 0, 0, 0)
-    await link.stop(orders.Stop(key, 7))
+    await link.stop(worker_port.Stop(key, 7))
     assert len(port.sent) == lost + 1
 
 
@@ -96,7 +98,7 @@
     _, link = _make_link(port)
     key = work.TaskKey("00000000000000aa", 0, 0, 0)
     with trio.fail_after(20.0):
-        await link.stop(orders.Stop(key, 7))
+        await link.stop(worker_port.Stop(key, 7))
 
 
 @pytest.mark.parametrize(
@@ -116,7 +118,7 @@
     key = work.TaskKey(job.id, 0, 0, 0)
     run = book.add_run(key, 7, _WORKER, 0.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(link.start, orders.Start(key, 7, "", ""))
+        nursery.start_soon(link.start, worker_port.Start(key, 7, "", ""))
         await trio.sleep(0.025)
         entry = book.workers[_WORKER].entry
         book.set_worker(dataclasses.replace(entry, draining=True), 0.0)
@@ -144,7 +146,7 @@
     key = work.TaskKey(job.id, 0, 0, 0)
     book.add_run(key, 7, _WORKER, 0.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(link.start, orders.Start(key, 7, "", ""))
+        nursery.start_soon(link.start, worker_port.Start(key, 7, "", ""))
         await trio.sleep(0.005)
         entry = book.workers[_WORKER].entry
         book.set_worker(dataclasses.replace(entry, draining=leaves), 0.0)
@@ -164,7 +166,7 @@
     book.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
     book.add_run(key, 7, _WORKER, 0.0)
-    await link.start(orders.Start(key, 7, "", ""))
+    await link.start(worker_port.Start(key, 7, "", ""))
     assert port.sent == []
     assert book.find_tracked_step(key).waiting_indices == {0}
 
@@ -179,7 +181,7 @@
     key = work.TaskKey(job.id, 0, 0, 0)
     book.add_run(key, 7, _WORKER, 0.0)
     with trio.fail_after(5.0):
-        await link.start(orders.Start(key, 7, "", ""))
+        await link.start(worker_port.Start(key, 7, "", ""))
     assert 2 <= len(port.sent) <= 10
     assert book.find_tracked_step(key).waiting_indices == {0}
 
@@ -197,5 +199,5 @@
     book.add_run(member, 7, _WORKER, 0.0)
     book.add_run(other, 7, "w1", 0.0)
     book.note_started(other, 7, 0.0)
-    await link.start(orders.Start(member, 7, "", ""))
+    await link.start(worker_port.Start(member, 7, "", ""))
     assert book.runs[other].phase is tracking.Phase.STOPPING
--- a/crocusrouter/pools/tests/test_unanswered.py
+++ b/crocusrouter/pools/tests/test_unanswered.py
@@ -2,7 +2,7 @@
 
 from crocusrouter import work
 from crocusrouter.pools import unanswered
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 _KEY = work.TaskKey("00000000000000aa", 0, 0, 0)
 
@@ -18,14 +18,14 @@
 )
 def test_who_may_carry_out_a_start_late(incarnation, at, expected):
     starts = unanswered.UnansweredStarts()
-    starts.note(orders.Start(_KEY, 7, ""), "w0@5", 1.0)
+    starts.note(worker_port.Start(_KEY, 7, ""), "w0@5", 1.0)
     stops = starts.list_stops(incarnation, at)
-    assert stops == [orders.Stop(_KEY, run) for run in expected]
+    assert stops == [worker_port.Stop(_KEY, run) for run in expected]
 
 
 @pytest.mark.parametrize(("at", "settled"), [(1.0, False), (30.0, True)])
 def test_old_starts_are_forgotten(at, settled):
     starts = unanswered.UnansweredStarts()
     assert starts.is_settled(0.0)
-    starts.note(orders.Start(_KEY, 7, ""), "w0@5", 1.0)
+    starts.note(worker_port.Start(_KEY, 7, ""), "w0@5", 1.0)
     assert starts.is_settled(at) is settled
--- a/crocusrouter/pools/unanswered.py
+++ b/crocusrouter/pools/unanswered.py
@@ -6,7 +6,7 @@
 """
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # Longest time after which an order without an answer is carried out.
 _LATEST_S = 15.0
@@ -18,7 +18,9 @@
     def __init__(self) -> None:
         self._sent: dict[tuple[work.TaskKey, int], tuple[str, float]] = {}
 
-    def note(self, order: orders.Start, incarnation: str, now: float) -> None:
+    def note(
+        self, order: worker_port.Start, incarnation: str, now: float
+    ) -> None:
         """Note that an incarnation has not answered a start.
 
         Args:
@@ -29,7 +31,9 @@
         self._drop_old(now)
         self._sent[order.key, order.run] = incarnation, now
 
-    def list_stops(self, incarnation: str, now: float) -> list[orders.Stop]:
+    def list_stops(
+        self, incarnation: str, now: float
+    ) -> list[worker_port.Stop]:
         """Return the stops that an incarnation has to answer.
 
         Args:
@@ -38,7 +42,7 @@
         """
         self._drop_old(now)
         return [
-            orders.Stop(key, run)
+            worker_port.Stop(key, run)
             for (key, run), (sent_to, _) in self._sent.items()
             if sent_to != incarnation
         ]
--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -19,9 +19,9 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
 from crocusrouter.work import upkeep
 from crocusrouter.work import vms as vm_port
+from crocusrouter.work import worker_port
 
 _TICK_S = 0.5
 # An earlier owner's order may be on its way for this long after it was
@@ -146,7 +146,7 @@
         vms = meeting.make_vms()
         try:
             listed = await vms.list_vms()
-            if isinstance(listed, orders.NoAnswer):
+            if isinstance(listed, worker_port.NoAnswer):
                 log("vms:no-answer", cause=listed.cause)
                 return
             listed = self._name_incarnations(listed)
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -14,11 +14,11 @@
 from collections.abc import Iterable
 
 from crocusrouter.work import model
-from crocusrouter.work import orders
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import replacement
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # A run that has worked for this long did not cause a crash of its worker.
 _CLEARED_AFTER_S = 60.0
@@ -81,7 +81,7 @@
     worker_id: str,
     now: float,
     successor: str | None = None,
-    late_stops: Iterable[orders.Stop] = (),
+    late_stops: Iterable[worker_port.Stop] = (),
 ) -> None:
     """Record that another incarnation answers in place of a worker's.
 
--- a/crocusrouter/work/pool_state.py
+++ b/crocusrouter/work/pool_state.py
@@ -9,15 +9,15 @@
 from collections.abc import Iterable
 
 from crocusrouter.work import model
-from crocusrouter.work import orders
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import stop_durations
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # Pause before a failed task starts again, so that a task which fails at once
 # does not use up its attempts during a short disturbance of the workers.
 RETRY_PAUSE_S = 0.3
-WorkerStop = tuple[str, orders.Stop]
+WorkerStop = tuple[str, worker_port.Stop]
 
 
 class PoolState:
@@ -229,7 +229,7 @@
 
     # Workers.
 
-    def set_worker(self, entry: orders.WorkerEntry, now: float) -> bool:
+    def set_worker(self, entry: worker_port.WorkerEntry, now: float) -> bool:
         """Record a worker as the platform lists it.
 
         Returns:
@@ -349,7 +349,7 @@
                 ran_s=round((worker.silent_since or now) - run.ordered_at, 3),
             )
             self.drop_run(run)
-            self.requeue(run, orders.RunOutcome.LAPSED, now)
+            self.requeue(run, worker_port.RunOutcome.LAPSED, now)
         worker.all_runs_ended = True
         return lost_runs
 
@@ -446,7 +446,9 @@
             ran_s=round(now - run.ordered_at, 3),
             left_s=round(leaves_at - now, 3) if leaves_at is not None else None,
         )
-        self.outbox.append((run.worker_id, orders.Stop(run.key, run.number)))
+        self.outbox.append(
+            (run.worker_id, worker_port.Stop(run.key, run.number))
+        )
 
     def note_stopped(self, run: tracking.Run, now: float) -> None:
         """Update the estimate of stop durations; log when it rises."""
@@ -507,14 +509,14 @@
             why=reason,
         )
         self.drop_run(run)
-        self.requeue(run, orders.RunOutcome.STOPPED, now)
+        self.requeue(run, worker_port.RunOutcome.STOPPED, now)
         tracked_step = self.find_tracked_step(key)
         if tracked_step is None:
             return
         tracked_step.not_before = max(
             tracked_step.not_before, now + RETRY_PAUSE_S
         )
-        if reason == orders.RejectionReason.NO_TICKET:
+        if reason == worker_port.RejectionReason.NO_TICKET:
             tracked_step.permits.drop_ticket(run.worker_id)
         else:
             tracked_step.avoided_workers.add(run.worker_id)
@@ -530,7 +532,7 @@
             tracked_step.waiting_indices.add(key.position)
 
     def requeue(
-        self, run: tracking.Run, outcome: orders.RunOutcome, now: float
+        self, run: tracking.Run, outcome: worker_port.RunOutcome, now: float
     ) -> None:
         """Let a task wait again after a run that has not succeeded."""
         tracked_step = self.find_tracked_step(run.key)
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 import dataclasses
 
-from crocusrouter.work import orders
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 
 def add_successor(
@@ -43,7 +43,7 @@
     worker_id: str,
     now: float,
     successor: str | None = None,
-    late_stops: Iterable[orders.Stop] = (),
+    late_stops: Iterable[worker_port.Stop] = (),
 ) -> None:
     """Record that another incarnation answers in place of a worker's.
 
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -2,19 +2,21 @@
 
 from crocusrouter.work import crashes
 from crocusrouter.work import model
-from crocusrouter.work import orders
 from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import tracking
 from crocusrouter.work import worker_failures
+from crocusrouter.work import worker_port
 
 # These ends are caused by the task itself and leave its worker running.
-_ENDS_BY_TASK = frozenset({orders.RunOutcome.DONE, orders.RunOutcome.FAILED})
+_ENDS_BY_TASK = frozenset(
+    {worker_port.RunOutcome.DONE, worker_port.RunOutcome.FAILED}
+)
 
 
 def apply_report(
     pool_state: pool_states.PoolState,
     worker_id: str,
-    report: orders.Report,
+    report: worker_port.Report,
     sent_at: float,
     now: float,
 ) -> None:
@@ -63,7 +65,7 @@
 def _apply_running(
     pool_state: pool_states.PoolState,
     worker: tracking.Worker,
-    reported_run: orders.ReportedRun,
+    reported_run: worker_port.ReportedRun,
     now: float,
 ) -> None:
     """Update a run, adopt it after a takeover, or stop it as a stray."""
@@ -102,7 +104,7 @@
         return
     worker.stray_runs.add((reported_run.key, reported_run.run))
     pool_state.outbox.append(
-        (worker_id, orders.Stop(reported_run.key, reported_run.run))
+        (worker_id, worker_port.Stop(reported_run.key, reported_run.run))
     )
     pool_state.note(
         "run:stray",
@@ -127,7 +129,7 @@
 def _drop_missing_runs(
     pool_state: pool_states.PoolState,
     worker: tracking.Worker,
-    running_by_key: dict[model.TaskKey, orders.ReportedRun],
+    running_by_key: dict[model.TaskKey, worker_port.ReportedRun],
     sent_at: float,
     now: float,
 ) -> None:
@@ -154,13 +156,13 @@
             noted=worker.last_end_number,
         )
         pool_state.drop_run(run)
-        pool_state.requeue(run, orders.RunOutcome.LAPSED, now)
+        pool_state.requeue(run, worker_port.RunOutcome.LAPSED, now)
 
 
 def _apply_end(
     pool_state: pool_states.PoolState,
     worker_id: str,
-    run_end: orders.RunEnd,
+    run_end: worker_port.RunEnd,
     now: float,
 ) -> None:
     """Record the end of a run."""
@@ -178,7 +180,10 @@
     if is_current and run is not None:
         run.checkpoint = run_end.checkpoint or run.checkpoint
         pool_state.drop_run(run)
-        if run_end.outcome is orders.RunOutcome.STOPPED and run.stop_ordered_at:
+        if (
+            run_end.outcome is worker_port.RunOutcome.STOPPED
+            and run.stop_ordered_at
+        ):
             pool_state.note_stopped(run, now)
     if tracked_job is None or tracked_step is None:
         return
@@ -194,12 +199,12 @@
     )
     if run_end.outcome in _ENDS_BY_TASK:
         crashes.clear_working_step(pool_state, tracked_step, key.position)
-    if run_end.outcome is orders.RunOutcome.DONE:
+    if run_end.outcome is worker_port.RunOutcome.DONE:
         _apply_success(
             pool_state, tracked_job, tracked_step, key, worker_id, now
         )
         return
-    if run_end.outcome is orders.RunOutcome.FAILED:
+    if run_end.outcome is worker_port.RunOutcome.FAILED:
         _apply_failure(
             pool_state, tracked_job, tracked_step, run_end, worker_id, now
         )
@@ -243,7 +248,7 @@
     pool_state: pool_states.PoolState,
     tracked_job: tracking.TrackedJob,
     tracked_step: tracking.TrackedStep,
-    run_end: orders.RunEnd,
+    run_end: worker_port.RunEnd,
     worker_id: str,
     now: float,
 ) -> None:
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -3,8 +3,8 @@
 import dataclasses
 
 from crocusrouter import work
-from crocusrouter.work import orders
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 WALL = 1_000_000.0
 
@@ -32,7 +32,7 @@
 
 
 def make_entry(worker_id, rack="r0-0", gpu=8, **overrides):
-    entry = orders.WorkerEntry(
+    entry = worker_port.WorkerEntry(
         worker_id,
         "p",
         f"{worker_id}:1",
@@ -101,7 +101,7 @@
     """
     worker = pool_state.workers[worker_id]
     ended = tuple(
-        orders.RunEnd(
+        worker_port.RunEnd(
             worker.last_end_number + offset + 1,
             key,
             pool_state.runs[key].number,
@@ -112,11 +112,11 @@
     ended_keys = {key for key, _ in ends}
     if running is None:
         running = tuple(
-            orders.ReportedRun(key, pool_state.runs[key].number)
+            worker_port.ReportedRun(key, pool_state.runs[key].number)
             for key in worker.runs
             if key not in ended_keys
             and pool_state.runs[key].phase is not tracking.Phase.ORDERED
         )
-    report = orders.Report(0, running, ended)
+    report = worker_port.Report(0, running, ended)
     asked_at = now if sent_at is None else sent_at
     work.apply_report(pool_state, worker_id, report, asked_at, now)
--- a/crocusrouter/work/tests/test_policy_questions.py
+++ b/crocusrouter/work/tests/test_policy_questions.py
@@ -1,7 +1,7 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 _STEP_KEY = work.StepKey("j", 0, 0)
@@ -100,6 +100,6 @@
     key = work.TaskKey(*_STEP_KEY, 0)
     number = pool_state.runs[key].number
     pool_state.note_never_started(
-        key, number, orders.RejectionReason.NO_TICKET, 0.0
+        key, number, worker_port.RejectionReason.NO_TICKET, 0.0
     )
     assert work.choose_question(pool_state, 1.0, build.WALL).workers == ("w0",)
--- a/crocusrouter/work/tests/test_pool_state.py
+++ b/crocusrouter/work/tests/test_pool_state.py
@@ -1,12 +1,12 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.work import orders
 from crocusrouter.work import replacement
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
-HOW = orders.RunOutcome
+HOW = worker_port.RunOutcome
 
 
 def _key(job, index=0, step=0, occurrence=0):
@@ -63,8 +63,10 @@
         job, work.parse_progress(work.dump_progress(progress)), 2, 0.0
     )
     successor.open_due_occurrences(build.WALL, 0.0)
-    ended = orders.RunEnd(3, _key("j"), 7, HOW.FAILED)
-    work.apply_report(successor, "w0", orders.Report(0, (), (ended,)), 0.0, 0.0)
+    ended = worker_port.RunEnd(3, _key("j"), 7, HOW.FAILED)
+    work.apply_report(
+        successor, "w0", worker_port.Report(0, (), (ended,)), 0.0, 0.0
+    )
     assert pool_state.jobs["j"].progress.final_state is None
     assert successor.jobs["j"].progress.final_state is None
 
@@ -130,8 +132,8 @@
     cancelled_job = build.make_job("x", build.make_step(1), cancelled=True)
     pool_state = build.make_pool_state(job, cancelled_job)
     running = (
-        orders.ReportedRun(_key("j"), 5),
-        orders.ReportedRun(_key("x"), 6),
+        worker_port.ReportedRun(_key("j"), 5),
+        worker_port.ReportedRun(_key("x"), 6),
     )
     build.apply_report(pool_state, "w0", running=running)
     assert pool_state.runs[_key("j")].number == 5
@@ -219,10 +221,10 @@
         interval_s=50.0,
     )
     pool_state.put_job(job, work.Progress(), 2, 0.0)
-    running = () if how else (orders.ReportedRun(_key("j"), 5),)
-    ended = (orders.RunEnd(1, _key("j"), 5, how),) if how else ()
+    running = () if how else (worker_port.ReportedRun(_key("j"), 5),)
+    ended = (worker_port.RunEnd(1, _key("j"), 5, how),) if how else ()
     work.apply_report(
-        pool_state, "w0", orders.Report(0, running, ended), 0.0, 0.0
+        pool_state, "w0", worker_port.Report(0, running, ended), 0.0, 0.0
     )
     pool_state.open_due_occurrences(build.WALL + 9, 9.0)
     assert pool_state.outbox == []
@@ -276,10 +278,10 @@
     cancelled_job = build.make_job("c", build.make_step(), cancelled=True)
     pool_state = build.make_pool_state(cancelled_job, workers=("w0",))
     build.add_job(pool_state, build.make_job("j", build.make_step(gpu=8)))
-    stray = orders.ReportedRun(_key("c"), 7)
+    stray = worker_port.ReportedRun(_key("c"), 7)
     build.apply_report(pool_state, "w0", running=(stray,))
     assert [order for _, order in pool_state.outbox] == [
-        orders.Stop(_key("c"), 7)
+        worker_port.Stop(_key("c"), 7)
     ]
     assert build.apply_plan(pool_state, 1.0).placements == []
     build.apply_report(pool_state, "w0", running=(), now=1.2)
@@ -318,8 +320,10 @@
     progress.get(1, 0).done.add(0)
     pool_state = build.make_pool_state(workers=("w0",))
     pool_state.put_job(job, progress, 2, 0.0)
-    end = orders.RunEnd(1, _key("j"), 7, HOW.DONE)
-    work.apply_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
+    end = worker_port.RunEnd(1, _key("j"), 7, HOW.DONE)
+    work.apply_report(
+        pool_state, "w0", worker_port.Report(0, (), (end,)), 1.0, 1.0
+    )
     assert pool_state.jobs["j"].progress.final_state is None
     pool_state.open_due_occurrences(build.WALL + 5.0, 1.1)
     assert pool_state.jobs["j"].progress.final_state is work.State.DONE
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -3,8 +3,8 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.work import orders
 from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 _OLD_WORKER = "w0@5"
@@ -22,7 +22,7 @@
     for key in late_tasks:
         pool_state.runs[key].maybe_started = True
     stops = [
-        orders.Stop(key, pool_state.runs[key].number) for key in late_tasks
+        worker_port.Stop(key, pool_state.runs[key].number) for key in late_tasks
     ]
     work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
     work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, stops)
@@ -70,7 +70,7 @@
 def test_late_start_that_was_carried_out_is_not_adopted():
     """The worker was told to stop the run; the task waits after its end."""
     pool_state = _restart(build.make_step(1), (_FIRST_TASK,))
-    reported_run = orders.ReportedRun(
+    reported_run = worker_port.ReportedRun(
         _FIRST_TASK, pool_state.runs[_FIRST_TASK].number
     )
     build.apply_report(
@@ -80,7 +80,7 @@
     build.apply_report(
         pool_state,
         _NEW_WORKER,
-        (_FIRST_TASK, orders.RunOutcome.STOPPED),
+        (_FIRST_TASK, worker_port.RunOutcome.STOPPED),
         now=1.8,
     )
     assert pool_state.find_tracked_step(_FIRST_TASK).waiting_indices == {0}
@@ -99,7 +99,7 @@
     [other_member] = pool_state.workers["w1@5"].runs.values()
     member.maybe_started = True
     work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
-    stop = orders.Stop(member.key, member.number)
+    stop = worker_port.Stop(member.key, member.number)
     work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, [stop])
     assert other_member.phase is tracking.Phase.STOPPING
 
--- a/crocusrouter/work/tracking.py
+++ b/crocusrouter/work/tracking.py
@@ -4,9 +4,9 @@
 import enum
 
 from crocusrouter.work import model
-from crocusrouter.work import orders
 from crocusrouter.work import permit
 from crocusrouter.work import progress as progresses
+from crocusrouter.work import worker_port
 
 # A task suspected of crashing its worker runs there alone for this long. Its
 # worker is polled once a second while it has runs, so a run that was seen to
@@ -99,7 +99,7 @@
             records, while the worker has not been reached; None for any job.
     """
 
-    entry: orders.WorkerEntry
+    entry: worker_port.WorkerEntry
     listed: bool = True
     reached: bool = False
     silent_since: float | None = None
--- a/crocusrouter/work/vms.py
+++ b/crocusrouter/work/vms.py
@@ -4,7 +4,7 @@
 import enum
 from typing import Protocol
 
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 
 class VmState(enum.StrEnum):
@@ -63,13 +63,13 @@
 class VmPort(Protocol):
     """The platform's control of VMs."""
 
-    async def list_vms(self) -> tuple[Vm, ...] | orders.NoAnswer:
+    async def list_vms(self) -> tuple[Vm, ...] | worker_port.NoAnswer:
         """Return all VMs."""
         ...
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
-    ) -> Upkeep | orders.NoAnswer:
+    ) -> Upkeep | worker_port.NoAnswer:
         """Take a VM down for its upkeep; everything that runs there ends.
 
         Args:
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -19,7 +19,7 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins.emulator import changes as change_rules
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
@@ -52,7 +52,7 @@
 _WALL = 1_700_000_000.0
 
 
-def _encode_worker(entry: orders.WorkerEntry, born_ms: int) -> bytes:
+def _encode_worker(entry: worker_port.WorkerEntry, born_ms: int) -> bytes:
     return orjson.dumps(
         dataclasses.asdict(entry)
         | {
@@ -63,7 +63,7 @@
     )
 
 
-def _parse_worker(key: str, value: bytes) -> orders.WorkerEntry | None:
+def _parse_worker(key: str, value: bytes) -> worker_port.WorkerEntry | None:
     try:
         fields = orjson.loads(value)
         fields["room"] = work.Room(*fields["room"])
@@ -71,7 +71,7 @@
         fields["id"] = incarnations.build_incarnation(
             fields["id"], fields.pop("born")
         )
-        return orders.WorkerEntry(**fields)
+        return worker_port.WorkerEntry(**fields)
     except (KeyError, TypeError, ValueError):
         return None
 
@@ -197,7 +197,7 @@
         self._start_worker(name, rack).start_anew(trio.current_time())
 
     def _start_worker(self, name: str, rack: str) -> workers.Worker:
-        entry = orders.WorkerEntry(
+        entry = worker_port.WorkerEntry(
             name,
             POOL,
             f"{name}:1",
@@ -292,12 +292,14 @@
         held = suspension.Suspendable(view, self.suspensions, name)
         return cast(port.KeyValueStore, held)
 
-    def _find_view(self, name: str) -> Callable[[str, str], orders.Connection]:
-        def open_view(incarnation: str, _: str) -> orders.Connection:
+    def _find_view(
+        self, name: str
+    ) -> Callable[[str, str], worker_port.Connection]:
+        def open_view(incarnation: str, _: str) -> worker_port.Connection:
             worker = incarnations.find_worker(incarnation)
             view = workers.WorkerView(lambda: self.workers[worker], name)
             held = suspension.Suspendable(view, self.suspensions, name)
-            return cast(orders.Connection, held)
+            return cast(worker_port.Connection, held)
 
         return open_view
 
--- a/standins/emulator/policy.py
+++ b/standins/emulator/policy.py
@@ -9,7 +9,7 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 _DECIDE_S = 0.05
 _PER_WORKER_S = 0.005
@@ -45,7 +45,7 @@
 
     async def answer(
         self, step: work.StepKey, workers: tuple[str, ...]
-    ) -> orders.PolicyAnswer:
+    ) -> worker_port.PolicyAnswer:
         """Answer one question after those that came before."""
         async with self._turn:
             self.questions += 1
@@ -57,7 +57,7 @@
                     ticket = f"{step} {worker} {until}"
                     self._until[ticket] = until
                     tickets[worker] = ticket
-            return orders.PolicyAnswer(tickets, _VALID_S)
+            return worker_port.PolicyAnswer(tickets, _VALID_S)
 
     def is_valid(self, ticket: str, step: work.StepKey, worker: str) -> bool:
         """Tell whether a start may carry this ticket now."""
@@ -73,7 +73,7 @@
 
     async def advise(
         self, step: work.StepKey, workers: tuple[str, ...], timeout_s: float
-    ) -> orders.PolicyAnswer | orders.NoAnswer:
+    ) -> worker_port.PolicyAnswer | worker_port.NoAnswer:
         """Ask which of some workers may run a step."""
         return await self._policy.answer(step, workers)
 
--- a/standins/emulator/tests/test_rooms.py
+++ b/standins/emulator/tests/test_rooms.py
@@ -4,7 +4,7 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins import emulator
 from standins.emulator import cluster as clusters
 from standins.emulator import faults
@@ -58,6 +58,6 @@
     worker.set_room(room, 0.0)
     await trio.sleep(shrunk_for_s - trio.current_time())
     until_ms = int(worker.read_clock()) + 5000
-    order = orders.Start(work.TaskKey("j", 0, 0, 0), 1, "")
-    assert isinstance(worker.begin(1, order, until_ms), orders.Accepted)
+    order = worker_port.Start(work.TaskKey("j", 0, 0, 0), 1, "")
+    assert isinstance(worker.begin(1, order, until_ms), worker_port.Accepted)
     assert len(held.oracle.broken) == broken
--- a/standins/emulator/vms.py
+++ b/standins/emulator/vms.py
@@ -9,8 +9,8 @@
 import orjson
 import trio
 
-from crocusrouter.work import orders
 from crocusrouter.work import vms
+from crocusrouter.work import worker_port
 from standins.emulator import oracle as oracles
 from standins.emulator import rules
 from standins.emulator import worker as workers
@@ -139,19 +139,19 @@
         self._vms = vms
         self._entry = entry
 
-    async def list_vms(self) -> tuple[vms.Vm, ...] | orders.NoAnswer:
+    async def list_vms(self) -> tuple[vms.Vm, ...] | worker_port.NoAnswer:
         """Return all VMs."""
         await trio.sleep(_ANSWER_S)
         return self._vms.list_all()
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
-    ) -> vms.Upkeep | orders.NoAnswer:
+    ) -> vms.Upkeep | worker_port.NoAnswer:
         """Take a VM down for its upkeep."""
         await trio.sleep(_ANSWER_S)
         answer = self._vms.begin(holder, epoch, vm)
         if self._vms.must_lose():
-            return orders.NoAnswer("lost")
+            return worker_port.NoAnswer("lost")
         return answer
 
     async def aclose(self) -> None:
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -7,7 +7,7 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
 
@@ -46,7 +46,7 @@
     works_from: float | None
     ends_at: float | None
     stops_at: float | None = None
-    how: orders.RunOutcome = orders.RunOutcome.DONE
+    how: worker_port.RunOutcome = worker_port.RunOutcome.DONE
     lasting: bool = False
     pace: int = 100
     crashes: bool = False
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        entry: orders.WorkerEntry,
+        entry: worker_port.WorkerEntry,
         oracle: oracles.Oracle,
         gangs: Gangs,
         policy: policies.Policy,
@@ -106,7 +106,7 @@
         self.fence = 0
         self.until_ms = 0.0
         self.tasks: dict[work.TaskKey, Task] = {}
-        self.ended: list[orders.RunEnd] = []
+        self.ended: list[worker_port.RunEnd] = []
         self.highest: dict[work.TaskKey, int] = {}
         self.numbers = 0
         self.noted = 0
@@ -138,12 +138,12 @@
             self._allow_again()
         for task in list(self.tasks.values()):
             if lapsed:
-                self._end(task, orders.RunOutcome.LAPSED, now)
+                self._end(task, worker_port.RunOutcome.LAPSED, now)
             elif task.stops_at is not None and now >= task.stops_at:
-                self._end(task, orders.RunOutcome.STOPPED, now)
+                self._end(task, worker_port.RunOutcome.STOPPED, now)
             elif task.works_from is None:
                 if now > task.began_at + oracles.GANG_S:
-                    self._end(task, orders.RunOutcome.ALONE, now)
+                    self._end(task, worker_port.RunOutcome.ALONE, now)
             elif task.ends_at is not None and now >= task.ends_at:
                 if task.crashes:
                     self._crash_under(task, now)
@@ -161,27 +161,27 @@
             if task.ends_at is not None:
                 task.ends_at += lost_s
 
-    def _end(self, task: Task, how: orders.RunOutcome, now: float) -> None:
+    def _end(self, task: Task, how: worker_port.RunOutcome, now: float) -> None:
         if self.tasks.get(task.key) is not task:
             return
         del self.tasks[task.key]
         self.numbers += 1
         self.highest[task.key] = task.run
         self.ended.append(
-            orders.RunEnd(self.numbers, task.key, task.run, how, "")
+            worker_port.RunEnd(self.numbers, task.key, task.run, how, "")
         )
         self.oracle.note_end(self.entry.id, task.key, task.run, how, now)
         self._news.set()
         self._news = trio.Event()
         step = self.oracle.jobs[task.key.job].steps[task.key.step]
-        if step.gang and how is not orders.RunOutcome.DONE:
+        if step.gang and how is not worker_port.RunOutcome.DONE:
             self._break_gang(task, now)
 
     def _break_gang(self, task: Task, now: float) -> None:
         for worker in self.gangs.list(task.key, task.run):
             for other in list(worker.tasks.values()):
                 if other.run == task.run and other.key[:3] == task.key[:3]:
-                    worker._end(other, orders.RunOutcome.BROKEN, now)
+                    worker._end(other, worker_port.RunOutcome.BROKEN, now)
 
     def crash_unanswered(self, key: work.TaskKey) -> bool:
         """Crash before the start of a task is answered, for some of those
@@ -218,7 +218,7 @@
         for ended in self.ended:
             if (
                 ended.number > self.noted
-                and ended.outcome is orders.RunOutcome.FAILED
+                and ended.outcome is worker_port.RunOutcome.FAILED
             ):
                 self.oracle.forget_failure(ended.key)
         self.ended.clear()
@@ -227,17 +227,17 @@
         for ended in self.ended:
             if (
                 ended.number > self.noted
-                and ended.outcome is orders.RunOutcome.DONE
+                and ended.outcome is worker_port.RunOutcome.DONE
             ):
                 self.oracle.allow_again(ended.key)
 
     # Orders.
 
-    def check(self, epoch: int) -> orders.Rejected | None:
+    def check(self, epoch: int) -> worker_port.Rejected | None:
         """Refuse what an earlier owner orders."""
         if epoch < self.fence:
-            return orders.Rejected(
-                orders.RejectionReason.FENCED, int(self.read_clock())
+            return worker_port.Rejected(
+                worker_port.RejectionReason.FENCED, int(self.read_clock())
             )
         self.fence = epoch
         return None
@@ -245,40 +245,48 @@
     def begin(
         self,
         epoch: int,
-        order: orders.Start,
+        order: worker_port.Start,
         until_ms: int,
         *,
         late: bool = False,
-    ) -> orders.Accepted | orders.Rejected:
+    ) -> worker_port.Accepted | worker_port.Rejected:
         """Carry a start out; `late` if it was sent seconds ago."""
         refused = self.check(epoch)
         if refused is not None:
             return refused
         clock = self.read_clock()
         if until_ms <= clock:
-            return orders.Rejected(orders.RejectionReason.LATE, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.LATE, int(clock)
+            )
         self.until_ms = max(self.until_ms, min(until_ms, clock + _HOLD_MAX_MS))
         held = self.tasks.get(order.key)
         if held is not None and held.run == order.run:
-            return orders.Accepted(int(clock))
+            return worker_port.Accepted(int(clock))
         if order.run <= self.highest.get(order.key, 0):
-            return orders.Rejected(orders.RejectionReason.OLD, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OLD, int(clock)
+            )
         job = self.oracle.jobs[order.key.job]
         step = job.steps[order.key.step]
         if self.guards and not self._find_free().holds(step.charge):
-            return orders.Rejected(orders.RejectionReason.NO_ROOM, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.NO_ROOM, int(clock)
+            )
         asked = work.StepKey(*order.key[:3])
         if job.advised and not self.policy.is_valid(
             order.ticket, asked, self.entry.id
         ):
             self.refused_tickets += 1
-            return orders.Rejected(orders.RejectionReason.NO_TICKET, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.NO_TICKET, int(clock)
+            )
         if not self.guards and not late:
             self._check_limit(order.key, step.charge)
         self._add(order, job, step)
         if self.drains_since is not None and not late:
             self.started_draining.append((order.key, trio.current_time()))
-        return orders.Accepted(int(clock))
+        return worker_port.Accepted(int(clock))
 
     def is_impaired(self, now: float) -> bool:
         """Tell whether orders to this worker may be lost, late or in vain."""
@@ -332,7 +340,9 @@
             free = free.minus(step.charge)
         return free
 
-    def _add(self, order: orders.Start, job: work.Job, step: work.Step) -> None:
+    def _add(
+        self, order: worker_port.Start, job: work.Job, step: work.Step
+    ) -> None:
         now = trio.current_time()
         self._check_place(order.key, now)
         task = Task(order.key, order.run, now, now, None)
@@ -340,7 +350,7 @@
         task.ends_at = None if step.lasting else now + step.expected_s
         poisoned = job.payload == "poison"
         if poisoned or self.fails_all:
-            task.how = orders.RunOutcome.FAILED
+            task.how = worker_port.RunOutcome.FAILED
             task.ends_at = now + 0.2
         if job.payload == CRASHING:
             task.crashes = True
@@ -362,8 +372,8 @@
                     )
 
     def halt(
-        self, epoch: int, order: orders.Stop
-    ) -> orders.Accepted | orders.Rejected:
+        self, epoch: int, order: worker_port.Stop
+    ) -> worker_port.Accepted | worker_port.Rejected:
         """Carry a stop out."""
         refused = self.check(epoch)
         if refused is not None:
@@ -374,11 +384,11 @@
             held.stops_at = trio.current_time() + _STOP_S
         else:
             self.highest[order.key] = max(highest, order.run)
-        return orders.Accepted(int(self.read_clock()))
+        return worker_port.Accepted(int(self.read_clock()))
 
     def look(
         self, epoch: int, seen: int, until_ms: int | None
-    ) -> orders.Report | orders.Rejected:
+    ) -> worker_port.Report | worker_port.Rejected:
         """Carry a look out."""
         refused = self.check(epoch)
         if refused is not None:
@@ -391,7 +401,7 @@
         self.noted = max(self.noted, seen)
         self.ended = [e for e in self.ended if e.number > self.noted]
         running = tuple(
-            orders.ReportedRun(
+            worker_port.ReportedRun(
                 task.key,
                 task.run,
                 "",
@@ -400,7 +410,7 @@
             )
             for task in self.tasks.values()
         )
-        return orders.Report(
+        return worker_port.Report(
             int(clock), running, tuple(self.ended), self.born_ms
         )
 
@@ -422,8 +432,8 @@
         return self.oracle.jobs[task.key.job].steps[task.key.step]
 
     def set_pace(
-        self, epoch: int, order: orders.Pace
-    ) -> orders.Accepted | orders.Rejected:
+        self, epoch: int, order: worker_port.Pace
+    ) -> worker_port.Accepted | worker_port.Rejected:
         """Carry a pace out."""
         refused = self.check(epoch)
         if refused is not None:
@@ -431,7 +441,7 @@
         held = self.tasks.get(order.key)
         if held is not None and held.run == order.run:
             held.pace = order.percent
-        return orders.Accepted(int(self.read_clock()))
+        return worker_port.Accepted(int(self.read_clock()))
 
     async def wait_for_news(self, wait_s: float) -> None:
         """Wait for an end."""
@@ -480,26 +490,32 @@
 
     async def _wait_in_vain(
         self, timeout_s: float, *, sent: bool = False
-    ) -> orders.NoAnswer:
+    ) -> worker_port.NoAnswer:
         """Get no answer: at once where connections are refused or break."""
         self.is_open = False
         if self._worker.refuses and self._entry not in self._worker.cut_from:
             await trio.sleep(_ORDER_S)
-            return orders.NoAnswer("refused", maybe_done=sent)
+            return worker_port.NoAnswer("refused", maybe_done=sent)
         await trio.sleep(timeout_s)
-        return orders.NoAnswer("cut")
+        return worker_port.NoAnswer("cut")
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.NoAnswer:
+    ) -> worker_port.Report | worker_port.Rejected | worker_port.NoAnswer:
         """Look, and wait for an end."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
-            return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION
+            )
         if not self._is_reachable():
             return await self._wait_in_vain(wait_s + 0.6)
         report = self._worker.look(epoch, seen, until_ms)
-        if isinstance(report, orders.Report) and not report.ended and wait_s:
+        if (
+            isinstance(report, worker_port.Report)
+            and not report.ended
+            and wait_s
+        ):
             await self._worker.wait_for_news(wait_s)
             if not self._is_reachable():
                 return await self._wait_in_vain(0.6, sent=True)
@@ -508,13 +524,19 @@
         return report
 
     async def start(
-        self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self,
+        epoch: int,
+        order: worker_port.Start,
+        until_ms: int,
+        timeout_s: float,
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Start a run; some starts are carried out late."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
             self._worker.missed_starts += 1
-            return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION
+            )
         if not self._is_reachable():
             return await self._wait_in_vain(timeout_s)
         if self._worker.random.random() < self._worker.late_share:
@@ -523,7 +545,7 @@
             )
             self.is_open = False
             await trio.sleep(timeout_s)
-            return orders.NoAnswer("late")
+            return worker_port.NoAnswer("late")
         outcome = self._worker.begin(epoch, order, until_ms)
         if self._worker.crash_unanswered(order.key):
             return await self._wait_in_vain(timeout_s, sent=True)
@@ -531,19 +553,21 @@
         return outcome
 
     async def _begin_late(
-        self, epoch: int, order: orders.Start, until_ms: int
+        self, epoch: int, order: worker_port.Start, until_ms: int
     ) -> None:
         await trio.sleep(self._worker.random.uniform(2.0, 12.0))
         if self._worker.alive:
             self._worker.begin(epoch, order, until_ms, late=True)
 
     async def stop(
-        self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self, epoch: int, order: worker_port.Stop, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Stop a run."""
         await trio.sleep(_ORDER_S)
         if self._worker.reborn:
-            return orders.Rejected(orders.RejectionReason.OTHER_INCARNATION)
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION
+            )
         if not self._is_reachable():
             return await self._wait_in_vain(timeout_s)
         outcome = self._worker.halt(epoch, order)
@@ -551,8 +575,8 @@
         return outcome
 
     async def pace(
-        self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Accepted | orders.Rejected | orders.NoAnswer:
+        self, epoch: int, order: worker_port.Pace, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Set a run's pace."""
         await trio.sleep(_ORDER_S)
         if not self._is_reachable():
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -14,18 +14,18 @@
 from crocusrouter.store import client
 from crocusrouter.store import port
 from crocusrouter.store import records
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins.emulator import store as stores
 from standins.emulator import worker as workers
 
 # Longer than any caller waits: an answer that never comes.
 _NEVER_S = 8.0
 _REASONS = {
-    orders.RejectionReason.FENCED: "fence",
-    orders.RejectionReason.OLD: "old",
-    orders.RejectionReason.LATE: "late",
-    orders.RejectionReason.NO_ROOM: "room",
-    orders.RejectionReason.NO_TICKET: "ticket",
+    worker_port.RejectionReason.FENCED: "fence",
+    worker_port.RejectionReason.OLD: "old",
+    worker_port.RejectionReason.LATE: "late",
+    worker_port.RejectionReason.NO_ROOM: "room",
+    worker_port.RejectionReason.NO_TICKET: "ticket",
 }
 Answer = tuple[int, dict[str, Any]]
 
@@ -209,20 +209,25 @@
     assert key is not None
     number = document["run_id"]
     if path == "/run-start":
-        order = orders.Start(
+        order = worker_port.Start(
             key, number, document["spec"], document.get("checkpoint", "")
         )
         return _show(
             await view.start(epoch, order, document["until_ms"], _NEVER_S)
         )
-    return _show(await view.stop(epoch, orders.Stop(key, number), _NEVER_S))
+    return _show(
+        await view.stop(epoch, worker_port.Stop(key, number), _NEVER_S)
+    )
 
 
 def _show(
-    result: orders.Report | orders.Accepted | orders.Rejected | orders.NoAnswer,
+    result: worker_port.Report
+    | worker_port.Accepted
+    | worker_port.Rejected
+    | worker_port.NoAnswer,
 ) -> Answer:
     match result:
-        case orders.Report(clock_ms, running, ended, born_ms):
+        case worker_port.Report(clock_ms, running, ended, born_ms):
             return 200, {
                 "clock_ms": clock_ms,
                 "born": born_ms,
@@ -241,10 +246,12 @@
                     for e in ended
                 ],
             }
-        case orders.Accepted(clock_ms):
+        case worker_port.Accepted(clock_ms):
             return 200, {"clock_ms": clock_ms}
-        case orders.Rejected(orders.RejectionReason.OTHER_INCARNATION):
+        case worker_port.Rejected(
+            worker_port.RejectionReason.OTHER_INCARNATION
+        ):
             return 421, {}
-        case orders.Rejected(why, clock_ms):
+        case worker_port.Rejected(why, clock_ms):
             return 409, {"clock_ms": clock_ms, "reason": _REASONS[why]}
     raise _NoAnswerError
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -11,7 +11,7 @@
 from crocusrouter import work
 from crocusrouter.http import server
 from crocusrouter.telemetry import Metrics
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from demo import processes
 from standins import ports
 from standins.emulator import changes as change_rules
@@ -91,7 +91,9 @@
             self._add_worker(f"w{number}", labels)
 
     def _add_worker(self, name: str, labels: frozenset[str]) -> None:
-        entry = orders.WorkerEntry(name, POOL, "", "dc", False, _ROOM, labels)
+        entry = worker_port.WorkerEntry(
+            name, POOL, "", "dc", False, _ROOM, labels
+        )
         self._seed += 1
         held = workers.Worker(
             entry, self.oracle, self._gangs, self._policy, self._seed
