--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -10,10 +10,10 @@
 from bench.replay import worth
 from crocusrouter import work
 from crocusrouter.pools import reservations
-from crocusrouter.work import orders
 from crocusrouter.work import packing
 from crocusrouter.work import replacement
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 _WALL = 1_000_000.0
 _TICK_S = 0.05
@@ -70,7 +70,7 @@
         site: loads.Site,
         arrivals: list[loads.Arrival],
         troubles: list[loads.Trouble],
-        policy: work.Policy,
+        policy: work.PlannerPolicy,
         seed: int,
         read_clock: Callable[[], float],
     ) -> None:
@@ -81,10 +81,10 @@
         self.policy = policy
         self.rng = random.Random(seed)
         self.read_clock = read_clock
-        self.book = work.Book(1)
+        self.book = work.PoolState(1)
         self.reserved = reservations.Reservations()
         self.running: dict[work.TaskKey, _Running] = {}
-        self.ends: dict[str, list[orders.Ended]] = {}
+        self.ends: dict[str, list[worker_port.RunEnd]] = {}
         self.numbers: dict[str, int] = {}
         self.speeds: dict[str, float] = {}
         self.ended_at: dict[str, float] = {}
@@ -103,7 +103,7 @@
 
     def _add_worker(self, name: str, rack: str, now: float) -> None:
         labels = frozenset({"a", rack})
-        entry = orders.WorkerEntry(
+        entry = worker_port.WorkerEntry(
             name, "pool", "", "dc", False, self.site.room, labels
         )
         self.book.set_worker(entry, now)
@@ -164,9 +164,9 @@
         self.ends.pop(name)
         for run in list(self.running.values()):
             if run.worker == name and self.running.get(run.key) is run:
-                self._end(run, orders.How.BROKEN)
+                self._end(run, worker_port.RunOutcome.BROKEN)
         self.book.unlist_worker(name)
-        replacement.note_gone(self.book, name, now)
+        replacement.note_incarnation_replaced(self.book, name, now)
 
     def _take_arrivals(self, now: float) -> bool:
         changed = False
@@ -174,7 +174,7 @@
             job = self.pending.pop(0).job
             self.book.put_job(job, work.Progress(), 2, now)
             changed = True
-        self.book.open_due(_WALL + now, now)
+        self.book.open_due_occurrences(_WALL + now, now)
         for arrival in self.arrivals.values():
             at = arrival.cancelled_at
             if at is not None and now - _TICK_S < at <= now:
@@ -211,13 +211,13 @@
             if now >= run.restored_at:
                 run.done_s += _TICK_S * speed
             if run.stops_at is not None and now >= run.stops_at:
-                self._end(run, orders.How.STOPPED)
+                self._end(run, worker_port.RunOutcome.STOPPED)
             elif run.fails_at is not None and run.done_s >= run.fails_at:
-                self._end(run, orders.How.FAILED)
+                self._end(run, worker_port.RunOutcome.FAILED)
             elif run.done_s >= run.total_s:
-                self._end(run, orders.How.DONE)
+                self._end(run, worker_port.RunOutcome.DONE)
 
-    def _end(self, run: _Running, how: orders.How) -> None:
+    def _end(self, run: _Running, how: worker_port.RunOutcome) -> None:
         members = [run]
         if run.step.gang:
             members = [
@@ -228,12 +228,20 @@
         cause = self._name_cause(run, how)
         for member in members:
             del self.running[member.key]
-            ended = how if member is run or how is orders.How.DONE else None
-            self._list_end(member, ended or orders.How.BROKEN, cause)
+            ended = (
+                how
+                if member is run or how is worker_port.RunOutcome.DONE
+                else None
+            )
+            self._list_end(
+                member, ended or worker_port.RunOutcome.BROKEN, cause
+            )
 
-    def _list_end(self, run: _Running, how: orders.How, cause: str) -> None:
+    def _list_end(
+        self, run: _Running, how: worker_port.RunOutcome, cause: str
+    ) -> None:
         saved = ""
-        if how is not orders.How.DONE:
+        if how is not worker_port.RunOutcome.DONE:
             if run.step.checkpoints:
                 saved = f"{run.done_s:.3f}"
             else:
@@ -243,16 +251,20 @@
             return  # it has left; its owner learns that, and no ends
         self.numbers[run.worker] += 1
         self.ends[run.worker].append(
-            orders.Ended(
+            worker_port.RunEnd(
                 self.numbers[run.worker], run.key, run.number, how, saved
             )
         )
 
-    def _name_cause(self, run: _Running, how: orders.How) -> str:
+    def _name_cause(self, run: _Running, how: worker_port.RunOutcome) -> str:
         """Return why a run came to nothing, without names of jobs."""
         held = self.book.runs.get(run.key)
-        if how is orders.How.STOPPED and held is not None and held.why:
-            return _JOB.sub("JOB", held.why)
+        if (
+            how is worker_port.RunOutcome.STOPPED
+            and held is not None
+            and held.stop_reason
+        ):
+            return _JOB.sub("JOB", held.stop_reason)
         if run.worker not in self.ends:
             return "its worker left"
         return str(how)
@@ -269,7 +281,7 @@
             if not self.ends[name] and not due:
                 continue
             rows = tuple(
-                orders.Running(
+                worker_port.ReportedRun(
                     run.key,
                     run.number,
                     "",
@@ -277,17 +289,17 @@
                 )
                 for run in by_worker.get(name, [])
             )
-            report = orders.Report(0, rows, tuple(self.ends[name]))
+            report = worker_port.Report(0, rows, tuple(self.ends[name]))
             changed |= bool(self.ends[name])
             self.ends[name] = []
-            work.take_report(self.book, name, report, now, now)
+            work.apply_report(self.book, name, report, now, now)
         self._note_ended(now)
         return changed
 
     def _note_ended(self, now: float) -> None:
         for job_id in sorted(self.book.dirty):
             held = self.book.jobs[job_id]
-            if held.progress.final is not None:
+            if held.progress.final_state is not None:
                 self.ended_at.setdefault(job_id, now)
         self.book.dirty.clear()
 
@@ -324,7 +336,7 @@
         self.book.events.clear()
 
     def _start(self, placement: work.Placement, now: float) -> None:
-        found = self.book.find_work(placement.step)
+        found = self.book.find_tracked_step(placement.step)
         assert found is not None
         arrival = self.arrivals[placement.step.job]
         factor = self._find_factor(found, placement)
@@ -337,7 +349,7 @@
                 self.next_run += 1
             key = work.TaskKey(*placement.step, index)
             run = self.book.add_run(key, number, worker, now)
-            self.book.note_taken(key, number, now)
+            self.book.note_started(key, number, now)
             total = arrival.task_s[index] * factor
             self.running[key] = _Running(
                 key,
@@ -345,13 +357,13 @@
                 worker,
                 found.step,
                 total,
-                float(run.saved or 0.0),
+                float(run.checkpoint or 0.0),
                 self._find_failure(arrival, worker, total, now),
-                now + (self.site.restore_s if run.saved else 0.0),
+                now + (self.site.restore_s if run.checkpoint else 0.0),
             )
 
     def _find_factor(
-        self, found: runs.StepWork, placement: work.Placement
+        self, found: tracking.TrackedStep, placement: work.Placement
     ) -> float:
         racks = {
             label
@@ -380,7 +392,7 @@
             if arrival.cancelled_at is not None:
                 continue
             held = self.book.jobs.get(job_id)
-            state = held.progress.final if held is not None else None
+            state = held.progress.final_state if held is not None else None
             wanted = work.State.FAILED if arrival.poisoned else work.State.DONE
             ended = self.ended_at.get(job_id) if state is wanted else None
             after = ended - arrival.at if ended is not None else None
@@ -407,7 +419,7 @@
     site: loads.Site,
     arrivals: list[loads.Arrival],
     troubles: list[loads.Trouble],
-    policy: work.Policy,
+    policy: work.PlannerPolicy,
     seed: int,
     read_clock: Callable[[], float],
     length_s: float = 34.0,
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -8,17 +8,19 @@
 from bench import figures
 from bench import replay
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 _DAYS = 24
 _LENGTH_S = 34.0
 _FIRST_SEED = 1000
 # The policy in force, the one before it, and two plain baselines.
 _POLICIES = {
-    "in force": work.Policy(),
-    "second priority stops nobody": work.Policy(second_loss_factor=0.0),
-    "nobody stops others": work.Policy(loss_factor=0.0, second_loss_factor=0.0),
-    "racks not waited for": work.Policy(
+    "in force": work.PlannerPolicy(),
+    "second priority stops nobody": work.PlannerPolicy(second_loss_factor=0.0),
+    "nobody stops others": work.PlannerPolicy(
+        loss_factor=0.0, second_loss_factor=0.0
+    ),
+    "racks not waited for": work.PlannerPolicy(
         rack_patience=0.0, guaranteed_rack_patience_s=0.0
     ),
 }
@@ -36,7 +38,7 @@
         # Twice the workers: what troubles alone cost, whatever the policy.
         roomy = dataclasses.replace(site, workers=2 * site.workers)
         found += _measure_policy(
-            site, "in force, twice the workers", work.Policy(), roomy
+            site, "in force, twice the workers", work.PlannerPolicy(), roomy
         )
     return found
 
@@ -44,7 +46,7 @@
 def _measure_policy(
     site: replay.Site,
     name: str,
-    policy: work.Policy,
+    policy: work.PlannerPolicy,
     played: replay.Site | None = None,
 ) -> list[figures.Figure]:
     """Play all days; what comes is drawn for `site`, whoever serves it."""
@@ -112,12 +114,12 @@
     ]
 
 
-def _build_large_book(rng: random.Random) -> work.Book:
-    book = work.Book(1)
+def _build_large_book(rng: random.Random) -> work.PoolState:
+    book = work.PoolState(1)
     for number in range(_LARGE_WORKERS):
         labels = frozenset({"a", f"r0-{number // 14}"})
         room = work.Room(64_000, 262_144, 16)
-        entry = orders.WorkerEntry(
+        entry = worker_port.WorkerEntry(
             f"w{number:04}", "pool", "", "dc", False, room, labels
         )
         book.set_worker(entry, 0.0)
@@ -129,7 +131,7 @@
 
 
 def _put_job(
-    book: work.Book, rng: random.Random, job_id: str, now: float
+    book: work.PoolState, rng: random.Random, job_id: str, now: float
 ) -> int:
     count = rng.choice((1, 4, 8, 16, 32, 64, 128))
     step = work.Step(
@@ -153,28 +155,30 @@
         now,
     )
     book.put_job(job, work.Progress(), 2, now)
-    book.open_due(now, now)
+    book.open_due_occurrences(now, now)
     return count
 
 
-def _end_run(book: work.Book, key: work.TaskKey, now: float) -> None:
+def _end_run(book: work.PoolState, key: work.TaskKey, now: float) -> None:
     """End a run well, as its worker would tell."""
     run = book.runs.get(key)
     if run is None:
         return
-    held = book.workers[run.worker]
+    held = book.workers[run.worker_id]
     rows = tuple(
-        orders.Running(other, book.runs[other].number)
+        worker_port.ReportedRun(other, book.runs[other].number)
         for other in held.runs
         if other != key
     )
-    ended = orders.Ended(held.noted + 1, key, run.number, orders.How.DONE)
-    report = orders.Report(0, rows, (ended,))
-    work.take_report(book, run.worker, report, now, now)
+    ended = worker_port.RunEnd(
+        held.last_end_number + 1, key, run.number, worker_port.RunOutcome.DONE
+    )
+    report = worker_port.Report(0, rows, (ended,))
+    work.apply_report(book, run.worker_id, report, now, now)
 
 
 def _decide(
-    book: work.Book, now: float, note: Callable[[float], object]
+    book: work.PoolState, now: float, note: Callable[[float], object]
 ) -> None:
     began = time.perf_counter()
     plan = work.plan(book, now, now)
@@ -184,7 +188,7 @@
             key = work.TaskKey(*placement.step, index)
             number = len(book.runs) + 1
             book.add_run(key, number, worker, now)
-            book.note_taken(key, number, now)
+            book.note_started(key, number, now)
     for run, why in plan.stops:
         book.stop_run(run, why, now)
     book.outbox.clear()
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -15,7 +15,7 @@
 from crocusrouter.telemetry import log
 from crocusrouter.work import incarnations
 from crocusrouter.work import model
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 WORKERS_PREFIX = "servers/"
 _HOLD_GRACE_S = 0.6
@@ -24,19 +24,19 @@
 _CONFLICT = 409
 _UNHEALTHY = (429, 503)
 _WHY = {
-    "fence": orders.Why.FENCED,
-    "old": orders.Why.OLD,
-    "late": orders.Why.LATE,
-    "room": orders.Why.NO_ROOM,
-    "ticket": orders.Why.NO_TICKET,
+    "fence": worker_port.RejectionReason.FENCED,
+    "old": worker_port.RejectionReason.OLD,
+    "late": worker_port.RejectionReason.LATE,
+    "room": worker_port.RejectionReason.NO_ROOM,
+    "ticket": worker_port.RejectionReason.NO_TICKET,
 }
 # "IP:port"; a call to anything else fails in ways that name no worker.
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-_HOW = {how.value: how for how in orders.How}
+_HOW = {how.value: how for how in worker_port.RunOutcome}
 
 
 class PlatformConnection:
-    """Implements `work.orders.Connection`."""
+    """Implements `work.worker_port.Connection`."""
 
     def __init__(self, incarnation: str, address: str) -> None:
         worker = incarnations.find_worker(incarnation)
@@ -50,7 +50,7 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.Silent:
+    ) -> worker_port.Report | worker_port.Rejected | worker_port.NoAnswer:
         """Renew the lease, confirm ends, wait for an end."""
         document: dict[str, Any] = {"fencing_token": epoch, "last_seen": seen}
         if until_ms is not None:
@@ -67,8 +67,12 @@
         return _parse_report(result.document)
 
     async def start(
-        self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self,
+        epoch: int,
+        order: worker_port.Start,
+        until_ms: int,
+        timeout_s: float,
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Start a run."""
         document: dict[str, Any] = {
             "task": names.build_task(order.key),
@@ -77,15 +81,15 @@
             "until_ms": until_ms,
             "fencing_token": epoch,
         }
-        if order.saved:
-            document["checkpoint"] = order.saved
+        if order.checkpoint:
+            document["checkpoint"] = order.checkpoint
         if order.ticket:
             document["ticket"] = order.ticket
         return await self._order("/run-start", document, timeout_s)
 
     async def stop(
-        self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self, epoch: int, order: worker_port.Stop, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Stop a run."""
         document = {
             "task": names.build_task(order.key),
@@ -95,8 +99,8 @@
         return await self._order("/run-stop", document, timeout_s)
 
     async def pace(
-        self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self, epoch: int, order: worker_port.Pace, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Set the share of its speed at which a run works."""
         document = {
             "task": names.build_task(order.key),
@@ -112,7 +116,7 @@
 
     async def _order(
         self, path: str, document: dict[str, Any], timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         result = await self._connection.call(
             "POST", path, document, timeout_s, self._headers
         )
@@ -120,31 +124,38 @@
         if refused is not None:
             return refused
         assert isinstance(result, calls.Answered)
-        return orders.Taken(int(result.document.get("clock_ms", 0)))
+        return worker_port.Accepted(int(result.document.get("clock_ms", 0)))
 
 
 def _find_refusal(
     result: calls.Result,
-) -> orders.Rejected | orders.Silent | None:
+) -> worker_port.Rejected | worker_port.NoAnswer | None:
     if isinstance(result, calls.Unanswered):
-        return orders.Silent(result.cause, result.maybe_done)
+        return worker_port.NoAnswer(result.cause, result.maybe_done)
     clock = result.document.get("clock_ms")
     if result.status == _OK:
         return None
     if result.status == _CONFLICT:
-        why = _WHY.get(result.document.get("reason", ""), orders.Why.INVALID)
-        return orders.Rejected(why, clock)
+        why = _WHY.get(
+            result.document.get("reason", ""),
+            worker_port.RejectionReason.INVALID,
+        )
+        return worker_port.Rejected(why, clock)
     if result.status == _OTHER_INCARNATION:
-        return orders.Rejected(orders.Why.OTHER_INCARNATION)
+        return worker_port.Rejected(
+            worker_port.RejectionReason.OTHER_INCARNATION
+        )
     if result.status in _UNHEALTHY:
-        return orders.Rejected(orders.Why.UNHEALTHY, clock)
-    return orders.Rejected(orders.Why.INVALID, clock)
+        return worker_port.Rejected(
+            worker_port.RejectionReason.UNHEALTHY, clock
+        )
+    return worker_port.Rejected(worker_port.RejectionReason.INVALID, clock)
 
 
-def _parse_report(document: dict[str, Any]) -> orders.Report:
+def _parse_report(document: dict[str, Any]) -> worker_port.Report:
     running = map(_parse_running, document.get("running", ()))
     ended = map(_parse_ended, document.get("finished", ()))
-    return orders.Report(
+    return worker_port.Report(
         int(document["clock_ms"]),
         tuple(row for row in running if row is not None),
         tuple(row for row in ended if row is not None),
@@ -159,26 +170,28 @@
     return value
 
 
-def _parse_running(row: list[Any]) -> orders.Running | None:
+def _parse_running(row: list[Any]) -> worker_port.ReportedRun | None:
     key = names.parse_task(row[0])
     if key is None:
         log("worker:foreign-run", row=row)
         return None
     load = float(row[4]) if len(row) > 4 else 0.0
-    return orders.Running(
+    return worker_port.ReportedRun(
         key, int(row[1]), str(row[2] or ""), float(row[3]), load
     )
 
 
-def _parse_ended(row: list[Any]) -> orders.Ended | None:
+def _parse_ended(row: list[Any]) -> worker_port.RunEnd | None:
     key = names.parse_task(row[1])
     if key is None:
         log("worker:foreign-end", row=row)
         return None
     # A word that we don't know is an end that was neither well nor the
     # task's own fault.
-    how = _HOW.get(row[3], orders.How.BROKEN)
-    return orders.Ended(int(row[0]), key, int(row[2]), how, str(row[4] or ""))
+    how = _HOW.get(row[3], worker_port.RunOutcome.BROKEN)
+    return worker_port.RunEnd(
+        int(row[0]), key, int(row[2]), how, str(row[4] or "")
+    )
 
 
 _Amount = Annotated[float, pydantic.Field(ge=0)]
@@ -214,7 +227,7 @@
     born: Annotated[int, pydantic.Field(gt=0)] | None = None
 
 
-def parse_worker(key: str, value: bytes) -> orders.WorkerEntry | None:
+def parse_worker(key: str, value: bytes) -> worker_port.WorkerEntry | None:
     """Decode an entry of the list of workers; None if it names none."""
     try:
         listed = _Listed.model_validate(orjson.loads(value))
@@ -223,7 +236,7 @@
         return None
     room = listed.capacity
     worker = key.removeprefix(WORKERS_PREFIX)
-    return orders.WorkerEntry(
+    return worker_port.WorkerEntry(
         incarnations.build_incarnation(worker, listed.born),
         listed.service,
         listed.address,
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -8,7 +8,7 @@
 from crocusrouter.pools import clocks
 from crocusrouter.telemetry import log
 from crocusrouter.work import incarnations
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # An answer takes the service's fixed time plus some time for each of at most
 # thirty workers; a later answer is considered lost.
@@ -23,8 +23,8 @@
 
     def __init__(
         self,
-        policy: orders.PolicyPort | None,
-        book: work.Book,
+        policy: worker_port.PolicyPort | None,
+        book: work.PoolState,
         clock: clocks.Clock,
         on_change: Callable[[], None],
     ) -> None:
@@ -64,7 +64,7 @@
                 with trio.CancelScope(shield=True):
                     await self._policy.aclose()
 
-    async def _ask(self, question: work.Question) -> None:
+    async def _ask(self, question: work.PolicyQuestion) -> None:
         step = question.step
         if self._policy is None:
             log("policy:no-address", step=step, remedy="set policy_address")
@@ -77,7 +77,7 @@
         answer = await self._policy.advise(
             step, tuple(incarnation_by_worker), _ANSWER_TIMEOUT_S
         )
-        if isinstance(answer, orders.Silent):
+        if isinstance(answer, worker_port.NoAnswer):
             log("policy:no-answer", step=step, cause=answer.cause)
             await trio.sleep(_RETRY_DELAY_S)
             return
@@ -88,7 +88,7 @@
             allowed=sorted(answer.tickets),
             valid_s=answer.valid_s,
         )
-        step_work = self._book.find_work(step)
+        step_work = self._book.find_tracked_step(step)
         if step_work is None:
             return
         valid_until = self._clock.steady() + answer.valid_s
--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -26,7 +26,7 @@
         self,
         store: port.KeyValueStore,
         pool: str,
-        book: work.Book,
+        book: work.PoolState,
         clock: clocks.Clock,
         metrics: Metrics,
         on_change: Callable[[], None],
@@ -109,5 +109,5 @@
             revision=revision,
             repeat=is_known,
             objective_s=round(job.objective_s, 3),
-            expected_s=round(max(job.tails, default=0.0), 3),
+            expected_s=round(max(job.critical_paths_s, default=0.0), 3),
         )
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -14,7 +14,7 @@
 import trio
 
 from crocusrouter.work import incarnations
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # One poll waits for a task to end; another one may be needed meanwhile.
 _MAX_POLLS = 2
@@ -26,15 +26,17 @@
 # poll, and each connection is priced.
 _IDLE_WAIT_S = 0.01
 
-_Refused = orders.Rejected | orders.Silent
-_Answer = orders.Taken | _Refused
+_Refused = worker_port.Rejected | worker_port.NoAnswer
+_Answer = worker_port.Accepted | _Refused
 
 
 class Connections:
-    """Implements `work.orders.WorkerPort`."""
+    """Implements `work.worker_port.WorkerPort`."""
 
     def __init__(
-        self, incarnation: str, open_connection: Callable[[], orders.Connection]
+        self,
+        incarnation: str,
+        open_connection: Callable[[], worker_port.Connection],
     ) -> None:
         """Prepare; nothing is sent.
 
@@ -45,7 +47,7 @@
         """
         self._incarnation = incarnation
         self._open_connection = open_connection
-        self._idle: list[orders.Connection] = []
+        self._idle: list[worker_port.Connection] = []
         self._is_closed = False
         self._orders_in_flight = 0
         self._connection_returned = trio.Event()
@@ -54,7 +56,7 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.Silent:
+    ) -> worker_port.Report | worker_port.Rejected | worker_port.NoAnswer:
         """Poll; confirm and renew only where the incarnation has answered."""
         async with self._poll_limiter:
             connection = await self._take_idle()
@@ -65,15 +67,19 @@
                 answer = self._check_incarnation(
                     await connection.hold(epoch, seen, until_ms, wait_s)
                 )
-            if isinstance(answer, orders.Report):
+            if isinstance(answer, worker_port.Report):
                 await self._release_connection(connection)
             else:
                 await connection.aclose()
             return answer
 
     async def start(
-        self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self,
+        epoch: int,
+        order: worker_port.Start,
+        until_ms: int,
+        timeout_s: float,
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Start a run."""
         return await self._send(
             epoch,
@@ -84,8 +90,8 @@
         )
 
     async def stop(
-        self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self, epoch: int, order: worker_port.Stop, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Stop a run."""
         return await self._send(
             epoch,
@@ -94,8 +100,8 @@
         )
 
     async def pace(
-        self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self, epoch: int, order: worker_port.Pace, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Set the share of its full speed at which a run works."""
         return await self._send(
             epoch,
@@ -113,18 +119,20 @@
         self,
         epoch: int,
         timeout_s: float,
-        call: Callable[[orders.Connection], Awaitable[_Answer]],
+        call: Callable[[worker_port.Connection], Awaitable[_Answer]],
     ) -> _Answer:
         with trio.move_on_after(timeout_s) as wait_scope:
             await self._order_limiter.acquire()
         if wait_scope.cancelled_caught:
-            return orders.Silent("all connections are busy", maybe_done=False)
+            return worker_port.NoAnswer(
+                "all connections are busy", maybe_done=False
+            )
         try:
             connection = await self._await_idle()
             if connection is None:
                 connection = self._open_connection()
                 identity = await self._identify(connection, epoch, 0.0)
-                if not isinstance(identity, orders.Report):
+                if not isinstance(identity, worker_port.Report):
                     await connection.aclose()
                     return _mark_unsent(identity)
             self._orders_in_flight += 1
@@ -137,14 +145,14 @@
         finally:
             self._order_limiter.release()
 
-    async def _await_idle(self) -> orders.Connection | None:
+    async def _await_idle(self) -> worker_port.Connection | None:
         """Return an idle connection, waiting briefly for a busy one."""
         with trio.move_on_after(_IDLE_WAIT_S):
             while self._orders_in_flight and not self._idle:
                 await self._connection_returned.wait()
         return await self._take_idle()
 
-    async def _take_idle(self) -> orders.Connection | None:
+    async def _take_idle(self) -> worker_port.Connection | None:
         """Return an idle connection to the incarnation, or None."""
         while self._idle:
             connection = self._idle.pop()
@@ -153,7 +161,7 @@
             await connection.aclose()
         return None
 
-    async def _release_connection(self, connection: orders.Connection) -> None:
+    async def _release_connection(self, connection: worker_port.Connection) -> None:
         if self._is_closed:
             await connection.aclose()
         else:
@@ -162,33 +170,33 @@
         self._connection_returned = trio.Event()
 
     async def _identify(
-        self, connection: orders.Connection, epoch: int, wait_s: float
-    ) -> orders.Report | _Refused:
+        self, connection: worker_port.Connection, epoch: int, wait_s: float
+    ) -> worker_port.Report | _Refused:
         return self._check_incarnation(
             await connection.hold(epoch, 0, None, wait_s)
         )
 
     def _check_incarnation(
-        self, answer: orders.Report | _Refused
-    ) -> orders.Report | _Refused:
+        self, answer: worker_port.Report | _Refused
+    ) -> worker_port.Report | _Refused:
         """Reject a report of another incarnation."""
-        if not isinstance(answer, orders.Report):
+        if not isinstance(answer, worker_port.Report):
             return answer
         worker_id = incarnations.find_worker(self._incarnation)
         answering = incarnations.build_incarnation(worker_id, answer.born_ms)
         if answering == self._incarnation:
             return answer
         if answer.born_ms is None:
-            return orders.Silent(
+            return worker_port.NoAnswer(
                 "the worker does not report when its process started"
             )
-        return orders.Rejected(
-            orders.Why.OTHER_INCARNATION, answer.clock_ms, answering
+        return worker_port.Rejected(
+            worker_port.RejectionReason.OTHER_INCARNATION, answer.clock_ms, answering
         )
 
 
 def _mark_unsent(refusal: _Refused) -> _Refused:
     """Return a refusal that rules out that the order is carried out."""
-    if isinstance(refusal, orders.Silent):
-        return orders.Silent(refusal.cause, maybe_done=False)
+    if isinstance(refusal, worker_port.NoAnswer):
+        return worker_port.NoAnswer(refusal.cause, maybe_done=False)
     return refusal
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -203,8 +203,8 @@
             if progress_record
             else work.Progress()
         )
-        if progress.final is not None:
-            return progress.final
+        if progress.final_state is not None:
+            return progress.final_state
         if job.cancelled:
             return work.State.CANCELLED
         return work.State.RUNNING if progress.steps else work.State.QUEUED
--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -34,7 +34,7 @@
         self,
         store: port.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.Book,
+        book: work.PoolState,
         revisions: dict[str, int],
     ) -> None:
         """Open a journal.
@@ -97,7 +97,7 @@
 
     def _has_finished_job(self) -> bool:
         return any(
-            job_work.progress.final is not None
+            job_work.progress.final_state is not None
             for job_id in self._book.dirty
             if (job_work := self._book.jobs.get(job_id)) is not None
         )
@@ -114,7 +114,7 @@
         finished_ids = [
             job_id
             for job_id in values
-            if self._book.jobs[job_id].progress.final is not None
+            if self._book.jobs[job_id].progress.final_state is not None
         ]
         while values:
             outcome = await self._write(values)
@@ -122,7 +122,9 @@
                 for job_id in values:
                     self._revisions[job_id] = outcome.revision
                 self._book.note_durable(finished_ids)
-                self._book.note_crashes_kept(values.keys() - self._book.dirty)
+                self._book.note_crashes_journaled(
+                    values.keys() - self._book.dirty
+                )
                 break
             self._handle_failure(outcome)
             if not isinstance(outcome, port.Mismatched):
--- a/crocusrouter/pools/known_workers.py
+++ b/crocusrouter/pools/known_workers.py
@@ -15,8 +15,8 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 _WRITE_INTERVAL_S = 0.25
 
@@ -28,7 +28,7 @@
         self,
         store: port.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.Book,
+        book: work.PoolState,
     ) -> None:
         self._store = store
         self._owner_lease = owner_lease
@@ -40,7 +40,7 @@
         """Read the previous owner's record; raises StoreUnavailableError."""
         self._loaded_record = await self._store.read(self._key)
 
-    def restore_unlisted(self, now: float) -> list[runs.Worker]:
+    def restore_unlisted(self, now: float) -> list[tracking.Worker]:
         """Add recorded workers to the book that the platform no longer lists.
 
         Returns:
@@ -61,18 +61,18 @@
                 worker_state = self._book.workers[incarnation]
                 restored.append(worker_state)
             if job_ids is not None:
-                worker_state.sealed = True
-                worker_state.blocks = frozenset(job_ids)
+                worker_state.was_draining = True
+                worker_state.possible_jobs = frozenset(job_ids)
         return restored
 
     def _encode(self) -> bytes:
         rows = []
         for incarnation, worker_state in sorted(self._book.workers.items()):
             job_ids: list[str] | None = None
-            if worker_state.sealed:
+            if worker_state.was_draining:
                 job_ids = sorted({key.job for key in worker_state.runs})
-                if worker_state.is_untold:
-                    possible_jobs = worker_state.blocks
+                if worker_state.has_unknown_runs:
+                    possible_jobs = worker_state.possible_jobs
                     job_ids = (
                         sorted(possible_jobs)
                         if possible_jobs is not None
@@ -83,8 +83,8 @@
                     # nothing of it would hold back all older jobs until its
                     # lease had ended.
                     continue
-            elif worker_state.gone or (
-                worker_state.lapsed and not worker_state.listed
+            elif worker_state.replaced or (
+                worker_state.all_runs_ended and not worker_state.listed
             ):
                 continue
             rows.append([incarnation, worker_state.entry.address, job_ids])
@@ -131,7 +131,7 @@
 
 def _make_entry(
     incarnation: str, pool: str, address: str
-) -> orders.WorkerEntry:
+) -> worker_port.WorkerEntry:
     """Return an entry for a worker of which only the address is known.
 
     The worker is unlisted and gets no work, but is not marked as draining:
@@ -139,6 +139,6 @@
     draining, and 15 never got work again although they were listed again within
     a second.
     """
-    return orders.WorkerEntry(
+    return worker_port.WorkerEntry(
         incarnation, pool, address, "", False, work.Room(), frozenset()
     )
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -27,7 +27,7 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # Events that arrive within this window share one decision.
 _EVENT_BATCH_S = 0.002
@@ -52,7 +52,7 @@
     "worker:restarted": "worker-restarted",
 }
 
-OpenConnection = Callable[[str, str], orders.Connection]
+OpenConnection = Callable[[str, str], worker_port.Connection]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -75,7 +75,7 @@
     parse_worker: worker_listing.ParseWorker
     open_connection: OpenConnection
     keep_jobs_s: float = 600.0
-    make_policy: Callable[[], orders.PolicyPort] | None = None
+    make_policy: Callable[[], worker_port.PolicyPort] | None = None
     upkeeping: upkeep_controller.Upkeeping | None = None
 
 
@@ -104,7 +104,7 @@
         """
         self.pool = owner_lease.pool
         self.epoch = owner_lease.epoch
-        self.book = work.Book(owner_lease.epoch)
+        self.book = work.PoolState(owner_lease.epoch)
         self.is_loaded = False
         self.is_recovered = False
         self._owner_lease = owner_lease
@@ -257,7 +257,7 @@
             # `run` opens the links to all loaded workers.
             return
         worker_state = self.book.workers[incarnation]
-        if incarnation in self._links or worker_state.gone:
+        if incarnation in self._links or worker_state.replaced:
             return
         open_connection = functools.partial(
             self._platform.open_connection, incarnation, address
@@ -279,7 +279,7 @@
         self._nursery.start_soon(self._run_link, incarnation, link)
 
     def _handle_replaced(
-        self, incarnation: str, successor: str | None, stops: list[orders.Stop]
+        self, incarnation: str, successor: str | None, stops: list[worker_port.Stop]
     ) -> None:
         """Record that another incarnation answers in place of an expected one.
 
@@ -289,7 +289,7 @@
         """
         if (
             incarnation not in self.book.workers
-            or self.book.workers[incarnation].gone
+            or self.book.workers[incarnation].replaced
         ):
             return
         now = self._clock.steady()
@@ -309,7 +309,7 @@
         worker_state = self.book.workers.get(incarnation)
         if worker_state is None:
             return
-        if worker_state.listed and not worker_state.gone:
+        if worker_state.listed and not worker_state.replaced:
             # The worker was listed again while its link was being closed.
             self._open_link(incarnation, worker_state.entry.address)
         else:
@@ -361,7 +361,7 @@
             decision_s = self._clock.steady() - began_at
 
     def _decide(self, now: float, wall: float) -> None:
-        self.book.open_due(wall, now)
+        self.book.open_due_occurrences(wall, now)
         self._check_recovered(now)
         if self._owner_lease.is_valid() and not self._is_draining:
             if self._may_start_tasks(now):
@@ -391,7 +391,7 @@
         if self.is_recovered:
             return
         if any(
-            worker_state.is_untold
+            worker_state.has_unknown_runs
             for worker_state in self.book.workers.values()
         ):
             return
@@ -411,10 +411,10 @@
     def _start_step(self, placement: work.Placement, now: float) -> None:
         assert self._nursery is not None
         job_work = self.book.jobs[placement.step.job]
-        step_work = self.book.find_work(work.TaskKey(*placement.step, 0))
+        step_work = self.book.find_tracked_step(work.TaskKey(*placement.step, 0))
         assert step_work is not None
         step_run_number = self._allocate_run_number()
-        start_orders: list[tuple[worker_links.WorkerLink, orders.Start]] = []
+        start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]] = []
         for index, incarnation in placement.spots.items():
             run_number = (
                 step_run_number
@@ -423,11 +423,11 @@
             )
             key = work.TaskKey(*placement.step, index)
             run = self.book.add_run(
-                key, run_number, incarnation, now, alone=placement.alone
+                key, run_number, incarnation, now, is_trial=placement.is_trial
             )
             ticket = step_work.permits.find_ticket(incarnation, now)
-            order = orders.Start(
-                key, run_number, job_work.job.payload, run.saved, ticket
+            order = worker_port.Start(
+                key, run_number, job_work.job.payload, run.checkpoint, ticket
             )
             start_orders.append((self._links[incarnation], order))
         if self._parked_jobs.is_parked(placement.step.job):
@@ -447,14 +447,14 @@
         )
 
     def _send_starts(
-        self, start_orders: list[tuple[worker_links.WorkerLink, orders.Start]]
+        self, start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]]
     ) -> None:
         assert self._nursery is not None
         for link, order in start_orders:
             self._nursery.start_soon(link.start, order)
 
     async def _start_parked(
-        self, start_orders: list[tuple[worker_links.WorkerLink, orders.Start]]
+        self, start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]]
     ) -> None:
         """Send starts once the stored record no longer names the job as parked.
 
@@ -485,12 +485,12 @@
     def _send_paces(self, now: float) -> None:
         assert self._nursery is not None
         for run, percent in work.choose_paces(self.book, now):
-            link = self._links.get(run.worker)
+            link = self._links.get(run.worker_id)
             if link is not None:
                 # Prevents another pace order until this one can have been
                 # answered.
                 run.paced_at = now
-                order = orders.Pace(run.key, run.number, percent)
+                order = worker_port.Pace(run.key, run.number, percent)
                 self._nursery.start_soon(link.pace, order)
 
     def _log_book_events(self) -> None:
--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -42,7 +42,7 @@
         self,
         store: port.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.Book,
+        book: work.PoolState,
         is_durable: Callable[[str], bool],
         read_clock: Callable[[], float],
     ) -> None:
@@ -129,7 +129,7 @@
         Finished jobs in the record do no harm.
         """
         return any(
-            _has_run(self._book.live.get(job_id))
+            _has_run(self._book.live_jobs.get(job_id))
             for job_id in self._maybe_recorded
         )
 
@@ -139,12 +139,12 @@
         Their ended tasks must be durable, because a successor starts at once
         every task of a parked job that it does not know to have ended.
         """
-        blocked_ids = self._book.list_blocked()
+        blocked_ids = self._book.list_blocked_jobs()
         return frozenset(
             job_id
-            for job_id, job_work in self._book.live.items()
+            for job_id, job_work in self._book.live_jobs.items()
             if not job_work.is_final
-            and not self._book.may_run_unseen(job_work, blocked_ids)
+            and not self._book.may_run_unreported(job_work, blocked_ids)
             and not _has_run(job_work)
             and (
                 job_id in self._maybe_recorded
@@ -185,16 +185,16 @@
         return outcome
 
 
-def _has_run(job_work: work.JobWork | None) -> bool:
+def _has_run(job_work: work.TrackedJob | None) -> bool:
     if job_work is None:
         return False
-    return any(step.running for step in job_work.steps.values())
+    return any(step.runs_by_index for step in job_work.steps.values())
 
 
-def _has_waited(job_work: work.JobWork, now: float) -> bool:
+def _has_waited(job_work: work.TrackedJob, now: float) -> bool:
     """Return whether tasks of a job have been ready to start for a while."""
     return any(
-        step.waiting and now > step.waiting_since + _PARK_AFTER_S
+        step.waiting_indices and now > step.waiting_since + _PARK_AFTER_S
         for step in job_work.steps.values()
         if step.waiting_since is not None
     )
--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -34,13 +34,15 @@
         for step_key, reservation in self._reservations.items():
             yield step_key, reservation.placement.spots
 
-    def take_ready(self, book: work.Book, now: float) -> list[work.Placement]:
+    def take_ready(
+        self, book: work.PoolState, now: float
+    ) -> list[work.Placement]:
         """Remove and return the placements whose room is free now.
 
         Reservations that can't be kept any longer are dropped too.
         """
         ready = []
-        expected_stop_s = book.stop_times.expected_s
+        expected_stop_s = book.stop_durations.expected_s
         max_age_s = _STOP_FACTOR * expected_stop_s + _REPEATED_ORDER_S
         for step_key, reservation in list(self._reservations.items()):
             placement = reservation.placement
@@ -55,22 +57,24 @@
         return ready
 
 
-def _is_still_waiting(book: work.Book, placement: work.Placement) -> bool:
-    job_work = book.live.get(placement.step.job)
-    step_work = book.find_work(placement.step)
+def _is_still_waiting(book: work.PoolState, placement: work.Placement) -> bool:
+    job_work = book.live_jobs.get(placement.step.job)
+    step_work = book.find_tracked_step(placement.step)
     if job_work is None or step_work is None:
         return False
-    return set(placement.spots) <= step_work.waiting
+    return set(placement.spots) <= step_work.waiting_indices
 
 
-def _has_room(book: work.Book, placement: work.Placement, now: float) -> bool:
-    step_work = book.find_work(placement.step)
+def _has_room(
+    book: work.PoolState, placement: work.Placement, now: float
+) -> bool:
+    step_work = book.find_tracked_step(placement.step)
     assert step_work is not None
     incarnations = list(placement.spots.values())
     is_advised = book.jobs[placement.step.job].job.advised
     for incarnation in set(incarnations):
         worker_state = book.workers.get(incarnation)
-        if worker_state is None or not worker_state.may_take(now):
+        if worker_state is None or not worker_state.may_start_tasks(now):
             return False
         if is_advised and not step_work.permits.find_ticket(incarnation, now):
             # The ticket has expired while victims were ending; the step is
--- a/crocusrouter/pools/tests/test_advisor.py
+++ b/crocusrouter/pools/tests/test_advisor.py
@@ -5,7 +5,7 @@
 from crocusrouter import work
 from crocusrouter.pools import advisor
 from crocusrouter.pools import clocks
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 
@@ -18,7 +18,7 @@
     async def advise(self, step, workers, timeout_s):
         self.asked.append(workers)
         tickets = {worker: f"for {worker}" for worker in (*workers, "w9")}
-        return orders.PolicyAnswer(tickets, 3.0)
+        return worker_port.PolicyAnswer(tickets, 3.0)
 
     async def aclose(self):
         pass
@@ -29,14 +29,14 @@
 ):
     """A ticket is valid for one process; the worker's next one refused it."""
     job = build.make_job("j", build.make_step(1), advised=True)
-    book = build.make_book(job, workers=("w0@5",))
+    book = build.make_pool_state(job, workers=("w0@5",))
     clock = clocks.Clock(trio.current_time, lambda: build.WALL)
     policy = _Policy()
     policy_advisor = advisor.Advisor(policy, book, clock, lambda: None)
     with trio.move_on_after(1.0):
         await policy_advisor.run()
     assert policy.asked[0] == ("w0",)
-    permits = book.find_work(work.StepKey("j", 0, 0)).permits
+    permits = book.find_tracked_step(work.StepKey("j", 0, 0)).permits
     now = trio.current_time()
     assert permits.find_ticket("w0@5", now) == "for w0"
     assert not permits.find_ticket("w0@7", now)
--- a/crocusrouter/pools/tests/test_journal.py
+++ b/crocusrouter/pools/tests/test_journal.py
@@ -20,7 +20,7 @@
         stores.StoreView(store, entry), "p", owner_leases.Holder(entry), _CLOCK
     )
     assert await owner_lease.acquire()
-    book = build.make_book(build.make_job("j", build.make_step(3)))
+    book = build.make_pool_state(build.make_job("j", build.make_step(3)))
     view = stores.StoreView(store, entry)
     return owner_lease, book, journal.Journal(view, owner_lease, book, {})
 
--- a/crocusrouter/pools/tests/test_known_workers.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -29,7 +29,7 @@
     store = stores.Store(1)
     store.put(keys.KNOWN_WORKERS + "p", cbor2.dumps([["w0", "w0:1", jobs]]))
     view = stores.StoreView(store, "e0")
-    book = work.Book(1)
+    book = work.PoolState(1)
     owner_lease = owner_leases.OwnerLease(
         view, "p", owner_leases.Holder("e0"), clocks.Clock()
     )
@@ -37,9 +37,9 @@
     await known.load()
     [worker_state] = known.restore_unlisted(0.0)
     worker_state.reached = True
-    assert not worker_state.may_take(0.0)
+    assert not worker_state.may_start_tasks(0.0)
     book.set_worker(build.make_entry("w0"), 1.0)
-    assert worker_state.may_take(1.0) is may_take
+    assert worker_state.may_start_tasks(1.0) is may_take
 
 
 async def test_all_workers_are_used_after_an_outage_that_unlisted_them(
@@ -73,7 +73,7 @@
         pool_owner = cluster.entries[cluster.find_owner()].owned[clusters.POOL]
         now = trio.current_time()
         usable = [
-            state.may_take(now) for state in pool_owner.book.workers.values()
+            state.may_start_tasks(now) for state in pool_owner.book.workers.values()
         ]
         nursery.cancel_scope.cancel()
     assert usable == [True] * len(cluster.workers)
--- a/crocusrouter/pools/tests/test_parked_jobs.py
+++ b/crocusrouter/pools/tests/test_parked_jobs.py
@@ -39,7 +39,7 @@
 
 def _make_book():
     """Return a book in which one job, created after epoch 1, waits for room."""
-    return build.make_book(build.make_job(_JOB, build.make_step()))
+    return build.make_pool_state(build.make_job(_JOB, build.make_step()))
 
 
 def _read_parked(store):
@@ -99,7 +99,7 @@
 
 async def test_job_with_a_run_is_not_recorded(autojump_clock):
     store = stores.Store(1)
-    book = build.make_book(build.make_job(_JOB, build.make_step(2)))
+    book = build.make_pool_state(build.make_job(_JOB, build.make_step(2)))
     book.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 0.0)
     parked_record = await _open_parked_jobs(store, book)
     async with trio.open_nursery() as nursery:
--- a/crocusrouter/pools/tests/test_upkeep_controller.py
+++ b/crocusrouter/pools/tests/test_upkeep_controller.py
@@ -56,7 +56,7 @@
         owner_lease,
         "e0",
         stores.StoreView(store, "e0"),
-        work.Book(1),
+        work.PoolState(1),
         clocks.Clock(trio.current_time, lambda: 0.0),
         waves,
         lambda: None,
@@ -69,7 +69,7 @@
 async def test_owner_sees_progress_of_other_owners(autojump_clock):
     store = stores.Store(1)
     vms_platform = _Vms()
-    begun_record = upkeep.WaveRecord(begun={"m1": "w1"})
+    begun_record = upkeep.WaveRecord(started={"m1": "w1"})
     store.put(_KEY, upkeep.dump_record(begun_record))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_make_controller(store, vms_platform).run)
--- a/crocusrouter/pools/tests/test_worker_links.py
+++ b/crocusrouter/pools/tests/test_worker_links.py
@@ -9,13 +9,13 @@
 from crocusrouter.pools import clocks
 from crocusrouter.pools import unanswered_starts
 from crocusrouter.pools import worker_links
-from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 _WORKER = "w0"
-_SILENT = orders.Silent("lost", maybe_done=True)
-_NOT_SENT = orders.Silent("refused", maybe_done=False)
+_SILENT = worker_port.NoAnswer("lost", maybe_done=True)
+_NOT_SENT = worker_port.NoAnswer("refused", maybe_done=False)
 
 
 class _Port:
@@ -28,7 +28,9 @@
     async def _answer(self, order):
         self.sent.append(order)
         await trio.sleep(0.01)
-        return self.answers.pop(0) if self.answers else orders.Taken(1000)
+        return (
+            self.answers.pop(0) if self.answers else worker_port.Accepted(1000)
+        )
 
     async def start(self, epoch, order, until_ms, timeout_s):
         return await self._answer(order)
@@ -38,7 +40,7 @@
 
     async def hold(self, epoch, seen, until_ms, wait_s):
         await trio.sleep(0.01)
-        return orders.Report(1000, (), ())
+        return worker_port.Report(1000, (), ())
 
     async def aclose(self):
         pass
@@ -53,7 +55,7 @@
 
 
 def _make_link(port, may_start=_always):
-    book = work.Book(1)
+    book = work.PoolState(1)
     book.set_worker(build.make_entry(_WORKER), 0.0)
     book.workers[_WORKER].reached = True
     clock = clocks.Clock(trio.current_time, lambda: 1e6 + trio.current_time())
@@ -88,7 +90,7 @@
     port = _Port(*[_SILENT] * lost)
     _, link = _make_link(port)
     key = work.TaskKey("00000000000000aa", 0, 0, 0)
-    await link.stop(orders.Stop(key, 7))
+    await link.stop(worker_port.Stop(key, 7))
     assert len(port.sent) == lost + 1
 
 
@@ -98,7 +100,7 @@
     _, link = _make_link(port)
     key = work.TaskKey("00000000000000aa", 0, 0, 0)
     with trio.fail_after(20.0):
-        await link.stop(orders.Stop(key, 7))
+        await link.stop(worker_port.Stop(key, 7))
 
 
 @pytest.mark.parametrize(
@@ -116,20 +118,20 @@
     book, link = _make_link(port)
     job = build.make_job("00000000000000aa", build.make_step(1))
     book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due(2e6, 0.0)
+    book.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
     run = book.add_run(key, 7, _WORKER, 0.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(link.start, orders.Start(key, 7, "", ""))
+        nursery.start_soon(link.start, worker_port.Start(key, 7, "", ""))
         await trio.sleep(0.025)
         entry = book.workers[_WORKER].entry
         book.set_worker(dataclasses.replace(entry, draining=True), 0.0)
         sent_before = len(port.sent)
     assert len(port.sent) <= sent_before
     if waits_again:
-        assert book.find_work(key).waiting == {0}
+        assert book.find_tracked_step(key).waiting_indices == {0}
     else:
-        assert run.why == "its start was not answered"
+        assert run.stop_reason == "its start was not answered"
 
 
 @pytest.mark.parametrize("drains", [False, True])
@@ -145,11 +147,11 @@
     book, link = _make_link(port)
     job = build.make_job("00000000000000aa", build.make_step(1))
     book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due(2e6, 0.0)
+    book.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
     book.add_run(key, 7, _WORKER, 0.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(link.start, orders.Start(key, 7, "", ""))
+        nursery.start_soon(link.start, worker_port.Start(key, 7, "", ""))
         await trio.sleep(0.005)
         entry = book.workers[_WORKER].entry
         book.set_worker(dataclasses.replace(entry, draining=drains), 0.0)
@@ -170,12 +172,12 @@
     book, link = _make_link(port, may_start=lambda _: False)
     job = build.make_job("00000000000000aa", build.make_step(1))
     book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due(2e6, 0.0)
+    book.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
     book.add_run(key, 7, _WORKER, 0.0)
-    await link.start(orders.Start(key, 7, "", ""))
+    await link.start(worker_port.Start(key, 7, "", ""))
     assert port.sent == []
-    assert book.find_work(key).waiting == {0}
+    assert book.find_tracked_step(key).waiting_indices == {0}
 
 
 async def test_refused_connection_is_not_retried_at_once(autojump_clock):
@@ -186,13 +188,13 @@
     book, link = _make_link(port)
     job = build.make_job("00000000000000aa", build.make_step(1))
     book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due(2e6, 0.0)
+    book.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
     book.add_run(key, 7, _WORKER, 0.0)
     with trio.fail_after(5.0):
-        await link.start(orders.Start(key, 7, "", ""))
+        await link.start(worker_port.Start(key, 7, "", ""))
     assert 2 <= len(port.sent) <= 10
-    assert book.find_work(key).waiting == {0}
+    assert book.find_tracked_step(key).waiting_indices == {0}
 
 
 async def test_whole_gang_is_stopped_when_a_member_is_given_up(autojump_clock):
@@ -204,11 +206,11 @@
     book.set_worker(build.make_entry("w1"), 0.0)
     job = build.make_job("00000000000000aa", build.make_step(2, gang=True))
     book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due(2e6, 0.0)
+    book.open_due_occurrences(2e6, 0.0)
     member = work.TaskKey(job.id, 0, 0, 0)
     other = work.TaskKey(job.id, 0, 0, 1)
     book.add_run(member, 7, _WORKER, 0.0)
     book.add_run(other, 7, "w1", 0.0)
-    book.note_taken(other, 7, 0.0)
-    await link.start(orders.Start(member, 7, "", ""))
-    assert book.runs[other].phase is runs.Phase.STOPPING
+    book.note_started(other, 7, 0.0)
+    await link.start(worker_port.Start(member, 7, "", ""))
+    assert book.runs[other].phase is tracking.Phase.STOPPING
--- a/crocusrouter/pools/tests/test_worker_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -57,7 +57,7 @@
         worker_listing.Source("listed/", _parse),
         store,
         "p",
-        book or work.Book(1),
+        book or work.PoolState(1),
         clocks.Clock(trio.current_time, trio.current_time),
         metrics,
         worker_listing.Listeners(
@@ -117,8 +117,8 @@
     announcement that the worker drains arrives at once, or after lost answers.
     """
     job = build.make_job("0a", build.make_step(2))
-    book = build.make_book(job, workers=("w0",))
-    book.open_due(2e6, 0.0)
+    book = build.make_pool_state(job, workers=("w0",))
+    book.open_due_occurrences(2e6, 0.0)
     draining_change = records.Changed(
         _list_worker("w0", revision=9, draining=True)
     )
@@ -129,7 +129,7 @@
     began_at = trio.current_time()
     book.add_run(work.TaskKey("0a", 0, 0, 0), 1, "w0", began_at)
     book.add_run(work.TaskKey("0a", 0, 0, 1), 2, "w0", began_at + second_at)
-    book.note_taken(work.TaskKey("0a", 0, 0, 0), 1, began_at)
+    book.note_started(work.TaskKey("0a", 0, 0, 0), 1, began_at)
     logger = eliot.testing.MemoryLogger()
     previous_logger = eliot.testing.swap_logger(logger)
     try:
@@ -170,7 +170,7 @@
         )
         for revision, name in enumerate(announced, 6)
     ]
-    book = work.Book(1)
+    book = work.PoolState(1)
     unlisted = []
     worker_list = worker_listing.WorkerList(
         worker_listing.Source(
--- a/crocusrouter/pools/unanswered_starts.py
+++ b/crocusrouter/pools/unanswered_starts.py
@@ -7,7 +7,7 @@
 """
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 # Longest time after which an unanswered order is still carried out.
 _MAX_DELAY_S = 15.0
@@ -19,7 +19,9 @@
     def __init__(self) -> None:
         self._starts: dict[tuple[work.TaskKey, int], tuple[str, float]] = {}
 
-    def note(self, order: orders.Start, incarnation: str, now: float) -> None:
+    def note(
+        self, order: worker_port.Start, incarnation: str, now: float
+    ) -> None:
         """Record a start that an incarnation has not answered.
 
         Args:
@@ -30,7 +32,9 @@
         self._drop_expired(now)
         self._starts[order.key, order.run] = incarnation, now
 
-    def list_stops(self, incarnation: str, now: float) -> list[orders.Stop]:
+    def list_stops(
+        self, incarnation: str, now: float
+    ) -> list[worker_port.Stop]:
         """Return the stops to deliver to an incarnation.
 
         Args:
@@ -39,7 +43,7 @@
         """
         self._drop_expired(now)
         return [
-            orders.Stop(key, run)
+            worker_port.Stop(key, run)
             for (key, run), (sent_to, _) in self._starts.items()
             if sent_to != incarnation
         ]
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -19,9 +19,9 @@
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
 from crocusrouter.work import upkeep
 from crocusrouter.work import vms as vm_port
+from crocusrouter.work import worker_port
 
 _STEP_INTERVAL_S = 0.5
 # An order of an earlier owner may be in flight for this long after it was
@@ -87,7 +87,7 @@
         owner_lease: owner_leases.OwnerLease,
         holder: str,
         store: port.KeyValueStore,
-        book: work.Book,
+        book: work.PoolState,
         clock: clocks.Clock,
         waves: OpenWaves,
         on_change: Callable[[], None],
@@ -126,7 +126,7 @@
             await self._run_wave_loop(upkeep_platform)
         finally:
             # Allow new work on the workers that were being emptied.
-            self._book.set_resting(set())
+            self._book.set_evacuating(set())
 
     async def _run_wave_loop(self, upkeep_platform: Upkeeping) -> None:
         while not self._is_fenced:
@@ -137,7 +137,7 @@
                 if wave.number not in self._completed
             ]
             if not waves:
-                self._book.set_resting(set())
+                self._book.set_evacuating(set())
                 continue
             await self._advance_waves(waves, upkeep_platform)
 
@@ -148,7 +148,7 @@
         vms = upkeep_platform.make_vms()
         try:
             listed_vms = await vms.list_vms()
-            if isinstance(listed_vms, orders.Silent):
+            if isinstance(listed_vms, worker_port.NoAnswer):
                 log("vms:no-answer", cause=listed_vms.cause)
                 return
             listed_vms = self._name_incarnations(listed_vms)
@@ -181,17 +181,19 @@
     ) -> None:
         record = self._records.get(wave.number)
         pool = self._owner_lease.pool
-        if record is None or upkeep.is_shared(wave, record, listed_vms, pool):
+        if record is None or upkeep.waits_for_other_pools(
+            wave, record, listed_vms, pool
+        ):
             # Owners of other pools change the record too.
             record = await self._load_record(wave.number)
         record_before = upkeep.dump_record(record)
-        upkeep.note_back(record, listed_vms)
+        upkeep.mark_returned_vms(record, listed_vms)
         now = self._clock.steady()
         chosen_vm = upkeep.choose_vm(
             self._book, pool, wave, record, listed_vms, now
         )
         if chosen_vm is not None:
-            record.begun[chosen_vm.name] = chosen_vm.worker
+            record.started[chosen_vm.name] = chosen_vm.worker
         is_over = upkeep.is_over(wave, record, listed_vms)
         has_changed = is_over or upkeep.dump_record(record) != record_before
         if has_changed and not await self._write_record(
@@ -218,13 +220,13 @@
             for vm in listed_vms
             if vm.pool == self._owner_lease.pool
         }
-        for vm_name in list(record.begun):
+        for vm_name in list(record.started):
             vm = pool_vms.get(vm_name)
             if vm is None or vm.state is not vm_port.VmState.UP:
                 continue
             emptying_since = self._emptying_since.setdefault(vm_name, now)
             worker_state = self._book.workers.get(vm.worker)
-            evacuate_by = emptying_since + upkeep.measure_patience(wave)
+            evacuate_by = emptying_since + upkeep.measure_evacuation_s(wave)
             for run, why in upkeep.list_evacuations(
                 self._book, vm.worker, now, evacuate_by
             ):
@@ -232,7 +234,7 @@
                 self._on_change()
             if (
                 worker_state is None
-                or not worker_state.resting
+                or not worker_state.evacuating
                 or worker_state.runs
             ):
                 continue
@@ -254,14 +256,14 @@
         if answer is vm_port.Upkeep.FENCED:
             self._is_fenced = True
         if answer is vm_port.Upkeep.FOREIGN:
-            record.begun.pop(vm.name)
+            record.started.pop(vm.name)
             record.done.add(vm.name)
             await self._write_record(wave, record, False)
         if answer is vm_port.Upkeep.DONE:
             # Stored with the incarnation from before the first order: that
             # order may have been carried out although its answer was lost, and
             # the VM may already be back.
-            record.down[vm.name] = record.begun.pop(vm.name)
+            record.down[vm.name] = record.started.pop(vm.name)
             await self._write_record(wave, record, False)
 
     def _update_resting_workers(
@@ -271,9 +273,9 @@
         begun_vms = {
             vm_name
             for record in self._records.values()
-            for vm_name in record.begun
+            for vm_name in record.started
         }
-        self._book.set_resting(
+        self._book.set_evacuating(
             {vm.worker for vm in listed_vms if vm.name in begun_vms}
         )
         self._on_change()
--- a/crocusrouter/pools/worker_links.py
+++ b/crocusrouter/pools/worker_links.py
@@ -11,8 +11,8 @@
 from crocusrouter.pools import unanswered_starts
 from crocusrouter.pools import worker_leases
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # How long a poll of the worker waits for a task to end. Longer polls are fewer
 # calls; shorter ones show sooner that a worker is silent or a task makes no
@@ -31,7 +31,7 @@
 
 # Called when another incarnation answers, with the expected incarnation, the
 # answering one (None if unknown), and the stops to deliver to the latter.
-OnReplaced = Callable[[str, str | None, list[orders.Stop]], None]
+OnReplaced = Callable[[str, str | None, list[worker_port.Stop]], None]
 
 
 class WorkerLink:
@@ -40,9 +40,9 @@
     def __init__(
         self,
         incarnation: str,
-        port: orders.WorkerPort,
+        port: worker_port.WorkerPort,
         epoch: int,
-        book: work.Book,
+        book: work.PoolState,
         clock: clocks.Clock,
         settle: Callable[[], Awaitable[None]],
         may_renew: Callable[[], bool],
@@ -101,7 +101,7 @@
                 worker_state = self._book.workers.get(self.incarnation)
                 if worker_state is None:
                     return
-                is_idle = not worker_state.runs and not worker_state.strays
+                is_idle = not worker_state.runs and not worker_state.stray_runs
                 if is_idle and worker_state.silent_since is None:
                     if not worker_state.listed:
                         return
@@ -130,21 +130,22 @@
             self._epoch, self._confirmed_number, until_ms, wait_s
         )
         match answer:
-            case orders.Report():
+            case worker_port.Report():
                 await self._handle_report(answer, now)
-            case orders.Rejected(orders.Why.FENCED):
+            case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.incarnation}")
-            case orders.Rejected(orders.Why.OTHER_INCARNATION, _, successor):
+            case worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION, _, successor):
                 self._abandon(successor)
             case _:
                 await self._handle_silence()
 
     async def _handle_report(
-        self, report: orders.Report, sent_at: float
+        self, report: worker_port.Report, sent_at: float
     ) -> None:
         now = self._clock.steady()
         self.lease.note(report.clock_ms, now)
-        work.take_report(self._book, self.incarnation, report, sent_at, now)
+        work.apply_report(self._book, self.incarnation, report, sent_at, now)
         self._on_change()
         if not report.ended:
             return
@@ -157,7 +158,7 @@
         now = self._clock.steady()
         work.note_silent(self._book, self.incarnation, now)
         worker_state = self._book.workers[self.incarnation]
-        if not worker_state.lapsed and self.lease.has_lapsed(now):
+        if not worker_state.all_runs_ended and self.lease.has_lapsed(now):
             why = "the worker's lease expired"
             work.note_lapsed(self._book, self.incarnation, why, now)
             self._on_change()
@@ -179,7 +180,7 @@
 
     # Orders.
 
-    async def start(self, order: orders.Start) -> None:
+    async def start(self, order: worker_port.Start) -> None:
         """Deliver a start and record its outcome in the book.
 
         Raises:
@@ -197,29 +198,29 @@
             )
             now = self._clock.steady()
             match answer:
-                case orders.Taken(clock_ms):
+                case worker_port.Accepted(clock_ms):
                     self.lease.note(clock_ms, now)
-                    self._book.note_taken(order.key, order.run, now)
+                    self._book.note_started(order.key, order.run, now)
                     self._note_if_draining(order)
                     self.wake()
                     self._on_change()
                     return
-                case orders.Rejected(orders.Why.FENCED):
+                case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                     raise journals.DeposedError(f"fenced by {self.incarnation}")
-                case orders.Rejected(
-                    orders.Why.OTHER_INCARNATION, _, successor
+                case worker_port.Rejected(
+                    worker_port.RejectionReason.OTHER_INCARNATION, _, successor
                 ):
                     self._abandon(successor)
                     return
-                case orders.Rejected(why):
+                case worker_port.Rejected(why):
                     if not maybe_begun:
                         self._note_rejected(order, str(why))
                         return
                     break
-                case orders.Silent(cause, maybe_done):
+                case worker_port.NoAnswer(cause, maybe_done):
                     maybe_begun = maybe_begun or maybe_done
                     if maybe_done:
-                        self._book.note_maybe_begun(order.key, order.run)
+                        self._book.note_maybe_started(order.key, order.run)
                         self._pending_starts.note(order, self.incarnation, now)
                     log(
                         "order:unanswered",
@@ -232,7 +233,7 @@
                         await trio.sleep(_RETRY_DELAY_S)
         await self._resolve_unconfirmed_start(order, maybe_begun)
 
-    def _may_send(self, order: orders.Start) -> bool:
+    def _may_send(self, order: worker_port.Start) -> bool:
         """Return whether a start may be sent, or sent again.
 
         A worker that drains or shrinks in the meantime must not get it: a start
@@ -244,18 +245,18 @@
         return (
             run is not None
             and run.number == order.run
-            and run.phase is runs.Phase.ORDERED
+            and run.phase is tracking.Phase.ORDERED
             and worker_state is not None
-            and not worker_state.sealed
-            and run.work is not None
-            and not worker_state.is_over(run.work.step.charge)
+            and not worker_state.was_draining
+            and run.tracked_step is not None
+            and not worker_state.is_overcommitted(run.tracked_step.step.charge)
             and self._may_start(self._clock.steady())
         )
 
-    def _note_if_draining(self, order: orders.Start) -> None:
+    def _note_if_draining(self, order: worker_port.Start) -> None:
         """Record a start that was accepted after its worker began to drain."""
         worker_state = self._book.workers.get(self.incarnation)
-        if worker_state is not None and worker_state.sealed:
+        if worker_state is not None and worker_state.was_draining:
             self._book.note(
                 "run:on-leaving",
                 task=order.key,
@@ -263,13 +264,13 @@
                 worker=self.incarnation,
             )
 
-    def _note_rejected(self, order: orders.Start, why: str) -> None:
+    def _note_rejected(self, order: worker_port.Start, why: str) -> None:
         now = self._clock.steady()
-        self._book.note_not_begun(order.key, order.run, why, now)
+        self._book.note_never_started(order.key, order.run, why, now)
         self._on_change()
 
     async def _resolve_unconfirmed_start(
-        self, order: orders.Start, maybe_begun: bool
+        self, order: worker_port.Start, maybe_begun: bool
     ) -> None:
         """Resolve a start that was not confirmed in time.
 
@@ -279,16 +280,16 @@
         run = self._book.runs.get(order.key)
         if run is None or run.number != order.run:
             return
-        if not maybe_begun and run.phase is runs.Phase.ORDERED:
+        if not maybe_begun and run.phase is tracking.Phase.ORDERED:
             self._note_rejected(order, "unreachable")
             return
-        if run.phase is runs.Phase.ORDERED:
+        if run.phase is tracking.Phase.ORDERED:
             now = self._clock.steady()
             self._book.stop_run(run, "its start was not answered", now)
-            if run.work is not None and run.work.step.gang:
+            if run.tracked_step is not None and run.tracked_step.step.gang:
                 # The other members would wait for it and then end alone.
                 why = "a member's start was not answered"
-                self._book.stop_step(run.work, why, now)
+                self._book.stop_step(run.tracked_step, why, now)
             self._on_change()
 
     async def _stop_late_starts(self) -> None:
@@ -304,11 +305,11 @@
         for order in self._pending_starts.list_stops(self.incarnation, now):
             await self.stop(order)
 
-    def _is_current_run(self, order: orders.Stop) -> bool:
+    def _is_current_run(self, order: worker_port.Stop) -> bool:
         run = self._book.runs.get(order.key)
         return run is not None and run.number == order.run
 
-    async def stop(self, order: orders.Stop) -> None:
+    async def stop(self, order: worker_port.Stop) -> None:
         """Deliver a stop, repeated until it is answered or pointless.
 
         The book may not know the run, for example if a late order started a
@@ -323,15 +324,15 @@
         while not self._is_abandoned:
             answer = await self._port.stop(self._epoch, order, _ORDER_TIMEOUT_S)
             match answer:
-                case orders.Rejected(orders.Why.FENCED):
+                case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                     raise journals.DeposedError(f"fenced by {self.incarnation}")
-                case orders.Taken(clock_ms):
+                case worker_port.Accepted(clock_ms):
                     now = self._clock.steady()
                     self.lease.note(clock_ms, now)
                     await self._handle_stopped(order, now)
                     return
-                case orders.Rejected(
-                    orders.Why.OTHER_INCARNATION, _, successor
+                case worker_port.Rejected(
+                    worker_port.RejectionReason.OTHER_INCARNATION, _, successor
                 ):
                     self._abandon(successor)
                     return
@@ -342,7 +343,7 @@
             self.wake()
             await trio.sleep(_RETRY_DELAY_S)
 
-    async def pace(self, order: orders.Pace) -> None:
+    async def pace(self, order: worker_port.Pace) -> None:
         """Deliver a pace order once; the next decision repeats a lost one.
 
         Raises:
@@ -351,18 +352,18 @@
         answer = await self._port.pace(self._epoch, order, _ORDER_TIMEOUT_S)
         now = self._clock.steady()
         match answer:
-            case orders.Taken():
+            case worker_port.Accepted():
                 self._book.note_paced(order.key, order.run, order.percent, now)
                 log("run:paced", task=order.key, percent=order.percent)
-            case orders.Rejected(orders.Why.FENCED):
+            case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.incarnation}")
             case _:
                 log("run:not-paced", task=order.key, answer=str(answer))
 
-    async def _handle_stopped(self, order: orders.Stop, now: float) -> None:
+    async def _handle_stopped(self, order: worker_port.Stop, now: float) -> None:
         run = self._book.runs.get(order.key)
         is_current = run is not None and run.number == order.run
         if run is not None and is_current and run.confirmed_at is None:
-            self._book.note_settled(order.key, order.run, now)
+            self._book.note_stop_accepted(order.key, order.run, now)
             await self._poll(0.0)
         self.wake()
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -11,13 +11,13 @@
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
-from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # Workers write every 1.5 s; with this pause their changes share calls.
 _ANSWER_PAUSE_S = 0.4
 
-ParseWorker = Callable[[str, bytes], orders.WorkerEntry | None]
+ParseWorker = Callable[[str, bytes], worker_port.WorkerEntry | None]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -61,7 +61,7 @@
         source: Source,
         store: port.KeyValueStore,
         pool: str,
-        book: work.Book,
+        book: work.PoolState,
         clock: clocks.Clock,
         metrics: Metrics,
         listeners: Listeners,
@@ -130,7 +130,7 @@
         self._incarnations_by_key[record.key] = entry.id
         worker_state = self._book.workers.get(entry.id)
         starts_draining = entry.draining and not (
-            worker_state is not None and worker_state.sealed
+            worker_state is not None and worker_state.was_draining
         )
         self._book.set_worker(entry, now)
         if starts_draining:
@@ -158,11 +158,11 @@
             revision=revision,
             unheard_s=round(self.freshness.last_gap_s, 3),
             started_unheard=sum(
-                run.since >= self.freshness.previous_answer_at
+                run.ordered_at >= self.freshness.previous_answer_at
                 for run in worker_state.runs.values()
             ),
             under_way=sum(
-                run.phase is runs.Phase.ORDERED
+                run.phase is tracking.Phase.ORDERED
                 for run in worker_state.runs.values()
             ),
         )
--- a/crocusrouter/work/__init__.py
+++ b/crocusrouter/work/__init__.py
@@ -1,8 +1,5 @@
 """Scheduling core: the state of a pool, and the decisions based on it."""
 
-from crocusrouter.work.advice import Question
-from crocusrouter.work.advice import choose_question
-from crocusrouter.work.book import Book
 from crocusrouter.work.crashes import note_lapsed
 from crocusrouter.work.crashes import note_replaced
 from crocusrouter.work.crashes import note_silent
@@ -17,25 +14,28 @@
 from crocusrouter.work.planner import Placement
 from crocusrouter.work.planner import Plan
 from crocusrouter.work.planner import plan
-from crocusrouter.work.policy import Policy
+from crocusrouter.work.planner_policy import PlannerPolicy
+from crocusrouter.work.policy_questions import PolicyQuestion
+from crocusrouter.work.policy_questions import choose_question
+from crocusrouter.work.pool_state import PoolState
 from crocusrouter.work.progress import Progress
 from crocusrouter.work.progress import dump_progress
 from crocusrouter.work.progress import parse_progress
 from crocusrouter.work.replacement import add_successor
 from crocusrouter.work.replacement import map_incarnations
-from crocusrouter.work.reports import take_report
-from crocusrouter.work.runs import JobWork
+from crocusrouter.work.reports import apply_report
+from crocusrouter.work.tracking import TrackedJob
 
 __all__ = [
     "FINAL",
-    "Book",
+    "PoolState",
     "Job",
-    "JobWork",
+    "TrackedJob",
     "Placement",
     "Plan",
-    "Policy",
+    "PlannerPolicy",
     "Progress",
-    "Question",
+    "PolicyQuestion",
     "Room",
     "State",
     "Step",
@@ -51,5 +51,5 @@
     "note_silent",
     "parse_progress",
     "plan",
-    "take_report",
+    "apply_report",
 ]
--- a/crocusrouter/work/crashes.py
+++ b/crocusrouter/work/crashes.py
@@ -13,19 +13,19 @@
 
 from collections.abc import Iterable
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
-from crocusrouter.work import orders
+from crocusrouter.work import pool_state as pool_states
 from crocusrouter.work import progress as progresses
 from crocusrouter.work import replacement
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # A run that has worked for this long did not cause a crash of its worker.
 _CLEARED_AFTER_S = 60.0
 
 
 def note_silent(
-    pool_state: pool_states.Book, worker_id: str, now: float
+    pool_state: pool_states.PoolState, worker_id: str, now: float
 ) -> None:
     """Record that a worker does not answer.
 
@@ -52,7 +52,7 @@
 
 
 def note_lapsed(
-    pool_state: pool_states.Book, worker_id: str, reason: str, now: float
+    pool_state: pool_states.PoolState, worker_id: str, reason: str, now: float
 ) -> None:
     """Record that a worker's leases have expired without an answer.
 
@@ -77,11 +77,11 @@
 
 
 def note_replaced(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker_id: str,
     now: float,
     successor: str | None = None,
-    late_stops: Iterable[orders.Stop] = (),
+    late_stops: Iterable[worker_port.Stop] = (),
 ) -> None:
     """Record that another incarnation answers in place of a worker's.
 
@@ -101,14 +101,16 @@
     for run in suspected_runs:
         _record_crash(pool_state, run, worker)
     _log_crash(pool_state, worker, suspected_runs)
-    replacement.note_gone(pool_state, worker_id, now, successor, late_stops)
+    replacement.note_incarnation_replaced(
+        pool_state, worker_id, now, successor, late_stops
+    )
     _fail_crashing_tasks(pool_state, suspected_runs, now)
 
 
 def _log_crash(
-    pool_state: pool_states.Book,
-    worker: runs.Worker,
-    suspected_runs: list[runs.Run],
+    pool_state: pool_states.PoolState,
+    worker: tracking.Worker,
+    suspected_runs: list[tracking.Run],
 ) -> None:
     if not suspected_runs:
         return
@@ -124,7 +126,7 @@
 
 
 def withdraw_crash(
-    pool_state: pool_states.Book, key: model.TaskKey, run_number: int
+    pool_state: pool_states.PoolState, key: model.TaskKey, run_number: int
 ) -> None:
     """Remove the crash recorded for a run that its worker still reports.
 
@@ -133,9 +135,9 @@
         key: The task.
         run_number: Number of the run that the worker lists as running or ended.
     """
-    tracked_step = pool_state.find_work(key)
+    tracked_step = pool_state.find_tracked_step(key)
     crashes = (
-        tracked_step.kept.crashes.get(key.position)
+        tracked_step.progress.crashes.get(key.position)
         if tracked_step is not None
         else None
     )
@@ -143,22 +145,24 @@
         return
     remaining_crashes = [crash for crash in crashes if crash.run != run_number]
     if len(remaining_crashes) < len(crashes):
-        tracked_step.kept.crashes[key.position] = remaining_crashes
+        tracked_step.progress.crashes[key.position] = remaining_crashes
         pool_state.dirty.add(key.job)
 
 
 def clear_working_run(
-    pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
+    pool_state: pool_states.PoolState,
+    run: tracking.Run,
+    worker: tracking.Worker,
 ) -> None:
     """Clear a step of suspicion once one of its tasks is seen to work.
 
     The tasks of a step run the same program, so the others need no trials of
     their own. Their crashes stay recorded, since one task may still differ.
     """
-    tracked_step = run.work
+    tracked_step = run.tracked_step
     if (
         tracked_step is None
-        or not tracked_step.kept.crashes
+        or not tracked_step.progress.crashes
         or _is_early(run, worker)
     ):
         return
@@ -169,15 +173,17 @@
     worked_s = _measure_work_time(run, worker)
     if (
         worked_s >= _CLEARED_AFTER_S
-        and run.key.position in tracked_step.kept.crashes
+        and run.key.position in tracked_step.progress.crashes
     ):
-        del tracked_step.kept.crashes[run.key.position]
+        del tracked_step.progress.crashes[run.key.position]
         pool_state.dirty.add(run.key.job)
     clear_working_step(pool_state, tracked_step, run.key.position)
 
 
 def clear_working_step(
-    pool_state: pool_states.Book, tracked_step: runs.StepWork, index: int
+    pool_state: pool_states.PoolState,
+    tracked_step: tracking.TrackedStep,
+    index: int,
 ) -> None:
     """Stop counting crashes of a step as early once one of its tasks works.
 
@@ -188,65 +194,73 @@
         tracked_step: The step.
         index: Index of the task that works.
     """
-    for crashed_index, crashes in tracked_step.kept.crashes.items():
+    for crashed_index, crashes in tracked_step.progress.crashes.items():
         if crashed_index != index and len(crashes) > 1:
             continue
         if any(crash.early for crash in crashes):
-            tracked_step.kept.crashes[crashed_index] = [
+            tracked_step.progress.crashes[crashed_index] = [
                 crash._replace(early=False) for crash in crashes
             ]
             pool_state.dirty.add(tracked_step.key.job)
 
 
-def _measure_work_time(run: runs.Run, worker: runs.Worker) -> float:
+def _measure_work_time(run: tracking.Run, worker: tracking.Worker) -> float:
     """Return for how many seconds a run was certainly seen to work."""
     if run.confirmed_at is None or worker.last_report_at is None:
         return 0.0
     return max(0.0, worker.last_report_at - run.confirmed_at)
 
 
-def _is_early(run: runs.Run, worker: runs.Worker) -> bool:
-    return _measure_work_time(run, worker) < runs.TRIAL_S
+def _is_early(run: tracking.Run, worker: tracking.Worker) -> bool:
+    return _measure_work_time(run, worker) < tracking.TRIAL_S
 
 
 def _list_suspected_runs(
-    pool_state: pool_states.Book, worker: runs.Worker, lost_runs: list[runs.Run]
-) -> list[runs.Run]:
+    pool_state: pool_states.PoolState,
+    worker: tracking.Worker,
+    lost_runs: list[tracking.Run],
+) -> list[tracking.Run]:
     """Return the runs that may have crashed a worker.
 
     There are none if the worker was draining or emptied for upkeep.
     """
-    if worker.sealed or worker.was_evacuated:
+    if worker.was_draining or worker.was_evacuated:
         return []
     return [run for run in lost_runs if _may_have_crashed_worker(run, worker)]
 
 
-def _may_have_crashed_worker(run: runs.Run, worker: runs.Worker) -> bool:
+def _may_have_crashed_worker(
+    run: tracking.Run, worker: tracking.Worker
+) -> bool:
     """Tell whether a run may have started, and not long ago."""
-    may_have_started = run.maybe_begun or run.confirmed_at is not None
+    may_have_started = run.maybe_started or run.confirmed_at is not None
     return (
         may_have_started
-        and run.work is not None
+        and run.tracked_step is not None
         and _measure_work_time(run, worker) < _CLEARED_AFTER_S
     )
 
 
 def _fail_crashing_tasks(
-    pool_state: pool_states.Book, crashed_runs: list[runs.Run], now: float
+    pool_state: pool_states.PoolState,
+    crashed_runs: list[tracking.Run],
+    now: float,
 ) -> None:
     """Fail the jobs of tasks under which too many workers have crashed."""
     for run in crashed_runs:
-        assert run.work is not None
-        if run.work.kept.is_given_up(run.key.position):
+        assert run.tracked_step is not None
+        if run.tracked_step.progress.has_crashed_too_often(run.key.position):
             _fail_job(pool_state, run, now)
 
 
 def _record_crash(
-    pool_state: pool_states.Book, run: runs.Run, worker: runs.Worker
+    pool_state: pool_states.PoolState,
+    run: tracking.Run,
+    worker: tracking.Worker,
 ) -> None:
-    if run.work is None or run.key.job not in pool_state.live:
+    if run.tracked_step is None or run.key.job not in pool_state.live_jobs:
         return
-    crashes = run.work.kept.crashes.setdefault(run.key.position, [])
+    crashes = run.tracked_step.progress.crashes.setdefault(run.key.position, [])
     if any(crash.run == run.number for crash in crashes):
         return
     crash = progresses.Crash(run.number, _is_early(run, worker))
@@ -256,12 +270,14 @@
         pool_state.jobs[run.key.job].has_unsaved_crash = True
 
 
-def _list_crashes(run: runs.Run) -> list[progresses.Crash]:
-    assert run.work is not None
-    return run.work.kept.crashes.get(run.key.position, [])
+def _list_crashes(run: tracking.Run) -> list[progresses.Crash]:
+    assert run.tracked_step is not None
+    return run.tracked_step.progress.crashes.get(run.key.position, [])
 
 
-def _fail_job(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
+def _fail_job(
+    pool_state: pool_states.PoolState, run: tracking.Run, now: float
+) -> None:
     tracked_job = pool_state.jobs.get(run.key.job)
     if tracked_job is None or tracked_job.is_final:
         return
--- a/crocusrouter/work/model.py
+++ b/crocusrouter/work/model.py
@@ -173,17 +173,19 @@
     advised: bool = False
 
     @functools.cached_property
-    def tails(self) -> tuple[float, ...]:
-        """Result of `measure_tails`.
+    def critical_paths_s(self) -> tuple[float, ...]:
+        """Result of `measure_critical_paths`.
 
         It is cached, since each decision needs it.
         """
-        return measure_tails(self.steps)
+        return measure_critical_paths(self.steps)
 
     @property
     def objective_s(self) -> float:
         """Seconds from the due time to the desired end."""
-        return self.slack * max(self.tails, default=0.0) + self.target_s
+        return (
+            self.slack * max(self.critical_paths_s, default=0.0) + self.target_s
+        )
 
     @property
     def occurrences(self) -> int:
@@ -230,16 +232,16 @@
         return ".".join(map(str, self))
 
 
-def find_step(key: TaskKey) -> StepKey:
+def get_step_key(key: TaskKey) -> StepKey:
     """Return the key of the step that a task belongs to."""
     return StepKey(key.job, key.occurrence, key.step)
 
 
-def measure_tails(steps: tuple[Step, ...]) -> tuple[float, ...]:
+def measure_critical_paths(steps: tuple[Step, ...]) -> tuple[float, ...]:
     """Return the length of the critical path from each step's start.
 
     >>> one = Step(1, Room(), 2.0)
-    >>> measure_tails((one, Step(1, Room(), 3.0, after=(0,))))
+    >>> measure_critical_paths((one, Step(1, Room(), 3.0, after=(0,))))
     (5.0, 3.0)
 
     Returns:
--- a/crocusrouter/work/planner.py
+++ b/crocusrouter/work/planner.py
@@ -9,18 +9,18 @@
 from collections.abc import Iterable
 import dataclasses
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
-from crocusrouter.work import policy as policies
+from crocusrouter.work import planner_policy as policies
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
 from crocusrouter.work import racks
-from crocusrouter.work import rescue
-from crocusrouter.work import runs
+from crocusrouter.work import relocation
+from crocusrouter.work import tracking
 from crocusrouter.work import trials
-from crocusrouter.work import turns
-from crocusrouter.work import victims
+from crocusrouter.work import waiting_steps
 
-_DEFAULT = policies.Policy()
+_DEFAULT = policies.PlannerPolicy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -35,7 +35,7 @@
 
     step: model.StepKey
     spots: dict[int, str]
-    alone: bool = False
+    is_trial: bool = False
 
 
 @dataclasses.dataclass
@@ -51,7 +51,9 @@
     """
 
     placements: list[Placement] = dataclasses.field(default_factory=list)
-    stops: list[tuple[runs.Run, str]] = dataclasses.field(default_factory=list)
+    stops: list[tuple[tracking.Run, str]] = dataclasses.field(
+        default_factory=list
+    )
     reservations: list[Placement] = dataclasses.field(default_factory=list)
     contended: bool = False
 
@@ -67,7 +69,7 @@
     def __init__(self) -> None:
         self._exhausted: set[tuple[model.Room, str]] = set()
 
-    def note(self, waiting_step: turns.WaitingStep) -> None:
+    def note(self, waiting_step: waiting_steps.WaitingStep) -> None:
         """Record that no worker has room for one task of a step.
 
         Nothing is recorded for a step with restrictions that don't apply to
@@ -80,7 +82,7 @@
             step = waiting_step.tracked_step.step
             self._exhausted.add((step.charge, step.label))
 
-    def is_known(self, waiting_step: turns.WaitingStep) -> bool:
+    def is_known(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether no worker can have room for one task of a step."""
         step = waiting_step.tracked_step.step
         return (step.charge, step.label) in self._exhausted
@@ -91,39 +93,39 @@
 
     def __init__(
         self,
-        pool_state: pool_states.Book,
+        pool_state: pool_states.PoolState,
         now: float,
         wall: float,
         reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-        policy: policies.Policy = _DEFAULT,
+        policy: policies.PlannerPolicy = _DEFAULT,
     ) -> None:
         self._pool_state = pool_state
         self._policy = policy
         self._now = now
         self._wall = wall
         self._plan = Plan()
-        self._stalled_runs = rescue.list_stalled(pool_state, now)
-        stalled_workers = {run.worker for run in self._stalled_runs}
+        self._stalled_runs = relocation.list_stalled(pool_state, now)
+        stalled_workers = {run.worker_id for run in self._stalled_runs}
         self._spaces = {
             name: packing.Space(
                 name, packing.find_rack(worker.entry.labels), worker.free
             )
             for name, worker in pool_state.workers.items()
-            if worker.may_take(now) and name not in stalled_workers
+            if worker.may_start_tasks(now) and name not in stalled_workers
         }
         self._racks = racks.Racks(pool_state)
         self._held_workers: set[str] = set()
         self._trial_workers = trials.list_trial_workers(pool_state, now)
         self._exhausted_rooms = _ExhaustedRooms()
-        self._free_times = victims.FreeTimes(pool_state, now)
-        self._losses = victims.Losses(pool_state, now)
-        self._guaranteed_used = victims.count_guaranteed(pool_state)
+        self._free_times = preemption.FreeTimes(pool_state, now)
+        self._losses = preemption.Losses(pool_state, now)
+        self._guaranteed_used = preemption.count_guaranteed(pool_state)
         self._reservations = dict(reserved)
         for key, spots in self._reservations.items():
             self._take_reserved(key, spots)
 
     def _take_reserved(self, key: model.StepKey, spots: dict[int, str]) -> None:
-        tracked_step = self._pool_state.find_work(key)
+        tracked_step = self._pool_state.find_tracked_step(key)
         if tracked_step is None:
             return
         for worker_id in spots.values():
@@ -133,13 +135,15 @@
 
     def run(self) -> Plan:
         """Choose the runs to relocate, then place all steps in order."""
-        relocations = rescue.list_relocations(
+        relocations = relocation.list_relocations(
             self._pool_state, self._stalled_runs, self._now, self._wall
         )
-        runs_to_stop = rescue.add_gang_members(self._pool_state, relocations)
+        runs_to_stop = relocation.add_gang_members(
+            self._pool_state, relocations
+        )
         self._plan.stops += list(runs_to_stop.values())
         holding_count = 0
-        ordered_steps = turns.list_waiting_steps(
+        ordered_steps = waiting_steps.list_waiting_steps(
             self._pool_state, self._now, self._wall, self._policy
         )
         for waiting_step in ordered_steps:
@@ -148,13 +152,13 @@
             if self._is_held_back(waiting_step):
                 continue
             placed = self._place(waiting_step)
-            if placed or holding_count >= self._policy.most_holding:
+            if placed or holding_count >= self._policy.max_holding_steps:
                 continue
             self._hold_workers(waiting_step)
             holding_count += 1
         return self._plan
 
-    def _is_held_back(self, waiting_step: turns.WaitingStep) -> bool:
+    def _is_held_back(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step leaves free room to urgent work that may follow.
 
         If the first priority had to stop other work a moment ago, more urgent
@@ -170,19 +174,20 @@
             return False
         return self._now < contended_at + self._policy.hold_back_s
 
-    def _place(self, waiting_step: turns.WaitingStep) -> bool:
+    def _place(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Place as many tasks of a step as possible.
 
         Returns:
             Whether no task of the step needs further room.
         """
-        if waiting_step.tracked_step.kept.is_suspect and self._place_suspect(
-            waiting_step
+        if (
+            waiting_step.tracked_step.progress.is_suspect
+            and self._place_suspect(waiting_step)
         ):
             return True
         if waiting_step.tracked_step.step.gang:
             return self._place_gang(waiting_step)
-        indices = sorted(waiting_step.tracked_step.waiting)
+        indices = sorted(waiting_step.tracked_step.waiting_indices)
         spaces = self._choose_spaces(waiting_step, len(indices))
         for space in spaces:
             space.take(waiting_step.tracked_step.step.charge)
@@ -195,13 +200,14 @@
             self._plan.placements.append(
                 Placement(waiting_step.tracked_step.key, spots)
             )
-        if len(spots) == len(waiting_step.tracked_step.waiting):
+        if len(spots) == len(waiting_step.tracked_step.waiting_indices):
             return True
         return self._preempt(
-            waiting_step, set(waiting_step.tracked_step.waiting) - set(spots)
+            waiting_step,
+            set(waiting_step.tracked_step.waiting_indices) - set(spots),
         )
 
-    def _place_suspect(self, waiting_step: turns.WaitingStep) -> bool:
+    def _place_suspect(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Start a task or gang that may crash its workers alone on its workers.
 
         It stops no other runs, and holds no room while it waits.
@@ -233,12 +239,14 @@
         spots = {
             index: space.worker for index, space in spaces_by_index.items()
         }
-        placement = Placement(waiting_step.tracked_step.key, spots, alone=True)
+        placement = Placement(
+            waiting_step.tracked_step.key, spots, is_trial=True
+        )
         self._plan.placements.append(placement)
         return True
 
     def _list_allowed_spaces(
-        self, waiting_step: turns.WaitingStep
+        self, waiting_step: waiting_steps.WaitingStep
     ) -> list[packing.Space]:
         """Return the workers that may run a step.
 
@@ -260,7 +268,7 @@
         return preferred_spaces or allowed_spaces
 
     def _list_fitting_spaces(
-        self, waiting_step: turns.WaitingStep
+        self, waiting_step: waiting_steps.WaitingStep
     ) -> list[packing.Space]:
         """Return the allowed spaces with room for at least one task."""
         charge = waiting_step.tracked_step.step.charge
@@ -282,7 +290,7 @@
         )
 
     def _is_permitted(
-        self, waiting_step: turns.WaitingStep, worker_id: str
+        self, waiting_step: waiting_steps.WaitingStep, worker_id: str
     ) -> bool:
         if not waiting_step.tracked_job.job.advised:
             return True
@@ -291,7 +299,7 @@
         )
 
     def _count_free_slots(
-        self, waiting_step: turns.WaitingStep, space: packing.Space
+        self, waiting_step: waiting_steps.WaitingStep, space: packing.Space
     ) -> int:
         """Return how many more tasks of the step a worker may take."""
         limit = waiting_step.tracked_step.step.per_worker
@@ -300,17 +308,17 @@
         running_count = sum(
             1
             for key in self._pool_state.workers[space.worker].runs
-            if model.find_step(key) == waiting_step.tracked_step.key
+            if model.get_step_key(key) == waiting_step.tracked_step.key
         )
         return max(
             0,
             limit
             - running_count
-            - space.count_task(waiting_step.tracked_step.key),
+            - space.count_tasks(waiting_step.tracked_step.key),
         )
 
     def _choose_spaces(
-        self, waiting_step: turns.WaitingStep, count: int
+        self, waiting_step: waiting_steps.WaitingStep, count: int
     ) -> list[packing.Space]:
         """Return a space for each task that fits, the tightest fit first."""
         step = waiting_step.tracked_step.step
@@ -335,7 +343,7 @@
             )
         return chosen
 
-    def _may_leave_rack(self, waiting_step: turns.WaitingStep) -> bool:
+    def _may_leave_rack(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step has waited long enough for its rack."""
         waiting_since = waiting_step.tracked_step.waiting_since
         waited_s = (
@@ -352,15 +360,15 @@
             )
         return waited_s >= patience_s
 
-    def _place_gang(self, waiting_step: turns.WaitingStep) -> bool:
+    def _place_gang(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         spaces = self._choose_gang(
             waiting_step, self._list_fitting_spaces(waiting_step)
         )
         if spaces is None:
             return self._preempt(
-                waiting_step, set(waiting_step.tracked_step.waiting)
+                waiting_step, set(waiting_step.tracked_step.waiting_indices)
             )
-        indices = sorted(waiting_step.tracked_step.waiting)
+        indices = sorted(waiting_step.tracked_step.waiting_indices)
         for space in spaces:
             space.take(waiting_step.tracked_step.step.charge)
         self._plan.placements.append(
@@ -376,7 +384,7 @@
 
     def _choose_gang(
         self,
-        waiting_step: turns.WaitingStep,
+        waiting_step: waiting_steps.WaitingStep,
         spaces: list[packing.Space],
     ) -> list[packing.Space] | None:
         """Return a space for each gang member; None if they don't all fit."""
@@ -400,19 +408,19 @@
 
     # Guarantees and victims.
 
-    def _is_guaranteed(self, waiting_step: turns.WaitingStep) -> bool:
+    def _is_guaranteed(self, waiting_step: waiting_steps.WaitingStep) -> bool:
         """Tell whether a step is covered by its customer's guarantee."""
         job = waiting_step.tracked_job.job
         if job.priority != 0:
             return False
         needed = waiting_step.tracked_step.step.charge.accelerators * len(
-            waiting_step.tracked_step.waiting
+            waiting_step.tracked_step.waiting_indices
         )
         used = self._guaranteed_used.get(job.customer, 0)
         return used + needed <= self._pool_state.guaranteed.get(job.customer, 0)
 
     def _preempt(
-        self, waiting_step: turns.WaitingStep, missing_indices: set[int]
+        self, waiting_step: waiting_steps.WaitingStep, missing_indices: set[int]
     ) -> bool:
         """Stop runs of lower priority to make room for the missing tasks.
 
@@ -427,7 +435,7 @@
         loss_factor = self._policy.find_loss_factor(job.priority)
         if not loss_factor or waiting_step.hopeless or step.lasting:
             return False
-        preempted = victims.choose_victims(
+        preempted = preemption.choose_victims(
             self._losses,
             job.priority,
             step,
@@ -461,10 +469,10 @@
             self._spaces[worker].take(step.charge)
         return True
 
-    def _hold_workers(self, waiting_step: turns.WaitingStep) -> None:
+    def _hold_workers(self, waiting_step: waiting_steps.WaitingStep) -> None:
         """Keep later steps off the workers that will fit this step first."""
         step = waiting_step.tracked_step.step
-        task_count = len(waiting_step.tracked_step.waiting)
+        task_count = len(waiting_step.tracked_step.waiting_indices)
         ranked_spaces = sorted(
             self._list_allowed_spaces(waiting_step),
             key=lambda space: self._free_times.find(space.worker, step.charge),
@@ -476,12 +484,12 @@
 
 
 def plan(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     now: float,
     wall: float,
     *,
     reserved: Iterable[tuple[model.StepKey, dict[int, str]]] = (),
-    policy: policies.Policy = _DEFAULT,
+    policy: policies.PlannerPolicy = _DEFAULT,
 ) -> Plan:
     """Return what to start and stop now.
 
--- a/crocusrouter/work/policy.py
+++ b/crocusrouter/work/planner_policy.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Policy:
+class PlannerPolicy:
     """All weights and limits of the planner.
 
     Attributes:
@@ -21,7 +21,7 @@
         guaranteed_rack_patience_s: Limit of that wait in seconds for guaranteed
             work, which must have started 2.7 s after its acceptance, including
             the time for stops.
-        most_holding: Maximum number of unplaced steps that hold workers.
+        max_holding_steps: Maximum number of unplaced steps that hold workers.
         late_factor: A result has no value after this multiple of the objective;
             later work goes last.
         loss_factor: Work of the first priority beyond its guarantee may destroy
@@ -43,7 +43,7 @@
     rack_patience: float = 5.0
     idle_rack_patience: float = 2.0
     guaranteed_rack_patience_s: float = 1.6
-    most_holding: int = 3
+    max_holding_steps: int = 3
     late_factor: float = 3.0
     loss_factor: float = 2.0
     second_loss_factor: float = 0.05
@@ -52,7 +52,7 @@
     def find_loss_factor(self, priority: int) -> float:
         """Return the loss factor of a priority; 0 if it may stop nothing.
 
-        >>> Policy().find_loss_factor(2)
+        >>> PlannerPolicy().find_loss_factor(2)
         0.0
         """
         if priority == 0:
--- a/crocusrouter/work/advice.py
+++ b/crocusrouter/work/policy_questions.py
@@ -9,9 +9,9 @@
 
 import dataclasses
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
-from crocusrouter.work import turns
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import waiting_steps
 
 # Maximum number of workers in one question. The service needs time for each of
 # them, and a job's objective leaves time for a question about some thirty.
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Question:
+class PolicyQuestion:
     """The next question to the policy service.
 
     Attributes:
@@ -35,8 +35,8 @@
 
 
 def choose_question(
-    pool_state: pool_states.Book, now: float, wall: float
-) -> Question | None:
+    pool_state: pool_states.PoolState, now: float, wall: float
+) -> PolicyQuestion | None:
     """Return the question that lets the first step in the order start.
 
     Steps are considered in the planner's order. A step needs no question while
@@ -47,26 +47,26 @@
         now: Steady time in seconds.
         wall: Unix time in seconds.
     """
-    for waiting_step in turns.list_waiting_steps(pool_state, now, wall):
+    for waiting_step in waiting_steps.list_waiting_steps(pool_state, now, wall):
         if not waiting_step.tracked_job.job.advised:
             continue
         worker_ids = _choose_workers(pool_state, waiting_step, now)
         if worker_ids:
-            return Question(waiting_step.tracked_step.key, worker_ids)
+            return PolicyQuestion(waiting_step.tracked_step.key, worker_ids)
     return None
 
 
 def _choose_workers(
-    pool_state: pool_states.Book,
-    waiting_step: turns.WaitingStep,
+    pool_state: pool_states.PoolState,
+    waiting_step: waiting_steps.WaitingStep,
     now: float,
 ) -> tuple[str, ...]:
     step = waiting_step.tracked_step.step
     permits = waiting_step.tracked_step.permits
-    needed_slots = len(waiting_step.tracked_step.waiting)
+    needed_slots = len(waiting_step.tracked_step.waiting_indices)
     candidates: list[tuple[bool, str]] = []
     for worker_id, worker in pool_state.workers.items():
-        if not worker.may_take(now):
+        if not worker.may_start_tasks(now):
             continue
         if step.label and step.label not in worker.entry.labels:
             continue
--- a/crocusrouter/work/book.py
+++ b/crocusrouter/work/pool_state.py
@@ -9,18 +9,18 @@
 from collections.abc import Iterable
 
 from crocusrouter.work import model
-from crocusrouter.work import orders
 from crocusrouter.work import progress as progresses
-from crocusrouter.work import runs
-from crocusrouter.work import stopping
+from crocusrouter.work import stop_durations
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 # Pause before a failed task starts again, so that a task which fails at once
 # does not use up its attempts during a short disturbance of the workers.
 RETRY_PAUSE_S = 0.3
-WorkerStop = tuple[str, orders.Stop]
+WorkerStop = tuple[str, worker_port.Stop]
 
 
-class Book:
+class PoolState:
     """Jobs, runs and workers of one pool.
 
     Attributes:
@@ -40,14 +40,14 @@
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
-        self.jobs: dict[str, runs.JobWork] = {}
-        self.live: dict[str, runs.JobWork] = {}
-        self.workers: dict[str, runs.Worker] = {}
-        self.runs: dict[model.TaskKey, runs.Run] = {}
+        self.jobs: dict[str, tracking.TrackedJob] = {}
+        self.live_jobs: dict[str, tracking.TrackedJob] = {}
+        self.workers: dict[str, tracking.Worker] = {}
+        self.runs: dict[model.TaskKey, tracking.Run] = {}
         self.dirty: set[str] = set()
         self.outbox: list[WorkerStop] = []
         self.guaranteed: dict[str, int] = {}
-        self.stop_times = stopping.StopTimes()
+        self.stop_durations = stop_durations.StopDurations()
         self.contended_at: float | None = None
         self.events: collections.deque[tuple[str, dict[str, object]]] = (
             collections.deque(maxlen=2000)
@@ -73,17 +73,17 @@
         """Add an accepted job, or record that a known job was cancelled."""
         tracked_job = self.jobs.get(job.id)
         if tracked_job is None:
-            tracked_job = runs.JobWork(job, progress, created)
-            tracked_job.begun = (
-                bool(progress.steps) or progress.final is not None
+            tracked_job = tracking.TrackedJob(job, progress, created)
+            tracked_job.has_started = (
+                bool(progress.steps) or progress.final_state is not None
             )
-            tracked_job.durable = progress.final is not None
+            tracked_job.durable = progress.final_state is not None
             self.jobs[job.id] = tracked_job
             if tracked_job.is_final:
                 tracked_job.over_since = now
                 return
-            self.live[job.id] = tracked_job
-            if progress.is_given_up:
+            self.live_jobs[job.id] = tracked_job
+            if progress.has_crashed_too_often:
                 # A previous owner was lost before it could journal the failure.
                 self.finish(tracked_job, model.State.FAILED, now)
             return
@@ -91,7 +91,7 @@
             tracked_job.job = job
             self._close_job(tracked_job, "cancelled", now)
 
-    def open_reported(self, key: model.TaskKey, now: float) -> None:
+    def open_reported_occurrence(self, key: model.TaskKey, now: float) -> None:
         """Open an occurrence that a worker reports before it is due.
 
         Workers report to a new owner before its first decision, and its clock
@@ -103,25 +103,27 @@
         if tracked_job is None or tracked_job.is_final:
             return
         last = min(key.occurrence + 1, tracked_job.job.occurrences)
-        while tracked_job.opened < last:
-            self._open_occurrence(tracked_job, tracked_job.opened, now)
-            tracked_job.opened += 1
+        while tracked_job.opened_count < last:
+            self._open_occurrence(tracked_job, tracked_job.opened_count, now)
+            tracked_job.opened_count += 1
 
-    def open_due(self, wall: float, now: float) -> None:
+    def open_due_occurrences(self, wall: float, now: float) -> None:
         """Open the occurrences that have become due.
 
         Args:
             wall: Unix time in seconds.
             now: Steady time in seconds.
         """
-        for tracked_job in list(self.live.values()):
-            opened_before = tracked_job.opened
-            while tracked_job.opened < tracked_job.job.occurrences:
-                if tracked_job.job.find_due(tracked_job.opened) > wall:
+        for tracked_job in list(self.live_jobs.values()):
+            opened_before = tracked_job.opened_count
+            while tracked_job.opened_count < tracked_job.job.occurrences:
+                if tracked_job.job.find_due(tracked_job.opened_count) > wall:
                     break
-                self._open_occurrence(tracked_job, tracked_job.opened, now)
-                tracked_job.opened += 1
-            if tracked_job.opened > opened_before:
+                self._open_occurrence(
+                    tracked_job, tracked_job.opened_count, now
+                )
+                tracked_job.opened_count += 1
+            if tracked_job.opened_count > opened_before:
                 # A previous owner may have recorded the end of the occurrence
                 # that opens last. No further end would then finish the job.
                 self.finish_if_done(tracked_job, now)
@@ -130,40 +132,40 @@
         """Return the Unix time at which the next occurrence is due."""
         return min(
             (
-                tracked_job.job.find_due(tracked_job.opened)
-                for tracked_job in self.live.values()
-                if tracked_job.opened < tracked_job.job.occurrences
+                tracked_job.job.find_due(tracked_job.opened_count)
+                for tracked_job in self.live_jobs.values()
+                if tracked_job.opened_count < tracked_job.job.occurrences
             ),
             default=None,
         )
 
     def _open_occurrence(
-        self, tracked_job: runs.JobWork, number: int, now: float
+        self, tracked_job: tracking.TrackedJob, number: int, now: float
     ) -> None:
         for position, step in enumerate(tracked_job.job.steps):
             key = model.StepKey(tracked_job.job.id, number, position)
             progress = tracked_job.progress.get(number, position)
             waiting = set(range(step.count)) - progress.done
-            tracked_step = runs.StepWork(key, step, progress, waiting)
+            tracked_step = tracking.TrackedStep(key, step, progress, waiting)
             tracked_step.waiting_since = now
             tracked_job.steps[key] = tracked_step
 
     def _close_job(
-        self, tracked_job: runs.JobWork, reason: str, now: float
+        self, tracked_job: tracking.TrackedJob, reason: str, now: float
     ) -> None:
         """Mark a job as over and stop its runs.
 
         Members of a gang that has succeeded end by themselves, so a stop order
         for each of them would be wasted.
         """
-        self.live.pop(tracked_job.job.id, None)
+        self.live_jobs.pop(tracked_job.job.id, None)
         tracked_job.over_since = now
         for tracked_step in tracked_job.steps.values():
             for run in self.list_step_runs(tracked_step):
-                if run.key.position not in tracked_step.kept.done:
+                if run.key.position not in tracked_step.progress.done:
                     self.stop_run(run, reason, now)
 
-    def list_over(self, before: float) -> list[str]:
+    def list_ended_jobs(self, before: float) -> list[str]:
         """Return the ids of jobs that ended before a given time.
 
         Jobs with runs left or with progress to journal are not included.
@@ -183,15 +185,17 @@
     def forget_job(self, job_id: str) -> None:
         """Remove a job that has been over for long enough."""
         self.jobs.pop(job_id, None)
-        self.live.pop(job_id, None)
+        self.live_jobs.pop(job_id, None)
 
-    def list_step_runs(self, tracked_step: runs.StepWork) -> list[runs.Run]:
+    def list_step_runs(
+        self, tracked_step: tracking.TrackedStep
+    ) -> list[tracking.Run]:
         """Return the runs of a step."""
-        return list(tracked_step.running.values())
+        return list(tracked_step.runs_by_index.values())
 
-    def find_work(
+    def find_tracked_step(
         self, key: model.TaskKey | model.StepKey
-    ) -> runs.StepWork | None:
+    ) -> tracking.TrackedStep | None:
         """Return the step of a task; None if its job is unknown."""
         tracked_job = self.jobs.get(key.job)
         if tracked_job is None:
@@ -201,7 +205,9 @@
         )
 
     def is_ready(
-        self, tracked_job: runs.JobWork, tracked_step: runs.StepWork
+        self,
+        tracked_job: tracking.TrackedJob,
+        tracked_step: tracking.TrackedStep,
     ) -> bool:
         """Tell whether all steps that a step depends on have succeeded."""
         key = tracked_step.key
@@ -217,13 +223,13 @@
         """Return how many jobs of a queue have not started."""
         return sum(
             1
-            for tracked_job in self.live.values()
-            if tracked_job.job.queue == queue and not tracked_job.begun
+            for tracked_job in self.live_jobs.values()
+            if tracked_job.job.queue == queue and not tracked_job.has_started
         )
 
     # Workers.
 
-    def set_worker(self, entry: orders.WorkerEntry, now: float) -> bool:
+    def set_worker(self, entry: worker_port.WorkerEntry, now: float) -> bool:
         """Record a worker as the platform lists it.
 
         Returns:
@@ -231,14 +237,16 @@
         """
         worker = self.workers.get(entry.id)
         if worker is None:
-            self.workers[entry.id] = runs.Worker(entry, sealed=entry.draining)
+            self.workers[entry.id] = tracking.Worker(
+                entry, was_draining=entry.draining
+            )
             self.note("worker:listed", worker=entry.id)
             return True
         if worker.entry.draining != entry.draining:
             self.note("worker:state", worker=entry.id, draining=entry.draining)
         worker.entry = entry
         worker.listed = True
-        worker.sealed = worker.sealed or entry.draining
+        worker.was_draining = worker.was_draining or entry.draining
         if entry.stays_s is not None:
             # Each heartbeat repeats the time left; the earliest deadline comes
             # from the least delayed heartbeat.
@@ -246,15 +254,15 @@
             worker.leaves_at = min(worker.leaves_at or stays_until, stays_until)
         return False
 
-    def set_resting(self, worker_ids: set[str]) -> None:
+    def set_evacuating(self, worker_ids: set[str]) -> None:
         """Set which workers are being emptied; all others stop being
         emptied.
         """
         for worker_id, worker in self.workers.items():
-            worker.resting = worker_id in worker_ids
-            worker.was_evacuated = worker.was_evacuated or worker.resting
+            worker.evacuating = worker_id in worker_ids
+            worker.was_evacuated = worker.was_evacuated or worker.evacuating
 
-    def list_blocked(self) -> frozenset[str] | None:
+    def list_blocked_jobs(self) -> frozenset[str] | None:
         """Return the jobs that may run on a worker that has not reported yet.
 
         A previous owner may have started them there.
@@ -264,17 +272,21 @@
             owner could have started may start.
         """
         unreported_workers = [
-            worker for worker in self.workers.values() if worker.is_untold
+            worker
+            for worker in self.workers.values()
+            if worker.has_unknown_runs
         ]
         blocked_jobs: set[str] = set()
         for worker in unreported_workers:
-            if worker.blocks is None:
+            if worker.possible_jobs is None:
                 return None
-            blocked_jobs |= worker.blocks
+            blocked_jobs |= worker.possible_jobs
         return frozenset(blocked_jobs)
 
-    def may_run_unseen(
-        self, tracked_job: runs.JobWork, blocked_jobs: frozenset[str] | None
+    def may_run_unreported(
+        self,
+        tracked_job: tracking.TrackedJob,
+        blocked_jobs: frozenset[str] | None,
     ) -> bool:
         """Tell whether a job may be running on a worker that has not reported.
 
@@ -284,12 +296,12 @@
 
         Args:
             tracked_job: The job.
-            blocked_jobs: The result of `list_blocked`.
+            blocked_jobs: The result of `list_blocked_jobs`.
         """
         if tracked_job.parked:
             return False
         if blocked_jobs is None:
-            return tracked_job.created <= self.epoch
+            return tracked_job.accepted_revision <= self.epoch
         return tracked_job.job.id in blocked_jobs
 
     def unlist_worker(self, worker_id: str) -> None:
@@ -314,7 +326,7 @@
 
     def note_lapsed(
         self, worker_id: str, reason: str, now: float
-    ) -> list[runs.Run]:
+    ) -> list[tracking.Run]:
         """Record that nothing can be running on a worker any more.
 
         Returns:
@@ -334,11 +346,11 @@
                 run=run.number,
                 worker=worker_id,
                 phase=str(run.phase),
-                ran_s=round((worker.silent_since or now) - run.since, 3),
+                ran_s=round((worker.silent_since or now) - run.ordered_at, 3),
             )
             self.drop_run(run)
-            self.requeue(run, orders.How.LAPSED, now)
-        worker.lapsed = True
+            self.requeue(run, worker_port.RunOutcome.LAPSED, now)
+        worker.all_runs_ended = True
         return lost_runs
 
     def forget_worker(self, worker_id: str) -> None:
@@ -354,8 +366,8 @@
         worker_id: str,
         now: float,
         *,
-        alone: bool = False,
-    ) -> runs.Run:
+        is_trial: bool = False,
+    ) -> tracking.Run:
         """Add a run whose start is about to be ordered.
 
         Args:
@@ -363,98 +375,103 @@
             number: Number of the start.
             worker_id: Worker that runs it.
             now: Steady time in seconds.
-            alone: Whether the worker takes no other task for a while.
+            is_trial: Whether the worker takes no other task for a while.
         """
-        run = runs.Run(key, number, worker_id, now, progressed_at=now)
-        tracked_step = self.find_work(key)
+        run = tracking.Run(key, number, worker_id, now, progressed_at=now)
+        tracked_step = self.find_tracked_step(key)
         if tracked_step is not None:
-            tracked_step.waiting.discard(key.position)
-            tracked_step.running[key.position] = run
-            run.work = tracked_step
-            run.saved = tracked_step.find_checkpoint(key.position)
+            tracked_step.waiting_indices.discard(key.position)
+            tracked_step.runs_by_index[key.position] = run
+            run.tracked_step = tracked_step
+            run.checkpoint = tracked_step.find_checkpoint(key.position)
             self._assign_run(run, tracked_step, worker_id)
-            if alone:
-                self.workers[worker_id].trial_until = now + runs.TRIAL_S
+            if is_trial:
+                self.workers[worker_id].trial_until = now + tracking.TRIAL_S
         self.runs[key] = run
         return run
 
     def _assign_run(
-        self, run: runs.Run, tracked_step: runs.StepWork, worker_id: str
+        self,
+        run: tracking.Run,
+        tracked_step: tracking.TrackedStep,
+        worker_id: str,
     ) -> None:
         worker = self.workers[worker_id]
         if run.key not in worker.runs:
             worker.used = worker.used.plus(tracked_step.step.charge)
             worker.runs[run.key] = run
-            worker.lapsed = False
+            worker.all_runs_ended = False
 
-    def move_run(self, run: runs.Run, worker_id: str) -> None:
+    def move_run(self, run: tracking.Run, worker_id: str) -> None:
         """Assign a run to another worker, where it may still start."""
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         assert tracked_step is not None
-        old_worker = self.workers[run.worker]
+        old_worker = self.workers[run.worker_id]
         del old_worker.runs[run.key]
         old_worker.used = old_worker.used.minus(tracked_step.step.charge)
-        run.worker = worker_id
+        run.worker_id = worker_id
         run.confirmed_at = None
-        run.phase = runs.Phase.ORDERED
+        run.phase = tracking.Phase.ORDERED
         self._assign_run(run, tracked_step, worker_id)
 
-    def drop_run(self, run: runs.Run) -> None:
+    def drop_run(self, run: tracking.Run) -> None:
         """Remove a run that has certainly ended."""
-        worker = self.workers.get(run.worker)
-        tracked_step = self.find_work(run.key)
+        worker = self.workers.get(run.worker_id)
+        tracked_step = self.find_tracked_step(run.key)
         if self.runs.get(run.key) is run:
             del self.runs[run.key]
             if tracked_step is not None:
-                tracked_step.running.pop(run.key.position, None)
+                tracked_step.runs_by_index.pop(run.key.position, None)
         if worker is not None and run.key in worker.runs:
             del worker.runs[run.key]
             if tracked_step is not None:
                 worker.used = worker.used.minus(tracked_step.step.charge)
 
-    def stop_run(self, run: runs.Run, reason: str, now: float) -> None:
+    def stop_run(self, run: tracking.Run, reason: str, now: float) -> None:
         """Order a stop; the room becomes free once the worker lists the end."""
-        if run.phase is runs.Phase.STOPPING:
+        if run.phase is tracking.Phase.STOPPING:
             return
-        run.phase = runs.Phase.STOPPING
-        run.why = reason
+        run.phase = tracking.Phase.STOPPING
+        run.stop_reason = reason
         run.stop_ordered_at = now
-        worker = self.workers.get(run.worker)
+        worker = self.workers.get(run.worker_id)
         leaves_at = worker.leaves_at if worker is not None else None
         self.note(
             "run:stop",
             task=run.key,
             run=run.number,
-            worker=run.worker,
+            worker=run.worker_id,
             why=reason,
             percent=run.percent,
-            ran_s=round(now - run.since, 3),
+            ran_s=round(now - run.ordered_at, 3),
             left_s=round(leaves_at - now, 3) if leaves_at is not None else None,
         )
-        self.outbox.append((run.worker, orders.Stop(run.key, run.number)))
+        self.outbox.append(
+            (run.worker_id, worker_port.Stop(run.key, run.number))
+        )
 
-    def note_stopped(self, run: runs.Run, now: float) -> None:
+    def note_stopped(self, run: tracking.Run, now: float) -> None:
         """Update the estimate of stop durations; log when it rises."""
-        previous_s = self.stop_times.expected_s
-        self.stop_times.note(now - run.stop_ordered_at)
-        expected_s = self.stop_times.expected_s
+        previous_s = self.stop_durations.expected_s
+        self.stop_durations.note(now - run.stop_ordered_at)
+        expected_s = self.stop_durations.expected_s
         if expected_s > previous_s:
             self.note("stops:slower", expected_s=round(expected_s, 3))
 
     def stop_step(
-        self, tracked_step: runs.StepWork, reason: str, now: float
+        self, tracked_step: tracking.TrackedStep, reason: str, now: float
     ) -> None:
         """Stop all runs of a step."""
         for run in self.list_step_runs(tracked_step):
             self.stop_run(run, reason, now)
 
-    def note_maybe_begun(self, key: model.TaskKey, number: int) -> None:
+    def note_maybe_started(self, key: model.TaskKey, number: int) -> None:
         """Record that a start without an answer may have been carried out."""
         run = self.runs.get(key)
         if run is not None and run.number == number:
-            run.maybe_begun = True
+            run.maybe_started = True
 
-    def note_taken(self, key: model.TaskKey, number: int, now: float) -> None:
+    def note_started(self, key: model.TaskKey, number: int, now: float) -> None:
         """Record that a worker has started a run."""
         run = self.runs.get(key)
         if run is None or run.number != number:
@@ -462,11 +479,11 @@
         if run.confirmed_at is None:
             run.confirmed_at = now
             run.progressed_at = now
-        if run.phase is runs.Phase.ORDERED:
-            run.phase = runs.Phase.RUNNING
+        if run.phase is tracking.Phase.ORDERED:
+            run.phase = tracking.Phase.RUNNING
         tracked_job = self.jobs.get(key.job)
         if tracked_job is not None:
-            tracked_job.begun = True
+            tracked_job.has_started = True
 
     def note_paced(
         self, key: model.TaskKey, number: int, percent: int, now: float
@@ -477,7 +494,7 @@
             run.pace = percent
             run.paced_at = now
 
-    def note_not_begun(
+    def note_never_started(
         self, key: model.TaskKey, number: int, reason: str, now: float
     ) -> None:
         """Record that an ordered run will certainly never start."""
@@ -485,39 +502,48 @@
         if run is None or run.number != number or run.confirmed_at is not None:
             return
         self.note(
-            "run:rejected", task=key, run=number, worker=run.worker, why=reason
+            "run:rejected",
+            task=key,
+            run=number,
+            worker=run.worker_id,
+            why=reason,
         )
         self.drop_run(run)
-        self.requeue(run, orders.How.STOPPED, now)
-        tracked_step = self.find_work(key)
+        self.requeue(run, worker_port.RunOutcome.STOPPED, now)
+        tracked_step = self.find_tracked_step(key)
         if tracked_step is None:
             return
         tracked_step.not_before = max(
             tracked_step.not_before, now + RETRY_PAUSE_S
         )
-        if reason == orders.Why.NO_TICKET:
-            tracked_step.permits.drop_ticket(run.worker)
+        if reason == worker_port.RejectionReason.NO_TICKET:
+            tracked_step.permits.drop_ticket(run.worker_id)
         else:
-            tracked_step.avoided_workers.add(run.worker)
+            tracked_step.avoided_workers.add(run.worker_id)
 
     def withdraw_run(self, key: model.TaskKey, number: int) -> None:
         """Remove a run whose start order was never sent."""
         run = self.runs.get(key)
-        tracked_step = self.find_work(key)
+        tracked_step = self.find_tracked_step(key)
         if run is None or run.number != number or tracked_step is None:
             return
         self.drop_run(run)
-        if key.position not in tracked_step.kept.done:
-            tracked_step.waiting.add(key.position)
+        if key.position not in tracked_step.progress.done:
+            tracked_step.waiting_indices.add(key.position)
 
-    def requeue(self, run: runs.Run, outcome: orders.How, now: float) -> None:
+    def requeue(
+        self, run: tracking.Run, outcome: worker_port.RunOutcome, now: float
+    ) -> None:
         """Let a task wait again after a run that has not succeeded."""
-        tracked_step = self.find_work(run.key)
-        if tracked_step is None or run.key.position in tracked_step.kept.done:
+        tracked_step = self.find_tracked_step(run.key)
+        if (
+            tracked_step is None
+            or run.key.position in tracked_step.progress.done
+        ):
             return
-        tracked_step.waiting.add(run.key.position)
+        tracked_step.waiting_indices.add(run.key.position)
         tracked_step.waiting_since = now
-        self.keep_checkpoint(tracked_step, run.key, run.saved)
+        self.keep_checkpoint(tracked_step, run.key, run.checkpoint)
         if tracked_step.step.gang:
             # The remaining members would wait for this one or do useless work,
             # so the gang is stopped and starts again as a whole.
@@ -526,30 +552,37 @@
             )
 
     def keep_checkpoint(
-        self, tracked_step: runs.StepWork, key: model.TaskKey, checkpoint: str
+        self,
+        tracked_step: tracking.TrackedStep,
+        key: model.TaskKey,
+        checkpoint: str,
     ) -> None:
         """Store the checkpoint from which a task or its gang resumes."""
         index = 0 if tracked_step.step.gang else key.position
-        if checkpoint and checkpoint != tracked_step.kept.saved.get(index):
-            tracked_step.kept.saved[index] = checkpoint
+        if checkpoint and checkpoint != tracked_step.progress.checkpoints.get(
+            index
+        ):
+            tracked_step.progress.checkpoints[index] = checkpoint
             self.dirty.add(key.job)
 
     # Ends of jobs.
 
     def finish(
-        self, tracked_job: runs.JobWork, state: model.State, now: float
+        self, tracked_job: tracking.TrackedJob, state: model.State, now: float
     ) -> None:
         """Set a job's final state; callers see it once it is journaled."""
         if tracked_job.is_final:
             return
-        tracked_job.progress.final = state
+        tracked_job.progress.final_state = state
         self.dirty.add(tracked_job.job.id)
         self.note("job:final", job=tracked_job.job.id, state=str(state))
         self._close_job(tracked_job, f"job {state}", now)
 
-    def finish_if_done(self, tracked_job: runs.JobWork, now: float) -> None:
+    def finish_if_done(
+        self, tracked_job: tracking.TrackedJob, now: float
+    ) -> None:
         """Finish a job if all of its tasks have succeeded."""
-        if tracked_job.opened < tracked_job.job.occurrences:
+        if tracked_job.opened_count < tracked_job.job.occurrences:
             return
         if all(
             tracked_step.is_done for tracked_step in tracked_job.steps.values()
@@ -558,16 +591,21 @@
 
     def check_gangs(self, now: float) -> None:
         """Stop gangs of which a previous owner had started only a part."""
-        for tracked_job in self.live.values():
+        for tracked_job in self.live_jobs.values():
             for tracked_step in tracked_job.steps.values():
-                if not tracked_step.step.gang or not tracked_step.waiting:
+                if (
+                    not tracked_step.step.gang
+                    or not tracked_step.waiting_indices
+                ):
                     continue
-                if len(tracked_step.waiting) < tracked_step.step.count:
+                if len(tracked_step.waiting_indices) < tracked_step.step.count:
                     self.stop_step(
                         tracked_step, "members of its gang are missing", now
                     )
 
-    def note_settled(self, key: model.TaskKey, number: int, now: float) -> None:
+    def note_stop_accepted(
+        self, key: model.TaskKey, number: int, now: float
+    ) -> None:
         """Record that a worker has accepted a stop order.
 
         From then on the worker rejects a run that had not started, and never
@@ -579,7 +617,7 @@
         if run.confirmed_at is None:
             run.confirmed_at = now
 
-    def note_crashes_kept(self, job_ids: Iterable[str]) -> None:
+    def note_crashes_journaled(self, job_ids: Iterable[str]) -> None:
         """Record that the journal holds the crashes under these jobs' tasks."""
         for job_id in job_ids:
             tracked_job = self.jobs.get(job_id)
@@ -592,6 +630,6 @@
             tracked_job = self.jobs.get(job_id)
             if (
                 tracked_job is not None
-                and tracked_job.progress.final is not None
+                and tracked_job.progress.final_state is not None
             ):
                 tracked_job.durable = True
--- a/crocusrouter/work/victims.py
+++ b/crocusrouter/work/preemption.py
@@ -5,10 +5,10 @@
 import heapq
 from typing import NamedTuple
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
-from crocusrouter.work import runs
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import tracking
 
 _NEVER_S = 1e9
 # Limits of one search, so that the duration of a decision doesn't grow with the
@@ -29,31 +29,31 @@
         cost: Core-seconds of lost work.
     """
 
-    runs: tuple[runs.Run, ...]
+    runs: tuple[tracking.Run, ...]
     workers: tuple[str, ...]
     cost: float
 
 
-def count_guaranteed(pool_state: pool_states.Book) -> dict[str, int]:
+def count_guaranteed(pool_state: pool_states.PoolState) -> dict[str, int]:
     """Return the accelerators that priority 0 uses now, by customer."""
     used_by_customer: collections.Counter[str] = collections.Counter()
-    for tracked_job in pool_state.live.values():
+    for tracked_job in pool_state.live_jobs.values():
         if tracked_job.job.priority != 0:
             continue
         for tracked_step in tracked_job.steps.values():
             used_accelerators = (
-                len(tracked_step.running)
+                len(tracked_step.runs_by_index)
                 * tracked_step.step.charge.accelerators
             )
             used_by_customer[tracked_job.job.customer] += used_accelerators
     return used_by_customer
 
 
-def estimate_rest(
-    run: runs.Run, tracked_step: runs.StepWork, now: float
+def estimate_remaining_s(
+    run: tracking.Run, tracked_step: tracking.TrackedStep, now: float
 ) -> float:
     """Return the estimated seconds until a run ends."""
-    ran_s = now - (run.confirmed_at if run.confirmed_at else run.since)
+    ran_s = now - (run.confirmed_at if run.confirmed_at else run.ordered_at)
     if run.percent >= 5:
         return ran_s * (100 - run.percent) / run.percent
     return max(0.5, tracked_step.step.expected_s - ran_s)
@@ -65,7 +65,7 @@
     Each worker's ends of runs are listed once.
     """
 
-    def __init__(self, pool_state: pool_states.Book, now: float) -> None:
+    def __init__(self, pool_state: pool_states.PoolState, now: float) -> None:
         """Prepare for one plan.
 
         Args:
@@ -92,14 +92,16 @@
     def _list_ends(self, worker_id: str) -> list[tuple[float, model.Room]]:
         ends = []
         for run in self._pool_state.workers[worker_id].runs.values():
-            if run.work is not None:
-                remaining_s = estimate_rest(run, run.work, self._now)
-                ends.append((remaining_s, run.work.step.charge))
+            if run.tracked_step is not None:
+                remaining_s = estimate_remaining_s(
+                    run, run.tracked_step, self._now
+                )
+                ends.append((remaining_s, run.tracked_step.step.charge))
         return sorted(ends)
 
 
 def measure_loss(
-    run: runs.Run, tracked_step: runs.StepWork, now: float
+    run: tracking.Run, tracked_step: tracking.TrackedStep, now: float
 ) -> float:
     """Return the core-seconds of work that are lost if a run stops now.
 
@@ -108,7 +110,7 @@
     """
     if tracked_step.step.checkpoints:
         return 0.1 * tracked_step.step.charge.cores
-    ran_s = now - (run.confirmed_at if run.confirmed_at else run.since)
+    ran_s = now - (run.confirmed_at if run.confirmed_at else run.ordered_at)
     return max(0.1, ran_s) * tracked_step.step.charge.cores
 
 
@@ -121,7 +123,7 @@
             room at no further loss.
     """
 
-    def __init__(self, pool_state: pool_states.Book, now: float) -> None:
+    def __init__(self, pool_state: pool_states.PoolState, now: float) -> None:
         """Prepare for one plan.
 
         Args:
@@ -138,7 +140,7 @@
         """Count the victims as stopped from now on."""
         for run in victims.runs:
             self.chosen.add(run.key)
-        affected_workers = {run.worker for run in victims.runs}
+        affected_workers = {run.worker_id for run in victims.runs}
         for worker_id, priority in list(self._candidates):
             if worker_id in affected_workers:
                 del self._candidates[worker_id, priority]
@@ -163,11 +165,11 @@
     ) -> list["_Candidate"]:
         candidates = []
         for key, run in self.pool_state.workers[worker_id].runs.items():
-            tracked_step = run.work
+            tracked_step = run.tracked_step
             tracked_job = self.pool_state.jobs.get(key.job)
             if tracked_step is None or tracked_job is None:
                 continue
-            ending = run.phase is runs.Phase.STOPPING or key in self.chosen
+            ending = run.phase is tracking.Phase.STOPPING or key in self.chosen
             if ending:
                 # Its room becomes free in any case.
                 candidates.append(_Candidate(0.0, run, tracked_step))
@@ -191,7 +193,7 @@
         return candidates
 
     def _measure_run_loss(
-        self, tracked_step: runs.StepWork, run: runs.Run
+        self, tracked_step: tracking.TrackedStep, run: tracking.Run
     ) -> float:
         """Return the loss of stopping a run together with its whole gang."""
         if not tracked_step.step.gang:
@@ -210,8 +212,8 @@
     """A run that may be stopped, and the core-seconds lost with it."""
 
     loss: float
-    run: runs.Run
-    tracked_step: runs.StepWork
+    run: tracking.Run
+    tracked_step: tracking.TrackedStep
 
 
 def choose_victims(
@@ -298,9 +300,9 @@
             worker_id: position
             for position, worker_id in enumerate(self._free_rooms)
         }
-        self._stopped_runs: dict[model.TaskKey, runs.Run] = {}
+        self._stopped_runs: dict[model.TaskKey, tracking.Run] = {}
         self._placed_counts: collections.Counter[str] = collections.Counter()
-        self._offers: dict[str, tuple[float, list[runs.Run]]] = {}
+        self._offers: dict[str, tuple[float, list[tracking.Run]]] = {}
         self._offer_heap: list[tuple[float, int, str]] = []
 
     def run(self, count: int) -> Victims | None:
@@ -319,7 +321,7 @@
         runs_to_stop = tuple(
             run
             for run in self._stopped_runs.values()
-            if run.phase is not runs.Phase.STOPPING
+            if run.phase is not tracking.Phase.STOPPING
             and run.key not in self._losses.chosen
         )
         return Victims(runs_to_stop, tuple(worker_ids), total_cost)
@@ -355,7 +357,7 @@
             return
         free = self._free_rooms[worker_id]
         room = self._step.charge
-        runs_to_stop: list[runs.Run] = []
+        runs_to_stop: list[tracking.Run] = []
         cost = 0.0
         if not free.holds(room):
             for candidate in self._losses.list_candidates(
@@ -375,13 +377,13 @@
             self._offer_heap, (cost, self._order[worker_id], worker_id)
         )
 
-    def _stop_run(self, run: runs.Run) -> set[str]:
+    def _stop_run(self, run: tracking.Run) -> set[str]:
         """Count a run as stopped, together with its whole gang.
 
         Returns:
             Ids of the workers whose free room has changed.
         """
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         if tracked_step is None:
             return set()
         affected_workers = set()
@@ -394,9 +396,9 @@
             if member.key in self._stopped_runs:
                 continue
             self._stopped_runs[member.key] = member
-            if member.worker in self._free_rooms:
-                self._free_rooms[member.worker] = self._free_rooms[
-                    member.worker
+            if member.worker_id in self._free_rooms:
+                self._free_rooms[member.worker_id] = self._free_rooms[
+                    member.worker_id
                 ].plus(tracked_step.step.charge)
-                affected_workers.add(member.worker)
+                affected_workers.add(member.worker_id)
         return affected_workers
--- a/crocusrouter/work/progress.py
+++ b/crocusrouter/work/progress.py
@@ -54,8 +54,8 @@
     """
 
     done: set[int] = dataclasses.field(default_factory=set)
-    failed: dict[int, list[int]] = dataclasses.field(default_factory=dict)
-    saved: dict[int, str] = dataclasses.field(default_factory=dict)
+    failed_runs: dict[int, list[int]] = dataclasses.field(default_factory=dict)
+    checkpoints: dict[int, str] = dataclasses.field(default_factory=dict)
     crashes: dict[int, list[Crash]] = dataclasses.field(default_factory=dict)
 
     @property
@@ -67,7 +67,7 @@
             for crashes in self.crashes.values()
         )
 
-    def is_given_up(self, index: int) -> bool:
+    def has_crashed_too_often(self, index: int) -> bool:
         """Tell whether a task has met too many crashes to start again."""
         crashes = self.crashes.get(index, [])
         early_count = sum(crash.early for crash in crashes)
@@ -80,21 +80,21 @@
 
     Attributes:
         steps: Progress by occurrence and index of the step.
-        final: Final state of the job; None while it has none.
+        final_state: Final state of the job; None while it has none.
         finished_at: Unix time in seconds at which the job ended.
     """
 
     steps: dict[tuple[int, int], StepProgress] = dataclasses.field(
         default_factory=dict
     )
-    final: model.State | None = None
+    final_state: model.State | None = None
     finished_at: float = 0.0
 
     @property
-    def is_given_up(self) -> bool:
+    def has_crashed_too_often(self) -> bool:
         """Whether one of the job's tasks has met too many worker crashes."""
         return any(
-            step_progress.is_given_up(index)
+            step_progress.has_crashed_too_often(index)
             for step_progress in self.steps.values()
             for index in step_progress.crashes
         )
@@ -107,20 +107,20 @@
 def dump_progress(progress: Progress) -> bytes:
     """Encode progress for the store.
 
-    >>> done = Progress(final=model.State.DONE)
-    >>> parse_progress(dump_progress(done)).final
+    >>> done = Progress(final_state=model.State.DONE)
+    >>> parse_progress(dump_progress(done)).final_state
     <State.DONE: 'done'>
     """
     steps = (
         []
-        if progress.final is not None
+        if progress.final_state is not None
         else [
             [
                 occurrence,
                 step,
                 sorted(step_progress.done),
-                step_progress.failed,
-                step_progress.saved,
+                step_progress.failed_runs,
+                step_progress.checkpoints,
                 {
                     index: list(map(list, step_progress.crashes[index]))
                     for index in step_progress.crashes
@@ -129,7 +129,9 @@
             for (occurrence, step), step_progress in progress.steps.items()
         ]
     )
-    final = str(progress.final) if progress.final is not None else None
+    final = (
+        str(progress.final_state) if progress.final_state is not None else None
+    )
     return cbor2.dumps([final, progress.finished_at, steps])
 
 
--- a/crocusrouter/work/rescue.py
+++ b/crocusrouter/work/relocation.py
@@ -4,10 +4,10 @@
 worker answers. In both cases a new start elsewhere would finish much earlier.
 """
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
-from crocusrouter.work import runs
-from crocusrouter.work import victims
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
+from crocusrouter.work import tracking
 
 # Workers are polled once a second; two polls without progress are needed to
 # tell a stall from chance.
@@ -24,11 +24,11 @@
 
 
 def list_relocations(
-    pool_state: pool_states.Book,
-    stalled_runs: list[runs.Run],
+    pool_state: pool_states.PoolState,
+    stalled_runs: list[tracking.Run],
     now: float,
     wall: float,
-) -> list[tuple[runs.Run, str]]:
+) -> list[tuple[tracking.Run, str]]:
     """Return the runs to stop now, with the reason.
 
     Args:
@@ -40,14 +40,14 @@
     relocations = [
         (run, "it makes no progress")
         for run in stalled_runs
-        if run.work is not None
-        and _is_worth_restarting(pool_state, run, run.work, now, wall)
+        if run.tracked_step is not None
+        and _is_worth_restarting(pool_state, run, run.tracked_step, now, wall)
     ]
     for worker in pool_state.workers.values():
         if worker.leaves_at is None:
             continue
         for run in worker.runs.values():
-            tracked_step = run.work
+            tracked_step = run.tracked_step
             if tracked_step is None or not _may_relocate(run, tracked_step):
                 continue
             if _outlasts_worker(run, tracked_step, worker, now):
@@ -57,11 +57,15 @@
     return relocations
 
 
-def _may_relocate(run: runs.Run, tracked_step: runs.StepWork) -> bool:
-    return run.phase is runs.Phase.RUNNING and not tracked_step.step.lasting
+def _may_relocate(
+    run: tracking.Run, tracked_step: tracking.TrackedStep
+) -> bool:
+    return run.phase is tracking.Phase.RUNNING and not tracked_step.step.lasting
 
 
-def list_stalled(pool_state: pool_states.Book, now: float) -> list[runs.Run]:
+def list_stalled(
+    pool_state: pool_states.PoolState, now: float
+) -> list[tracking.Run]:
     """Return the runs that make no progress.
 
     Each decision checks all runs, so most of them must be excluded by the
@@ -71,7 +75,7 @@
     for run in pool_state.runs.values():
         if now - run.progressed_at <= _MIN_STALL_S:
             continue
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         if tracked_step is None or not _may_relocate(run, tracked_step):
             continue
         if is_stalled(run, tracked_step, now):
@@ -80,7 +84,10 @@
 
 
 def _outlasts_worker(
-    run: runs.Run, tracked_step: runs.StepWork, worker: runs.Worker, now: float
+    run: tracking.Run,
+    tracked_step: tracking.TrackedStep,
+    worker: tracking.Worker,
+    now: float,
 ) -> bool:
     """Tell whether a run should be stopped since its worker leaves first.
 
@@ -91,12 +98,14 @@
     if worker.leaves_at is None:
         return False
     left_s = worker.leaves_at - now
-    if victims.estimate_rest(run, tracked_step, now) <= left_s:
+    if preemption.estimate_remaining_s(run, tracked_step, now) <= left_s:
         return False
     return not tracked_step.step.checkpoints or left_s <= 2 * _RESTART_S
 
 
-def is_stalled(run: runs.Run, tracked_step: runs.StepWork, now: float) -> bool:
+def is_stalled(
+    run: tracking.Run, tracked_step: tracking.TrackedStep, now: float
+) -> bool:
     """Tell whether a run has made no progress for longer than by chance."""
     stalled_s = now - run.progressed_at
     expected_s = tracked_step.step.expected_s
@@ -104,14 +113,14 @@
         return False
     if run.percent < 5:
         return True
-    ran_s = run.progressed_at - (run.confirmed_at or run.since)
+    ran_s = run.progressed_at - (run.confirmed_at or run.ordered_at)
     return stalled_s > _STALL_SHARE * ran_s * 100 / run.percent
 
 
 def _is_worth_restarting(
-    pool_state: pool_states.Book,
-    run: runs.Run,
-    tracked_step: runs.StepWork,
+    pool_state: pool_states.PoolState,
+    run: tracking.Run,
+    tracked_step: tracking.TrackedStep,
     now: float,
     wall: float,
 ) -> bool:
@@ -128,7 +137,7 @@
     job = pool_state.jobs[run.key.job].job
     objective_at = job.find_due(run.key.occurrence) + job.objective_s
     remaining_s = tracked_step.step.expected_s - (
-        run.progressed_at - (run.confirmed_at or run.since)
+        run.progressed_at - (run.confirmed_at or run.ordered_at)
     )
     ends_if_kept = wall + stalled_s + max(0.0, remaining_s)
     ends_if_restarted = wall + _RESTART_S + tracked_step.step.expected_s
@@ -136,12 +145,13 @@
 
 
 def add_gang_members(
-    pool_state: pool_states.Book, relocations: list[tuple[runs.Run, str]]
-) -> dict[model.TaskKey, tuple[runs.Run, str]]:
+    pool_state: pool_states.PoolState,
+    relocations: list[tuple[tracking.Run, str]],
+) -> dict[model.TaskKey, tuple[tracking.Run, str]]:
     """Return the runs to stop, with the other members of their gangs."""
-    stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
+    stops_by_task: dict[model.TaskKey, tuple[tracking.Run, str]] = {}
     for run, reason in relocations:
-        tracked_step = run.work
+        tracked_step = run.tracked_step
         assert tracked_step is not None
         members = (
             pool_state.list_step_runs(tracked_step)
--- a/crocusrouter/work/replacement.py
+++ b/crocusrouter/work/replacement.py
@@ -7,13 +7,16 @@
 from collections.abc import Iterable
 import dataclasses
 
-from crocusrouter.work import book as pool_states
-from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 
 def add_successor(
-    pool_state: pool_states.Book, worker_id: str, successor: str, now: float
+    pool_state: pool_states.PoolState,
+    worker_id: str,
+    successor: str,
+    now: float,
 ) -> None:
     """Add an incarnation that the platform may not list yet.
 
@@ -35,12 +38,12 @@
     pool_state.unlist_worker(successor)
 
 
-def note_gone(
-    pool_state: pool_states.Book,
+def note_incarnation_replaced(
+    pool_state: pool_states.PoolState,
     worker_id: str,
     now: float,
     successor: str | None = None,
-    late_stops: Iterable[orders.Stop] = (),
+    late_stops: Iterable[worker_port.Stop] = (),
 ) -> None:
     """Record that another incarnation answers in place of a worker's.
 
@@ -56,9 +59,9 @@
         late_stops: Stops of the starts that the successor may carry out late.
     """
     worker = pool_state.workers.get(worker_id)
-    if worker is None or worker.gone:
+    if worker is None or worker.replaced:
         return
-    worker.gone = True
+    worker.replaced = True
     pool_state.note(
         "worker:restarted",
         worker=worker_id,
@@ -78,16 +81,20 @@
     pool_state.note_lapsed(worker_id, "another incarnation answers", now)
 
 
-def _stop_gang(pool_state: pool_states.Book, run: runs.Run, now: float) -> None:
+def _stop_gang(
+    pool_state: pool_states.PoolState, run: tracking.Run, now: float
+) -> None:
     """Stop a run's gang, since the other members need this one."""
-    if run.work is not None and run.work.step.gang:
-        pool_state.stop_step(run.work, "a member's worker has restarted", now)
+    if run.tracked_step is not None and run.tracked_step.step.gang:
+        pool_state.stop_step(
+            run.tracked_step, "a member's worker has restarted", now
+        )
 
 
-def map_incarnations(pool_state: pool_states.Book) -> dict[str, str]:
+def map_incarnations(pool_state: pool_states.PoolState) -> dict[str, str]:
     """Return the listed incarnation of each worker, by the worker's id."""
     return {
         worker.entry.worker: worker_id
         for worker_id, worker in pool_state.workers.items()
-        if worker.listed and not worker.gone
+        if worker.listed and not worker.replaced
     }
--- a/crocusrouter/work/reports.py
+++ b/crocusrouter/work/reports.py
@@ -1,20 +1,22 @@
 """Updates of a pool's state from the reports of its workers."""
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import crashes
 from crocusrouter.work import model
-from crocusrouter.work import orders
-from crocusrouter.work import runs
-from crocusrouter.work import suspicion
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_failures
+from crocusrouter.work import worker_port
 
 # These ends are caused by the task itself and leave its worker running.
-_ENDS_BY_TASK = frozenset({orders.How.DONE, orders.How.FAILED})
+_ENDS_BY_TASK = frozenset(
+    {worker_port.RunOutcome.DONE, worker_port.RunOutcome.FAILED}
+)
 
 
-def take_report(
-    pool_state: pool_states.Book,
+def apply_report(
+    pool_state: pool_states.PoolState,
     worker_id: str,
-    report: orders.Report,
+    report: worker_port.Report,
     sent_at: float,
     now: float,
 ) -> None:
@@ -36,7 +38,7 @@
             "worker:reached",
             worker=worker_id,
             clock_ms=report.clock_ms,
-            noted=worker.noted,
+            noted=worker.last_end_number,
             ends=[run_end.number for run_end in report.ended],
         )
     worker.silent_since = None
@@ -44,13 +46,13 @@
     worker.last_report_at = now
     for run_end in report.ended:
         # The worker lists an end until it is confirmed.
-        if run_end.number > worker.noted:
-            worker.noted = run_end.number
+        if run_end.number > worker.last_end_number:
+            worker.last_end_number = run_end.number
             _apply_end(pool_state, worker_id, run_end, now)
     running_by_key = {
         reported_run.key: reported_run for reported_run in report.running
     }
-    worker.strays.clear()
+    worker.stray_runs.clear()
     ended_keys = {
         (reported_run.key, reported_run.run) for reported_run in report.ended
     }
@@ -61,36 +63,38 @@
 
 
 def _apply_running(
-    pool_state: pool_states.Book,
-    worker: runs.Worker,
-    reported_run: orders.Running,
+    pool_state: pool_states.PoolState,
+    worker: tracking.Worker,
+    reported_run: worker_port.ReportedRun,
     now: float,
 ) -> None:
     """Update a run, adopt it after a takeover, or stop it as a stray."""
     worker_id = worker.entry.id
-    pool_state.open_reported(reported_run.key, now)
+    pool_state.open_reported_occurrence(reported_run.key, now)
     crashes.withdraw_crash(pool_state, reported_run.key, reported_run.run)
     run = pool_state.runs.get(reported_run.key)
     if (
         run is not None
         and run.number == reported_run.run
-        and run.worker == worker_id
+        and run.worker_id == worker_id
     ):
-        pool_state.note_taken(reported_run.key, reported_run.run, now)
+        pool_state.note_started(reported_run.key, reported_run.run, now)
         if reported_run.percent != run.percent:
             run.progressed_at = now
         run.percent = reported_run.percent
         run.load = reported_run.load
-        run.saved = reported_run.saved or run.saved
+        run.checkpoint = reported_run.checkpoint or run.checkpoint
         crashes.clear_working_run(pool_state, run, worker)
         return
     if run is None and _may_adopt(pool_state, reported_run.key):
         adopted_run = pool_state.add_run(
             reported_run.key, reported_run.run, worker_id, now
         )
-        adopted_run.saved = reported_run.saved or adopted_run.saved
+        adopted_run.checkpoint = (
+            reported_run.checkpoint or adopted_run.checkpoint
+        )
         adopted_run.percent = reported_run.percent
-        pool_state.note_taken(reported_run.key, reported_run.run, now)
+        pool_state.note_started(reported_run.key, reported_run.run, now)
         pool_state.note(
             "run:adopted",
             task=reported_run.key,
@@ -98,9 +102,9 @@
             worker=worker_id,
         )
         return
-    worker.strays.add((reported_run.key, reported_run.run))
+    worker.stray_runs.add((reported_run.key, reported_run.run))
     pool_state.outbox.append(
-        (worker_id, orders.Stop(reported_run.key, reported_run.run))
+        (worker_id, worker_port.Stop(reported_run.key, reported_run.run))
     )
     pool_state.note(
         "run:stray",
@@ -110,22 +114,22 @@
     )
 
 
-def _may_adopt(pool_state: pool_states.Book, key: model.TaskKey) -> bool:
+def _may_adopt(pool_state: pool_states.PoolState, key: model.TaskKey) -> bool:
     """Tell whether a run that a previous owner started is still wanted."""
     tracked_job = pool_state.jobs.get(key.job)
-    tracked_step = pool_state.find_work(key)
+    tracked_step = pool_state.find_tracked_step(key)
     return (
         tracked_job is not None
         and not tracked_job.is_final
         and tracked_step is not None
-        and key.position in tracked_step.waiting
+        and key.position in tracked_step.waiting_indices
     )
 
 
 def _drop_missing_runs(
-    pool_state: pool_states.Book,
-    worker: runs.Worker,
-    running_by_key: dict[model.TaskKey, orders.Running],
+    pool_state: pool_states.PoolState,
+    worker: tracking.Worker,
+    running_by_key: dict[model.TaskKey, worker_port.ReportedRun],
     sent_at: float,
     now: float,
 ) -> None:
@@ -147,79 +151,82 @@
             "run:missing",
             task=key,
             run=run.number,
-            worker=run.worker,
-            ran_s=round(now - run.since, 3),
-            noted=worker.noted,
+            worker=run.worker_id,
+            ran_s=round(now - run.ordered_at, 3),
+            noted=worker.last_end_number,
         )
         pool_state.drop_run(run)
-        pool_state.requeue(run, orders.How.LAPSED, now)
+        pool_state.requeue(run, worker_port.RunOutcome.LAPSED, now)
 
 
 def _apply_end(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     worker_id: str,
-    run_end: orders.Ended,
+    run_end: worker_port.RunEnd,
     now: float,
 ) -> None:
     """Record the end of a run."""
     key = run_end.key
-    pool_state.open_reported(key, now)
+    pool_state.open_reported_occurrence(key, now)
     crashes.withdraw_crash(pool_state, key, run_end.run)
     run = pool_state.runs.get(key)
     is_current = (
         run is not None
         and run.number == run_end.run
-        and run.worker == worker_id
+        and run.worker_id == worker_id
     )
-    tracked_step = pool_state.find_work(key)
+    tracked_step = pool_state.find_tracked_step(key)
     tracked_job = pool_state.jobs.get(key.job)
     if is_current and run is not None:
-        run.saved = run_end.saved or run.saved
+        run.checkpoint = run_end.checkpoint or run.checkpoint
         pool_state.drop_run(run)
-        if run_end.how is orders.How.STOPPED and run.stop_ordered_at:
+        if (
+            run_end.outcome is worker_port.RunOutcome.STOPPED
+            and run.stop_ordered_at
+        ):
             pool_state.note_stopped(run, now)
     if tracked_job is None or tracked_step is None:
         return
-    tracked_job.begun = True
-    if key.position in tracked_step.kept.done:
+    tracked_job.has_started = True
+    if key.position in tracked_step.progress.done:
         return
     pool_state.note(
         "run:ended",
         task=key,
         run=run_end.run,
         worker=worker_id,
-        how=str(run_end.how),
+        how=str(run_end.outcome),
     )
-    if run_end.how in _ENDS_BY_TASK:
+    if run_end.outcome in _ENDS_BY_TASK:
         crashes.clear_working_step(pool_state, tracked_step, key.position)
-    if run_end.how is orders.How.DONE:
+    if run_end.outcome is worker_port.RunOutcome.DONE:
         _apply_success(
             pool_state, tracked_job, tracked_step, key, worker_id, now
         )
         return
-    if run_end.how is orders.How.FAILED:
+    if run_end.outcome is worker_port.RunOutcome.FAILED:
         _apply_failure(
             pool_state, tracked_job, tracked_step, run_end, worker_id, now
         )
     if is_current and run is not None:
-        pool_state.requeue(run, run_end.how, now)
+        pool_state.requeue(run, run_end.outcome, now)
     elif run is None:
-        pool_state.keep_checkpoint(tracked_step, key, run_end.saved)
+        pool_state.keep_checkpoint(tracked_step, key, run_end.checkpoint)
 
 
 def _apply_success(
-    pool_state: pool_states.Book,
-    tracked_job: runs.JobWork,
-    tracked_step: runs.StepWork,
+    pool_state: pool_states.PoolState,
+    tracked_job: tracking.TrackedJob,
+    tracked_step: tracking.TrackedStep,
     key: model.TaskKey,
     worker_id: str,
     now: float,
 ) -> None:
     """Record that a task has succeeded."""
-    suspicion.note_success(pool_state.workers.get(worker_id))
+    worker_failures.note_success(pool_state.workers.get(worker_id))
     if tracked_step.step.lasting:
         # A lasting task runs again until its job is cancelled, however it ends.
-        tracked_step.waiting.add(key.position)
+        tracked_step.waiting_indices.add(key.position)
         return
     indices = (
         range(tracked_step.step.count)
@@ -227,9 +234,9 @@
         else (key.position,)
     )
     for index in indices:
-        tracked_step.kept.done.add(index)
-        tracked_step.kept.saved.pop(index, None)
-        tracked_step.waiting.discard(index)
+        tracked_step.progress.done.add(index)
+        tracked_step.progress.checkpoints.pop(index, None)
+        tracked_step.waiting_indices.discard(index)
         other_run = pool_state.runs.get(key._replace(position=index))
         if other_run is not None and not tracked_step.step.gang:
             pool_state.stop_run(other_run, "its task has ended elsewhere", now)
@@ -238,15 +245,15 @@
 
 
 def _apply_failure(
-    pool_state: pool_states.Book,
-    tracked_job: runs.JobWork,
-    tracked_step: runs.StepWork,
-    run_end: orders.Ended,
+    pool_state: pool_states.PoolState,
+    tracked_job: tracking.TrackedJob,
+    tracked_step: tracking.TrackedStep,
+    run_end: worker_port.RunEnd,
     worker_id: str,
     now: float,
 ) -> None:
     """Record that a task has failed; fail its job after the last attempt."""
-    suspicion.note_failure(
+    worker_failures.note_failure(
         pool_state.workers.get(worker_id),
         tracked_job.job.id,
         now,
@@ -257,7 +264,7 @@
         tracked_step.not_before, now + pool_states.RETRY_PAUSE_S
     )
     index = 0 if tracked_step.step.gang else run_end.key.position
-    failed_runs = tracked_step.kept.failed.setdefault(index, [])
+    failed_runs = tracked_step.progress.failed_runs.setdefault(index, [])
     if run_end.run in failed_runs:
         return
     failed_runs.append(run_end.run)
--- a/crocusrouter/work/tests/build.py
+++ b/crocusrouter/work/tests/build.py
@@ -3,8 +3,8 @@
 import dataclasses
 
 from crocusrouter import work
-from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 
 WALL = 1_000_000.0
 
@@ -32,7 +32,7 @@
 
 
 def make_entry(worker_id, rack="r0-0", gpu=8, **overrides):
-    entry = orders.WorkerEntry(
+    entry = worker_port.WorkerEntry(
         worker_id,
         "p",
         f"{worker_id}:1",
@@ -44,9 +44,9 @@
     return dataclasses.replace(entry, **overrides)
 
 
-def make_book(*jobs, workers=("w0", "w1"), racks=None, guaranteed=None):
+def make_pool_state(*jobs, workers=("w0", "w1"), racks=None, guaranteed=None):
     """Return a pool state whose workers have all answered."""
-    pool_state = work.Book(epoch=1)
+    pool_state = work.PoolState(epoch=1)
     pool_state.guaranteed = guaranteed or {}
     for number, worker_id in enumerate(workers):
         rack = racks[number] if racks else "r0-0"
@@ -59,7 +59,7 @@
 
 def add_job(pool_state, job, created=99, now=0.0, wall=WALL):
     pool_state.put_job(job, work.Progress(), created, now)
-    pool_state.open_due(wall, now)
+    pool_state.open_due_occurrences(wall, now)
 
 
 def apply_plan(pool_state, now=0.0, wall=WALL, confirm=True, **options):
@@ -72,14 +72,14 @@
         + 1
     )
     for placement in plan.placements:
-        tracked_step = pool_state.find_work(placement.step)
+        tracked_step = pool_state.find_tracked_step(placement.step)
         for index, worker_id in placement.spots.items():
             key = work.TaskKey(*placement.step, index)
             pool_state.add_run(
-                key, next_number, worker_id, now, alone=placement.alone
+                key, next_number, worker_id, now, is_trial=placement.is_trial
             )
             if confirm:
-                pool_state.note_taken(key, next_number, now)
+                pool_state.note_started(key, next_number, now)
             if not tracked_step.step.gang:
                 next_number += 1
         next_number += 1
@@ -101,19 +101,22 @@
     """
     worker = pool_state.workers[worker_id]
     ended = tuple(
-        orders.Ended(
-            worker.noted + offset + 1, key, pool_state.runs[key].number, how
+        worker_port.RunEnd(
+            worker.last_end_number + offset + 1,
+            key,
+            pool_state.runs[key].number,
+            how,
         )
         for offset, (key, how) in enumerate(ends)
     )
     ended_keys = {key for key, _ in ends}
     if running is None:
         running = tuple(
-            orders.Running(key, pool_state.runs[key].number)
+            worker_port.ReportedRun(key, pool_state.runs[key].number)
             for key in worker.runs
             if key not in ended_keys
-            and pool_state.runs[key].phase is not runs.Phase.ORDERED
+            and pool_state.runs[key].phase is not tracking.Phase.ORDERED
         )
-    report = orders.Report(0, running, ended)
+    report = worker_port.Report(0, running, ended)
     asked_at = now if sent_at is None else sent_at
-    work.take_report(pool_state, worker_id, report, asked_at, now)
+    work.apply_report(pool_state, worker_id, report, asked_at, now)
--- a/crocusrouter/work/tests/test_crashes.py
+++ b/crocusrouter/work/tests/test_crashes.py
@@ -5,7 +5,7 @@
 
 from crocusrouter import work
 from crocusrouter.work import progress as progresses
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
 from crocusrouter.work.tests import build
 
 _RESTART_S = 3.3
@@ -31,11 +31,13 @@
 
 
 def _list_crashes(pool_state, key):
-    return pool_state.find_work(key).kept.crashes.get(key.position, [])
+    return pool_state.find_tracked_step(key).progress.crashes.get(
+        key.position, []
+    )
 
 
 def _journal_crashes(pool_state):
-    pool_state.note_crashes_kept(list(pool_state.jobs))
+    pool_state.note_crashes_journaled(list(pool_state.jobs))
     pool_state.dirty.clear()
 
 
@@ -63,15 +65,17 @@
     Otherwise a caller reads "running" while one worker after the other is lost
     under the job, also if each stays away for longer than a lease.
     """
-    pool_state = build.make_book(build.make_job("j", step), workers=_WORKERS)
+    pool_state = build.make_pool_state(
+        build.make_job("j", step), workers=_WORKERS
+    )
     now, crash_count = 0.0, 0
     while not pool_state.jobs["j"].is_final and crash_count < len(_WORKERS):
         build.apply_plan(pool_state, now)
-        worker_id = next(iter(pool_state.runs.values())).worker
+        worker_id = next(iter(pool_state.runs.values())).worker_id
         now = lose_worker(pool_state, worker_id, now + 0.01)
         crash_count += 1
         _journal_crashes(pool_state)
-    assert pool_state.jobs["j"].progress.final is work.State.FAILED
+    assert pool_state.jobs["j"].progress.final_state is work.State.FAILED
     assert crash_count == 3
 
 
@@ -80,11 +84,11 @@
 
     The run was never confirmed then.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
-    pool_state.note_maybe_begun(run.key, run.number)
-    _crash(pool_state, run.worker, 2.5)
+    pool_state.note_maybe_started(run.key, run.number)
+    _crash(pool_state, run.worker_id, 2.5)
     assert _list_crashes(pool_state, _key("j")) == [(run.number, True)]
 
 
@@ -96,25 +100,25 @@
 def test_end_that_is_no_crash_is_not_counted(
     sealed, was_evacuated, maybe_begun
 ):
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
-    worker = pool_state.workers[run.worker]
-    worker.sealed, worker.was_evacuated = sealed, was_evacuated
+    worker = pool_state.workers[run.worker_id]
+    worker.was_draining, worker.was_evacuated = sealed, was_evacuated
     if maybe_begun:
-        pool_state.note_taken(run.key, run.number, 0.0)
-    _crash(pool_state, run.worker, 0.1)
+        pool_state.note_started(run.key, run.number, 0.0)
+    _crash(pool_state, run.worker_id, 0.1)
     assert not _list_crashes(pool_state, _key("j"))
 
 
 def test_worker_that_was_only_cut_off_withdraws_the_crash():
     """A worker may fall silent right after a start and report the run later."""
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    work.note_silent(pool_state, run.worker, 0.5)
+    work.note_silent(pool_state, run.worker_id, 0.5)
     assert _list_crashes(pool_state, _key("j"))
-    _report_runs(pool_state, run.worker, 1.0)
+    _report_runs(pool_state, run.worker_id, 1.0)
     assert not _list_crashes(pool_state, _key("j"))
 
 
@@ -124,28 +128,28 @@
     Nobody else knew what was running on the worker, so the task would have one
     crash fewer.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    work.note_silent(pool_state, run.worker, 0.1)
+    work.note_silent(pool_state, run.worker_id, 0.1)
     assert "j" in pool_state.dirty
     progress = progresses.parse_progress(
         progresses.dump_progress(pool_state.jobs["j"].progress)
     )
-    new_owner = build.make_book(workers=_WORKERS)
+    new_owner = build.make_pool_state(workers=_WORKERS)
     new_owner.put_job(pool_state.jobs["j"].job, progress, 2, 2.0)
-    new_owner.open_due(build.WALL, 2.0)
+    new_owner.open_due_occurrences(build.WALL, 2.0)
     build.apply_plan(new_owner, 2.0)
     next_run = new_owner.runs[_key("j")]
     next_run.number = run.number + 1
-    assert not new_owner.workers[next_run.worker].may_take(2.0)
-    now = _crash(new_owner, next_run.worker, 2.1)
+    assert not new_owner.workers[next_run.worker_id].may_start_tasks(2.0)
+    now = _crash(new_owner, next_run.worker_id, 2.1)
     _journal_crashes(new_owner)
     build.apply_plan(new_owner, now)
     next_run = new_owner.runs[_key("j")]
     next_run.number = run.number + 2
-    _crash(new_owner, next_run.worker, now + 0.1)
-    assert new_owner.jobs["j"].progress.final is work.State.FAILED
+    _crash(new_owner, next_run.worker_id, now + 0.1)
+    assert new_owner.jobs["j"].progress.final_state is work.State.FAILED
 
 
 def test_progress_of_an_earlier_version_has_no_crashes():
@@ -165,9 +169,9 @@
     Otherwise an owner that is lost right after that start leaves no record of
     the crash to the next owner.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
-    now = _crash(pool_state, pool_state.runs[_key("j")].worker, 0.1)
+    now = _crash(pool_state, pool_state.runs[_key("j")].worker_id, 0.1)
     assert build.apply_plan(pool_state, now).placements == []
     _journal_crashes(pool_state)
     assert build.apply_plan(pool_state, now).placements
@@ -180,7 +184,7 @@
     both have two crashes. Each gets a worker of its own for its next start, so
     that the second crash counts against only one of them.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("bad", build.make_step(gpu=2)),
         build.make_job("good", build.make_step(gpu=2)),
         workers=("w0",),
@@ -196,30 +200,30 @@
         pool_state.runs[_key("bad")],
         pool_state.runs[_key("good")],
     )
-    assert bad_run.worker != good_run.worker
-    assert not pool_state.workers[good_run.worker].may_take(now)
-    now = _crash(pool_state, bad_run.worker, now + 0.1)
+    assert bad_run.worker_id != good_run.worker_id
+    assert not pool_state.workers[good_run.worker_id].may_start_tasks(now)
+    now = _crash(pool_state, bad_run.worker_id, now + 0.1)
     _journal_crashes(pool_state)
-    _report_runs(pool_state, good_run.worker, now)
+    _report_runs(pool_state, good_run.worker_id, now)
     build.apply_plan(pool_state, now)
-    _crash(pool_state, pool_state.runs[_key("bad")].worker, now + 0.1)
-    assert pool_state.jobs["bad"].progress.final is work.State.FAILED
+    _crash(pool_state, pool_state.runs[_key("bad")].worker_id, now + 0.1)
+    assert pool_state.jobs["bad"].progress.final_state is work.State.FAILED
     assert not pool_state.jobs["good"].is_final
 
 
 def test_long_runs_are_not_suspected_beside_one_that_has_just_started():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("old", build.make_step(gpu=2)), workers=("w0", "w1")
     )
     build.apply_plan(pool_state)
-    worker_id = pool_state.runs[_key("old")].worker
+    worker_id = pool_state.runs[_key("old")].worker_id
     _report_runs(pool_state, worker_id, 8.0)
     pool_state.runs[_key("old")].progressed_at = 8.0
     build.add_job(
         pool_state, build.make_job("new", build.make_step(gpu=2)), now=8.0
     )
     build.apply_plan(pool_state, 8.0)
-    assert pool_state.runs[_key("new")].worker == worker_id
+    assert pool_state.runs[_key("new")].worker_id == worker_id
     _crash(pool_state, worker_id, 8.1)
     assert [
         crash.early for crash in _list_crashes(pool_state, _key("old"))
@@ -234,13 +238,13 @@
 
     Each time it does, other tasks have run there for as long.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step()), workers=_WORKERS
     )
     now, crash_count = 0.0, 0
     while not pool_state.jobs["j"].is_final and crash_count < len(_WORKERS):
         build.apply_plan(pool_state, now)
-        worker_id = pool_state.runs[_key("j")].worker
+        worker_id = pool_state.runs[_key("j")].worker_id
         _report_runs(pool_state, worker_id, now + 2.5)
         now = _crash(pool_state, worker_id, now + 4.0)
         crash_count += 1
@@ -249,17 +253,17 @@
 
 
 def test_run_that_has_worked_for_long_is_cleared():
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
-    tracked_step = pool_state.find_work(_key("j"))
-    tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
+    tracked_step = pool_state.find_tracked_step(_key("j"))
+    tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    _report_runs(pool_state, run.worker, 1.0)
-    assert tracked_step.kept.is_suspect
-    _report_runs(pool_state, run.worker, runs.TRIAL_S)
-    assert not tracked_step.kept.is_suspect
-    _report_runs(pool_state, run.worker, 61.0)
-    assert not tracked_step.kept.crashes
+    _report_runs(pool_state, run.worker_id, 1.0)
+    assert tracked_step.progress.is_suspect
+    _report_runs(pool_state, run.worker_id, tracking.TRIAL_S)
+    assert not tracked_step.progress.is_suspect
+    _report_runs(pool_state, run.worker_id, 61.0)
+    assert not tracked_step.progress.crashes
 
 
 def test_one_task_of_a_suspected_step_is_tried_at_a_time():
@@ -268,17 +272,17 @@
     The first tasks of a step crashed one worker each, and so did the second
     ones: 20 workers of 24.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(4)), workers=_WORKERS
     )
-    tracked_step = pool_state.find_work(_key("j"))
-    tracked_step.kept.crashes[2] = [progresses.Crash(0, True)]
+    tracked_step = pool_state.find_tracked_step(_key("j"))
+    tracked_step.progress.crashes[2] = [progresses.Crash(0, True)]
     build.apply_plan(pool_state)
-    assert list(tracked_step.running) == [2]
+    assert list(tracked_step.runs_by_index) == [2]
     assert build.apply_plan(pool_state, 1.0).placements == []
-    _report_runs(pool_state, tracked_step.running[2].worker, 2.5)
+    _report_runs(pool_state, tracked_step.runs_by_index[2].worker_id, 2.5)
     build.apply_plan(pool_state, 2.5)
-    assert not tracked_step.waiting
+    assert not tracked_step.waiting_indices
 
 
 def test_suspect_does_not_wait_for_a_quiet_worker_for_ever():
@@ -287,18 +291,18 @@
     Under load, tasks start on every worker all the time, and an innocent task
     that was running beside a crash never started again.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("busy", build.make_step()), workers=("w0",)
     )
     build.apply_plan(pool_state)
     build.add_job(pool_state, build.make_job("j", build.make_step()))
-    tracked_step = pool_state.find_work(_key("j"))
-    tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
+    tracked_step = pool_state.find_tracked_step(_key("j"))
+    tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     assert build.apply_plan(pool_state, 1.0).placements == []
     busy_run = pool_state.runs[_key("busy")]
-    busy_run.since = busy_run.progressed_at = 4.5
+    busy_run.ordered_at = busy_run.progressed_at = 4.5
     build.apply_plan(pool_state, 4.5)
-    assert tracked_step.running
+    assert tracked_step.runs_by_index
 
 
 def test_many_suspects_leave_workers_to_others():
@@ -312,15 +316,16 @@
         build.make_job(f"s{number}", build.make_step()) for number in range(6)
     ]
     workers = [f"w{number}" for number in range(8)]
-    pool_state = build.make_book(*suspected_jobs, workers=workers)
+    pool_state = build.make_pool_state(*suspected_jobs, workers=workers)
     for job in suspected_jobs:
-        tracked_step = pool_state.find_work(_key(job.id))
-        tracked_step.kept.crashes[0] = [progresses.Crash(0, True)]
+        tracked_step = pool_state.find_tracked_step(_key(job.id))
+        tracked_step.progress.crashes[0] = [progresses.Crash(0, True)]
     now = 0.0
     while not all(_key(job.id) in pool_state.runs for job in suspected_jobs):
         build.apply_plan(pool_state, now)
         trial_count = sum(
-            not worker.may_take(now) for worker in pool_state.workers.values()
+            not worker.may_start_tasks(now)
+            for worker in pool_state.workers.values()
         )
         assert trial_count <= 2
         now += 0.5
@@ -349,10 +354,10 @@
     progress.get(0, 0).crashes[0] = [
         progresses.Crash(run, early) for run, early in crashes
     ]
-    pool_state = build.make_book()
+    pool_state = build.make_pool_state()
     job = build.make_job("j", build.make_step())
     pool_state.put_job(job, progress, 2, 0.0)
-    assert pool_state.jobs["j"].progress.final is state
+    assert pool_state.jobs["j"].progress.final_state is state
     assert ("j" in pool_state.dirty) is (state is not None)
 
 
@@ -363,16 +368,18 @@
     step is still running.
     """
     step = build.make_step(2, per_worker=1)
-    pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
-    tracked_step = pool_state.find_work(_key("j"))
+    pool_state = build.make_pool_state(
+        build.make_job("j", step), workers=("w0",)
+    )
+    tracked_step = pool_state.find_tracked_step(_key("j"))
     build.apply_plan(pool_state)
-    tracked_step.kept.crashes[1] = [progresses.Crash(0, True)]
+    tracked_step.progress.crashes[1] = [progresses.Crash(0, True)]
     pool_state.runs[_key("j")].progressed_at = 2.5
     assert build.apply_plan(pool_state, 2.5).placements == []
     pool_state.set_worker(build.make_entry("w1"), 2.5)
     pool_state.workers["w1"].reached = True
     build.apply_plan(pool_state, 2.5)
-    assert pool_state.runs[_key("j", 1)].worker == "w1"
+    assert pool_state.runs[_key("j", 1)].worker_id == "w1"
 
 
 def test_innocent_gang_is_not_given_up_where_workers_restart_by_themselves():
@@ -382,20 +389,24 @@
         build.make_job(f"k{number}", build.make_step(1, gpu=8))
         for number in range(6)
     ]
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", gang), *others, workers=_WORKERS
     )
     now = 0.0
     for _ in range(3):
         build.apply_plan(pool_state, now)
         ours = next(
-            run.worker for key, run in pool_state.runs.items() if key.job == "j"
+            run.worker_id
+            for key, run in pool_state.runs.items()
+            if key.job == "j"
         )
         beside = next(
-            run.worker for run in pool_state.runs.values() if run.worker != ours
+            run.worker_id
+            for run in pool_state.runs.values()
+            if run.worker_id != ours
         )
         for worker in (beside, ours):
             _crash(pool_state, worker, now + 0.4)
         now += 0.4 + _RESTART_S
         _journal_crashes(pool_state)
-    assert pool_state.jobs["j"].progress.final is None
+    assert pool_state.jobs["j"].progress.final_state is None
--- a/crocusrouter/work/tests/test_advice.py
+++ b/crocusrouter/work/tests/test_policy_questions.py
@@ -1,7 +1,7 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 _STEP_KEY = work.StepKey("j", 0, 0)
@@ -9,11 +9,11 @@
 
 def _make_book(step, workers=("w0", "w1", "w2", "w3"), **changes):
     job = build.make_job("j", step, advised=True, **changes)
-    return build.make_book(job, workers=workers)
+    return build.make_pool_state(job, workers=workers)
 
 
 def _record_answer(pool_state, tickets, asked, valid_until=3.0):
-    pool_state.find_work(_STEP_KEY).permits.note_answer(
+    pool_state.find_tracked_step(_STEP_KEY).permits.note_answer(
         asked, tickets, valid_until
     )
 
@@ -56,7 +56,7 @@
     pool_state = _make_book(build.make_step(count, gpu=8))
     _fill_workers(pool_state, *full)
     question = work.choose_question(pool_state, 0.0, build.WALL)
-    assert question == work.Question(_STEP_KEY, asked)
+    assert question == work.PolicyQuestion(_STEP_KEY, asked)
 
 
 @pytest.mark.parametrize(
@@ -99,5 +99,7 @@
     build.apply_plan(pool_state, confirm=False)
     key = work.TaskKey(*_STEP_KEY, 0)
     number = pool_state.runs[key].number
-    pool_state.note_not_begun(key, number, orders.Why.NO_TICKET, 0.0)
+    pool_state.note_never_started(
+        key, number, worker_port.RejectionReason.NO_TICKET, 0.0
+    )
     assert work.choose_question(pool_state, 1.0, build.WALL).workers == ("w0",)
