--- a/crocusrouter/work/tests/test_book.py
+++ b/crocusrouter/work/tests/test_pool_state.py
@@ -1,12 +1,12 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.work import orders
 from crocusrouter.work import replacement
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
-HOW = orders.How
+HOW = worker_port.RunOutcome
 
 
 def _key(job, index=0, step=0, occurrence=0):
@@ -24,12 +24,12 @@
     ],
 )
 def test_ends_decide_the_final_state(steps, ends, state):
-    pool_state = build.make_book(build.make_job("j", *steps))
+    pool_state = build.make_pool_state(build.make_job("j", *steps))
     build.apply_plan(pool_state)
     for index, how in enumerate(ends):
         run = pool_state.runs[_key("j", index)]
-        build.apply_report(pool_state, run.worker, (_key("j", index), how))
-    assert pool_state.jobs["j"].progress.final is state
+        build.apply_report(pool_state, run.worker_id, (_key("j", index), how))
+    assert pool_state.jobs["j"].progress.final_state is state
 
 
 def test_final_state_is_shown_once_durable():
@@ -38,10 +38,10 @@
     Otherwise a caller may read "done", and "running" later: the owner is
     killed, and the new owner has not read the last end.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
-    build.apply_report(pool_state, run.worker, (_key("j"), HOW.DONE))
+    build.apply_report(pool_state, run.worker_id, (_key("j"), HOW.DONE))
     assert pool_state.jobs["j"].show_state() is work.State.RUNNING
     pool_state.note_durable(["j"])
     assert pool_state.jobs["j"].show_state() is work.State.DONE
@@ -55,33 +55,35 @@
     Failures are kept by the number of the run, so this one counts once.
     """
     job = build.make_job("j", build.make_step(), max_attempts=2)
-    pool_state = build.make_book(job, workers=("w0",))
+    pool_state = build.make_pool_state(job, workers=("w0",))
     progress = work.Progress()
-    progress.get(0, 0).failed[0] = [7]
-    successor = build.make_book(workers=("w0",))
+    progress.get(0, 0).failed_runs[0] = [7]
+    successor = build.make_pool_state(workers=("w0",))
     successor.put_job(
         job, work.parse_progress(work.dump_progress(progress)), 2, 0.0
     )
-    successor.open_due(build.WALL, 0.0)
-    ended = orders.Ended(3, _key("j"), 7, HOW.FAILED)
-    work.take_report(successor, "w0", orders.Report(0, (), (ended,)), 0.0, 0.0)
-    assert pool_state.jobs["j"].progress.final is None
-    assert successor.jobs["j"].progress.final is None
+    successor.open_due_occurrences(build.WALL, 0.0)
+    ended = worker_port.RunEnd(3, _key("j"), 7, HOW.FAILED)
+    work.apply_report(
+        successor, "w0", worker_port.Report(0, (), (ended,)), 0.0, 0.0
+    )
+    assert pool_state.jobs["j"].progress.final_state is None
+    assert successor.jobs["j"].progress.final_state is None
 
 
 def test_job_fails_after_its_last_attempt():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2), max_attempts=2)
     )
     for now in (0.0, 10.0):
         build.apply_plan(pool_state, now=now)
         run = pool_state.runs[_key("j")]
         build.apply_report(
-            pool_state, run.worker, (_key("j"), HOW.FAILED), now=now + 1
+            pool_state, run.worker_id, (_key("j"), HOW.FAILED), now=now + 1
         )
-    assert pool_state.jobs["j"].progress.final is work.State.FAILED
+    assert pool_state.jobs["j"].progress.final_state is work.State.FAILED
     other_run = pool_state.runs[_key("j", 1)]
-    assert other_run.phase is runs.Phase.STOPPING
+    assert other_run.phase is tracking.Phase.STOPPING
 
 
 def test_lost_gang_member_stops_the_gang():
@@ -90,20 +92,20 @@
     After a member's worker is lost, the others are stopped, and none starts
     again before all have ended.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2, gpu=8, gang=True))
     )
     build.apply_plan(pool_state)
     first_run, second_run = (
         pool_state.runs[_key("j", index)] for index in (0, 1)
     )
-    pool_state.note_lapsed(first_run.worker, "test", 1.0)
-    assert second_run.phase is runs.Phase.STOPPING
+    pool_state.note_lapsed(first_run.worker_id, "test", 1.0)
+    assert second_run.phase is tracking.Phase.STOPPING
     assert build.apply_plan(pool_state, now=5.0).placements == []
     build.apply_report(
-        pool_state, second_run.worker, (second_run.key, HOW.STOPPED), now=6.0
+        pool_state, second_run.worker_id, (second_run.key, HOW.STOPPED), now=6.0
     )
-    assert pool_state.find_work(first_run.key).waiting == {0, 1}
+    assert pool_state.find_tracked_step(first_run.key).waiting_indices == {0, 1}
 
 
 @pytest.mark.parametrize(
@@ -116,7 +118,7 @@
     This happens if a previous owner confirmed the end of the run and died. Only
     a report that was requested after the start was confirmed proves it.
     """
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step()), workers=("w0",)
     )
     build.apply_plan(pool_state, confirm=confirmed)
@@ -128,32 +130,35 @@
     """After a takeover a task must neither start twice nor run unwanted."""
     job = build.make_job("j", build.make_step(2))
     cancelled_job = build.make_job("x", build.make_step(1), cancelled=True)
-    pool_state = build.make_book(job, cancelled_job)
-    running = (orders.Running(_key("j"), 5), orders.Running(_key("x"), 6))
+    pool_state = build.make_pool_state(job, cancelled_job)
+    running = (
+        worker_port.ReportedRun(_key("j"), 5),
+        worker_port.ReportedRun(_key("x"), 6),
+    )
     build.apply_report(pool_state, "w0", running=running)
     assert pool_state.runs[_key("j")].number == 5
-    assert pool_state.find_work(_key("j")).waiting == {1}
+    assert pool_state.find_tracked_step(_key("j")).waiting_indices == {1}
     assert [order.key for _, order in pool_state.outbox] == [_key("x")]
 
 
 def test_task_of_a_rejected_start_waits_and_starts_on_another_worker():
-    pool_state = build.make_book(build.make_job("j", build.make_step()))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step()))
     build.apply_plan(pool_state, confirm=False)
     run = pool_state.runs[_key("j")]
-    pool_state.note_not_begun(_key("j"), run.number, "no-room", 0.0)
+    pool_state.note_never_started(_key("j"), run.number, "no-room", 0.0)
     assert build.apply_plan(pool_state, now=0.1).placements == []
     plan = build.apply_plan(pool_state, now=1.0)
-    assert plan.placements[0].spots[0] != run.worker
+    assert plan.placements[0].spots[0] != run.worker_id
 
 
 def test_cancelled_job_stops_and_starts_nothing():
     job = build.make_job("j", build.make_step(2))
-    pool_state = build.make_book(job)
+    pool_state = build.make_pool_state(job)
     build.apply_plan(pool_state)
     cancelled_job = build.make_job("j", build.make_step(2), cancelled=True)
     pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
     assert {run.phase for run in pool_state.runs.values()} == {
-        runs.Phase.STOPPING
+        tracking.Phase.STOPPING
     }
     assert work.plan(pool_state, 2.0, build.WALL).placements == []
     assert pool_state.jobs["j"].show_state() is work.State.CANCELLED
@@ -167,15 +172,15 @@
         first_due=build.WALL + 10,
         interval_s=5.0,
     )
-    pool_state = build.make_book(job)
+    pool_state = build.make_pool_state(job)
     assert pool_state.find_next_due() == build.WALL + 10
     for wall, opened in ((9.9, 0), (10.0, 1), (14.9, 1), (21.0, 3)):
-        pool_state.open_due(build.WALL + wall, wall)
-        assert pool_state.jobs["j"].opened == opened
+        pool_state.open_due_occurrences(build.WALL + wall, wall)
+        assert pool_state.jobs["j"].opened_count == opened
 
 
 def test_pending_counts_jobs_that_have_not_started():
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step()),
         build.make_job("k", build.make_step(1, gpu=99)),
     )
@@ -188,7 +193,7 @@
 )
 def test_failures_of_different_jobs_make_the_worker_suspect(jobs, suspected):
     """Jobs must not use up their attempts on a worker that fails all tasks."""
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(2), max_attempts=9),
         build.make_job("k", build.make_step(2), max_attempts=9),
         workers=("w0",),
@@ -196,8 +201,8 @@
     build.apply_plan(pool_state)
     for index, job in enumerate(jobs):
         build.apply_report(pool_state, "w0", (_key(job, index), HOW.FAILED))
-    assert pool_state.workers["w0"].may_take(2.0) is not suspected
-    assert pool_state.workers["w0"].may_take(20.0)
+    assert pool_state.workers["w0"].may_start_tasks(2.0) is not suspected
+    assert pool_state.workers["w0"].may_start_tasks(20.0)
 
 
 @pytest.mark.parametrize("how", [None, HOW.DONE])
@@ -207,7 +212,7 @@
     Workers report before its first decision, when no occurrence is open yet.
     Such a report opens the occurrence.
     """
-    pool_state = build.make_book()
+    pool_state = build.make_pool_state()
     job = build.make_job(
         "j",
         build.make_step(1),
@@ -216,12 +221,12 @@
         interval_s=50.0,
     )
     pool_state.put_job(job, work.Progress(), 2, 0.0)
-    running = () if how else (orders.Running(_key("j"), 5),)
-    ended = (orders.Ended(1, _key("j"), 5, how),) if how else ()
-    work.take_report(
-        pool_state, "w0", orders.Report(0, running, ended), 0.0, 0.0
+    running = () if how else (worker_port.ReportedRun(_key("j"), 5),)
+    ended = (worker_port.RunEnd(1, _key("j"), 5, how),) if how else ()
+    work.apply_report(
+        pool_state, "w0", worker_port.Report(0, running, ended), 0.0, 0.0
     )
-    pool_state.open_due(build.WALL + 9, 9.0)
+    pool_state.open_due_occurrences(build.WALL + 9, 9.0)
     assert pool_state.outbox == []
     assert work.plan(pool_state, 9.0, build.WALL + 9).placements == []
 
@@ -232,15 +237,17 @@
     The task would then be unknown, and would keep running until its lease ends.
     """
     job = build.make_job("j", build.make_step(1))
-    pool_state = build.make_book(job)
+    pool_state = build.make_pool_state(job)
     build.apply_plan(pool_state)
     run = pool_state.runs[_key("j")]
     cancelled_job = build.make_job("j", build.make_step(1), cancelled=True)
     pool_state.put_job(cancelled_job, work.Progress(), 9, 1.0)
-    assert pool_state.list_over(before=5.0) == []
-    build.apply_report(pool_state, run.worker, (run.key, HOW.STOPPED), now=2.0)
-    assert pool_state.list_over(before=1.0) == []
-    assert pool_state.list_over(before=5.0) == ["j"]
+    assert pool_state.list_ended_jobs(before=5.0) == []
+    build.apply_report(
+        pool_state, run.worker_id, (run.key, HOW.STOPPED), now=2.0
+    )
+    assert pool_state.list_ended_jobs(before=1.0) == []
+    assert pool_state.list_ended_jobs(before=5.0) == ["j"]
 
 
 def test_runs_lost_with_their_worker_are_logged():
@@ -248,11 +255,11 @@
 
     Without these lines, a task that starts again and again can't be explained.
     """
-    pool_state = build.make_book(build.make_job("j", build.make_step(2)))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step(2)))
     build.apply_plan(pool_state, now=1.0)
-    worker_id = pool_state.runs[_key("j")].worker
+    worker_id = pool_state.runs[_key("j")].worker_id
     pool_state.note_silent(worker_id, 1.25)
-    replacement.note_gone(pool_state, worker_id, 4.0)
+    replacement.note_incarnation_replaced(pool_state, worker_id, 4.0)
     lost_events = [
         fields for kind, fields in pool_state.events if kind == "run:lost"
     ]
@@ -269,12 +276,12 @@
     A run of a cancelled job, found after a takeover, still takes room there.
     """
     cancelled_job = build.make_job("c", build.make_step(), cancelled=True)
-    pool_state = build.make_book(cancelled_job, workers=("w0",))
+    pool_state = build.make_pool_state(cancelled_job, workers=("w0",))
     build.add_job(pool_state, build.make_job("j", build.make_step(gpu=8)))
-    stray = orders.Running(_key("c"), 7)
+    stray = worker_port.ReportedRun(_key("c"), 7)
     build.apply_report(pool_state, "w0", running=(stray,))
     assert [order for _, order in pool_state.outbox] == [
-        orders.Stop(_key("c"), 7)
+        worker_port.Stop(_key("c"), 7)
     ]
     assert build.apply_plan(pool_state, 1.0).placements == []
     build.apply_report(pool_state, "w0", running=(), now=1.2)
@@ -285,15 +292,18 @@
     ("gpu", "over"), [(8, False), (4, True)], ids=["whole", "shrunk"]
 )
 def test_worker_whose_room_has_shrunk_below_its_runs(gpu, over):
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", build.make_step(gpu=6)), workers=("w0",)
     )
     build.apply_plan(pool_state)
     pool_state.set_worker(build.make_entry("w0", gpu=gpu), 1.0)
     assert (
-        pool_state.workers["w0"].is_over(build.make_step(gpu=6).charge) is over
+        pool_state.workers["w0"].is_overcommitted(build.make_step(gpu=6).charge)
+        is over
+    )
+    assert not pool_state.workers["w0"].is_overcommitted(
+        build.make_step(gpu=0).charge
     )
-    assert not pool_state.workers["w0"].is_over(build.make_step(gpu=0).charge)
 
 
 def test_job_ends_whose_last_occurrence_was_done_before_it_was_opened():
@@ -308,10 +318,12 @@
     )
     progress = work.Progress()
     progress.get(1, 0).done.add(0)
-    pool_state = build.make_book(workers=("w0",))
+    pool_state = build.make_pool_state(workers=("w0",))
     pool_state.put_job(job, progress, 2, 0.0)
-    end = orders.Ended(1, _key("j"), 7, HOW.DONE)
-    work.take_report(pool_state, "w0", orders.Report(0, (), (end,)), 1.0, 1.0)
-    assert pool_state.jobs["j"].progress.final is None
-    pool_state.open_due(build.WALL + 5.0, 1.1)
-    assert pool_state.jobs["j"].progress.final is work.State.DONE
+    end = worker_port.RunEnd(1, _key("j"), 7, HOW.DONE)
+    work.apply_report(
+        pool_state, "w0", worker_port.Report(0, (), (end,)), 1.0, 1.0
+    )
+    assert pool_state.jobs["j"].progress.final_state is None
+    pool_state.open_due_occurrences(build.WALL + 5.0, 1.1)
+    assert pool_state.jobs["j"].progress.final_state is work.State.DONE
--- a/crocusrouter/work/tests/test_restarts.py
+++ b/crocusrouter/work/tests/test_restarts.py
@@ -3,8 +3,8 @@
 import pytest
 
 from crocusrouter import work
-from crocusrouter.work import orders
-from crocusrouter.work import runs
+from crocusrouter.work import tracking
+from crocusrouter.work import worker_port
 from crocusrouter.work.tests import build
 
 _OLD_WORKER = "w0@5"
@@ -15,14 +15,14 @@
 
 def _restart(step, late_tasks=()):
     """Return the pool state of a job whose worker has restarted."""
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", step), workers=(_OLD_WORKER,)
     )
     build.apply_plan(pool_state)
     for key in late_tasks:
-        pool_state.runs[key].maybe_begun = True
+        pool_state.runs[key].maybe_started = True
     stops = [
-        orders.Stop(key, pool_state.runs[key].number) for key in late_tasks
+        worker_port.Stop(key, pool_state.runs[key].number) for key in late_tasks
     ]
     work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
     work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, stops)
@@ -44,7 +44,10 @@
         for key in (_FIRST_TASK, _SECOND_TASK)
         if key not in late_tasks
     }
-    assert pool_state.find_work(_FIRST_TASK).waiting == waiting_indices
+    assert (
+        pool_state.find_tracked_step(_FIRST_TASK).waiting_indices
+        == waiting_indices
+    )
     assert set(pool_state.workers[_NEW_WORKER].runs) == set(late_tasks)
     assert not pool_state.workers[_OLD_WORKER].runs
     assert [stop.key for worker_id, stop in pool_state.outbox] == list(
@@ -59,31 +62,34 @@
     number = pool_state.runs[_FIRST_TASK].number
     build.apply_report(pool_state, _NEW_WORKER, now=1.5, running=())
     assert _FIRST_TASK in pool_state.runs
-    pool_state.note_settled(_FIRST_TASK, number, 2.0)
+    pool_state.note_stop_accepted(_FIRST_TASK, number, 2.0)
     build.apply_report(pool_state, _NEW_WORKER, now=2.5, running=())
-    assert pool_state.find_work(_FIRST_TASK).waiting == {0}
+    assert pool_state.find_tracked_step(_FIRST_TASK).waiting_indices == {0}
 
 
 def test_late_start_that_was_carried_out_is_not_adopted():
     """The worker was told to stop the run; the task waits after its end."""
     pool_state = _restart(build.make_step(1), (_FIRST_TASK,))
-    reported_run = orders.Running(
+    reported_run = worker_port.ReportedRun(
         _FIRST_TASK, pool_state.runs[_FIRST_TASK].number
     )
     build.apply_report(
         pool_state, _NEW_WORKER, now=1.5, running=(reported_run,)
     )
-    assert pool_state.runs[_FIRST_TASK].phase is runs.Phase.STOPPING
+    assert pool_state.runs[_FIRST_TASK].phase is tracking.Phase.STOPPING
     build.apply_report(
-        pool_state, _NEW_WORKER, (_FIRST_TASK, orders.How.STOPPED), now=1.8
+        pool_state,
+        _NEW_WORKER,
+        (_FIRST_TASK, worker_port.RunOutcome.STOPPED),
+        now=1.8,
     )
-    assert pool_state.find_work(_FIRST_TASK).waiting == {0}
+    assert pool_state.find_tracked_step(_FIRST_TASK).waiting_indices == {0}
 
 
 def test_gang_with_a_member_that_may_start_late_is_stopped():
     """The other members would work for a member that is to be stopped."""
     step = build.make_step(2, gang=True, gpu=8)
-    pool_state = build.make_book(
+    pool_state = build.make_pool_state(
         build.make_job("j", step),
         workers=(_OLD_WORKER, "w1@5"),
         racks=("r0", "r0"),
@@ -91,18 +97,20 @@
     build.apply_plan(pool_state)
     [member] = pool_state.workers[_OLD_WORKER].runs.values()
     [other_member] = pool_state.workers["w1@5"].runs.values()
-    member.maybe_begun = True
+    member.maybe_started = True
     work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
-    stop = orders.Stop(member.key, member.number)
+    stop = worker_port.Stop(member.key, member.number)
     work.note_replaced(pool_state, _OLD_WORKER, 1.0, _NEW_WORKER, [stop])
-    assert other_member.phase is runs.Phase.STOPPING
+    assert other_member.phase is tracking.Phase.STOPPING
 
 
 @pytest.mark.parametrize("late_tasks", [(), (_FIRST_TASK,)])
 def test_restart_counts_as_a_crash_under_the_runs_there(late_tasks):
     """A task that crashes its workers must not start again without limit."""
     pool_state = _restart(build.make_step(1), late_tasks)
-    assert len(pool_state.find_work(_FIRST_TASK).kept.crashes[0]) == 1
+    assert (
+        len(pool_state.find_tracked_step(_FIRST_TASK).progress.crashes[0]) == 1
+    )
     restart_events = [
         fields
         for kind, fields in pool_state.events
@@ -116,20 +124,20 @@
 @pytest.mark.parametrize("known", [False, True])
 def test_next_incarnation_takes_work_once_it_is_listed(known):
     """A worker that drained and restarted must get tasks again."""
-    pool_state = build.make_book(workers=(_OLD_WORKER,))
+    pool_state = build.make_pool_state(workers=(_OLD_WORKER,))
     pool_state.set_worker(build.make_entry(_OLD_WORKER, draining=True), 0.0)
     if known:
         work.add_successor(pool_state, _OLD_WORKER, _NEW_WORKER, 1.0)
         pool_state.workers[_NEW_WORKER].reached = True
-        assert not pool_state.workers[_NEW_WORKER].may_take(1.0)
+        assert not pool_state.workers[_NEW_WORKER].may_start_tasks(1.0)
     pool_state.set_worker(build.make_entry(_NEW_WORKER), 2.0)
     pool_state.workers[_NEW_WORKER].reached = True
-    assert pool_state.workers[_NEW_WORKER].may_take(2.0)
-    assert pool_state.workers[_OLD_WORKER].sealed
+    assert pool_state.workers[_NEW_WORKER].may_start_tasks(2.0)
+    assert pool_state.workers[_OLD_WORKER].was_draining
 
 
 def test_incarnations_are_found_by_the_platforms_worker_ids():
-    pool_state = build.make_book(workers=("w0@5", "w1@5", "w2"))
+    pool_state = build.make_pool_state(workers=("w0@5", "w1@5", "w2"))
     pool_state.unlist_worker("w0@5")
     pool_state.set_worker(build.make_entry("w0@7"), 1.0)
     assert work.map_incarnations(pool_state) == {
--- a/crocusrouter/work/tests/test_upkeep.py
+++ b/crocusrouter/work/tests/test_upkeep.py
@@ -17,15 +17,15 @@
 
 
 def _make_book(*jobs):
-    return build.make_book(*jobs, workers=("w0", "w1", "w2"))
+    return build.make_pool_state(*jobs, workers=("w0", "w1", "w2"))
 
 
 @pytest.mark.parametrize(
     ("record", "expected"),
     [
         (upkeep.WaveRecord(), "m0"),
-        (upkeep.WaveRecord(begun={"m0": "w0"}), "m1"),
-        (upkeep.WaveRecord(begun={"m0": "w0"}, down={"m1": "w1"}), None),
+        (upkeep.WaveRecord(started={"m0": "w0"}), "m1"),
+        (upkeep.WaveRecord(started={"m0": "w0"}, down={"m1": "w1"}), None),
         (upkeep.WaveRecord(done={"m0", "m1"}), "m2"),
         (upkeep.WaveRecord(done={"m0", "m1", "m2"}), None),
     ],
@@ -73,7 +73,7 @@
 def test_runs_that_are_stopped_to_empty_a_worker(step, leave_by, stopped):
     pool_state = _make_book(build.make_job("j", step))
     build.apply_plan(pool_state)
-    worker_id = next(iter(pool_state.runs.values())).worker
+    worker_id = next(iter(pool_state.runs.values())).worker_id
     assert (
         len(upkeep.list_evacuations(pool_state, worker_id, 1.0, leave_by))
         == stopped
@@ -94,7 +94,9 @@
 )
 def test_lasting_tasks_are_stopped_one_by_one(percents, may_miss, stopped):
     step = build.make_step(4, gpu=2, lasting=True, may_miss=may_miss)
-    pool_state = build.make_book(build.make_job("j", step), workers=("w0",))
+    pool_state = build.make_pool_state(
+        build.make_job("j", step), workers=("w0",)
+    )
     build.apply_plan(pool_state)
     for run, percent in zip(pool_state.runs.values(), percents, strict=True):
         run.percent = percent
@@ -109,7 +111,7 @@
     ("record", "vm", "done"),
     [
         (
-            upkeep.WaveRecord(begun={"m0": "w0"}),
+            upkeep.WaveRecord(started={"m0": "w0"}),
             vms.Vm("m0", "p", _UP, "w9"),
             False,
         ),
@@ -128,11 +130,11 @@
             vms.Vm("m0", "p", vms.VmState.UPKEEP, "w9"),
             False,
         ),
-        (upkeep.WaveRecord(begun={"m0": "w0"}), None, True),
+        (upkeep.WaveRecord(started={"m0": "w0"}), None, True),
     ],
 )
 def test_which_vms_are_back(record, vm, done):
-    upkeep.note_back(record, _list_vms(m0=vm))
+    upkeep.mark_returned_vms(record, _list_vms(m0=vm))
     assert ("m0" in record.done) is done
 
 
--- a/crocusrouter/work/runs.py
+++ b/crocusrouter/work/tracking.py
@@ -4,9 +4,9 @@
 import enum
 
 from crocusrouter.work import model
-from crocusrouter.work import orders
 from crocusrouter.work import permit
 from crocusrouter.work import progress as progresses
+from crocusrouter.work import worker_port
 
 # A task suspected of crashing its worker runs there alone for this long. Its
 # worker is polled once a second while it has runs, so a run that was seen to
@@ -50,18 +50,18 @@
 
     key: model.TaskKey
     number: int
-    worker: str
-    since: float
+    worker_id: str
+    ordered_at: float
     phase: Phase = Phase.ORDERED
     confirmed_at: float | None = None
-    saved: str = ""
+    checkpoint: str = ""
     percent: float = 0.0
     progressed_at: float = 0.0
     load: float = 0.0
-    maybe_begun: bool = False
-    why: str = ""
+    maybe_started: bool = False
+    stop_reason: str = ""
     stop_ordered_at: float = 0.0
-    work: "StepWork | None" = None
+    tracked_step: "TrackedStep | None" = None
     pace: int = 100
     paced_at: float = 0.0
 
@@ -99,39 +99,39 @@
             records, while the worker has not been reached; None for any job.
     """
 
-    entry: orders.WorkerEntry
+    entry: worker_port.WorkerEntry
     listed: bool = True
     reached: bool = False
     silent_since: float | None = None
     last_report_at: float | None = None
-    lapsed: bool = False
-    gone: bool = False
+    all_runs_ended: bool = False
+    replaced: bool = False
     used: model.Room = model.Room()
     runs: dict[model.TaskKey, Run] = dataclasses.field(default_factory=dict)
-    strays: set[tuple[model.TaskKey, int]] = dataclasses.field(
+    stray_runs: set[tuple[model.TaskKey, int]] = dataclasses.field(
         default_factory=set
     )
     failures: set[str] = dataclasses.field(default_factory=set)
     suspect_until: float = 0.0
-    noted: int = 0
+    last_end_number: int = 0
     leaves_at: float | None = None
-    sealed: bool = False
-    resting: bool = False
+    was_draining: bool = False
+    evacuating: bool = False
     was_evacuated: bool = False
     trial_until: float = 0.0
-    blocks: frozenset[str] | None = None
+    possible_jobs: frozenset[str] | None = None
 
     @property
-    def is_untold(self) -> bool:
+    def has_unknown_runs(self) -> bool:
         """Whether a previous owner's runs there are still unknown."""
-        return not self.reached and not self.lapsed
+        return not self.reached and not self.all_runs_ended
 
     @property
     def free(self) -> model.Room:
         """Room that no run takes; negative if the worker has shrunk."""
         return self.entry.room.minus(self.used)
 
-    def is_over(self, charge: model.Room) -> bool:
+    def is_overcommitted(self, charge: model.Room) -> bool:
         """Tell whether its runs take more than it has of what a run needs.
 
         Args:
@@ -142,17 +142,17 @@
             for needed, left in zip(charge, self.free, strict=True)
         )
 
-    def may_take(self, now: float) -> bool:
+    def may_start_tasks(self, now: float) -> bool:
         """Tell whether new tasks may start there."""
         return (
             self.listed
             and self.reached
-            and not self.sealed
-            and not self.resting
-            and not self.gone
+            and not self.was_draining
+            and not self.evacuating
+            and not self.replaced
             # A stray run takes room until it has ended. A worker that does not
             # check its room would start more tasks than it has room for.
-            and not self.strays
+            and not self.stray_runs
             and self.silent_since is None
             and now >= self.suspect_until
             and now >= self.trial_until
@@ -160,7 +160,7 @@
 
 
 @dataclasses.dataclass
-class StepWork:
+class TrackedStep:
     """One step of one occurrence of a job that is not over.
 
     Attributes:
@@ -178,9 +178,9 @@
 
     key: model.StepKey
     step: model.Step
-    kept: progresses.StepProgress
-    waiting: set[int]
-    running: dict[int, Run] = dataclasses.field(default_factory=dict)
+    progress: progresses.StepProgress
+    waiting_indices: set[int]
+    runs_by_index: dict[int, Run] = dataclasses.field(default_factory=dict)
     avoided_workers: set[str] = dataclasses.field(default_factory=set)
     not_before: float = 0.0
     waiting_since: float | None = None
@@ -189,15 +189,15 @@
     @property
     def is_done(self) -> bool:
         """Whether all tasks have succeeded."""
-        return len(self.kept.done) == self.step.count
+        return len(self.progress.done) == self.step.count
 
     def find_checkpoint(self, index: int) -> str:
         """Return the checkpoint from which a task resumes; empty for none."""
-        return self.kept.saved.get(0 if self.step.gang else index, "")
+        return self.progress.checkpoints.get(0 if self.step.gang else index, "")
 
 
 @dataclasses.dataclass
-class JobWork:
+class TrackedJob:
     """One accepted job.
 
     Attributes:
@@ -218,12 +218,12 @@
 
     job: model.Job
     progress: progresses.Progress
-    created: int = 0
-    steps: dict[model.StepKey, StepWork] = dataclasses.field(
+    accepted_revision: int = 0
+    steps: dict[model.StepKey, TrackedStep] = dataclasses.field(
         default_factory=dict
     )
-    opened: int = 0
-    begun: bool = False
+    opened_count: int = 0
+    has_started: bool = False
     durable: bool = False
     over_since: float | None = None
     has_unsaved_crash: bool = False
@@ -232,7 +232,7 @@
     @property
     def is_final(self) -> bool:
         """Whether no task of the job will start any more."""
-        return self.job.cancelled or self.progress.final is not None
+        return self.job.cancelled or self.progress.final_state is not None
 
     def show_state(self) -> model.State:
         """Return the state that callers see.
@@ -240,8 +240,8 @@
         A final state is shown only once it is durable: otherwise a new owner
         that has not read the last end would say "running" after "done".
         """
-        if self.progress.final is not None and self.durable:
-            return self.progress.final
+        if self.progress.final_state is not None and self.durable:
+            return self.progress.final_state
         if self.job.cancelled:
             return model.State.CANCELLED
-        return model.State.RUNNING if self.begun else model.State.QUEUED
+        return model.State.RUNNING if self.has_started else model.State.QUEUED
--- a/crocusrouter/work/trials.py
+++ b/crocusrouter/work/trials.py
@@ -6,10 +6,10 @@
 everything that runs there.
 """
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
 from crocusrouter.work import packing
-from crocusrouter.work import runs
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import tracking
 
 # Under load there may be no quiet worker for long. After this time any worker
 # will do, so that an innocent task does not wait while others overtake it.
@@ -19,7 +19,9 @@
 _MAX_TRIAL_SHARE = 0.25
 
 
-def list_trial_workers(pool_state: pool_states.Book, now: float) -> set[str]:
+def list_trial_workers(
+    pool_state: pool_states.PoolState, now: float
+) -> set[str]:
     """Return the workers that are reserved for a trial now."""
     return {
         worker_id
@@ -29,8 +31,8 @@
 
 
 def choose_trial(
-    pool_state: pool_states.Book,
-    tracked_step: runs.StepWork,
+    pool_state: pool_states.PoolState,
+    tracked_step: tracking.TrackedStep,
     spaces: list[packing.Space],
     trial_workers: set[str],
     now: float,
@@ -49,7 +51,8 @@
         Space by index of the task; None if the step has to wait.
     """
     if any(
-        _has_just_started(run, now) for run in tracked_step.running.values()
+        _has_just_started(run, now)
+        for run in tracked_step.runs_by_index.values()
     ):
         return None
     quiet_spaces = [
@@ -75,23 +78,26 @@
     return spaces_by_index
 
 
-def may_skip_trial(tracked_step: runs.StepWork, now: float) -> bool:
+def may_skip_trial(tracked_step: tracking.TrackedStep, now: float) -> bool:
     """Tell whether a suspected step may start without a trial.
 
     After one crash a step is more often innocent than not, and should not wait
     for a trial for long. A trial that is under way is waited for.
     """
-    if any(len(crashes) > 1 for crashes in tracked_step.kept.crashes.values()):
+    if any(
+        len(crashes) > 1 for crashes in tracked_step.progress.crashes.values()
+    ):
         return False
     if any(
-        _has_just_started(run, now) for run in tracked_step.running.values()
+        _has_just_started(run, now)
+        for run in tracked_step.runs_by_index.values()
     ):
         return False
     return _has_waited_long(tracked_step, now)
 
 
 def _exceeds_trial_share(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     spaces_by_index: dict[int, packing.Space],
     trial_workers: set[str],
 ) -> bool:
@@ -109,12 +115,12 @@
     )
 
 
-def _has_just_started(run: runs.Run, now: float) -> bool:
-    return now - run.since < runs.TRIAL_S
+def _has_just_started(run: tracking.Run, now: float) -> bool:
+    return now - run.ordered_at < tracking.TRIAL_S
 
 
 def _is_quiet(
-    pool_state: pool_states.Book, space: packing.Space, now: float
+    pool_state: pool_states.PoolState, space: packing.Space, now: float
 ) -> bool:
     """Tell whether nothing has just started on a worker or is about to."""
     if _is_used_in_plan(pool_state, space):
@@ -124,29 +130,29 @@
 
 
 def _is_used_in_plan(
-    pool_state: pool_states.Book, space: packing.Space
+    pool_state: pool_states.PoolState, space: packing.Space
 ) -> bool:
     return space.free != pool_state.workers[space.worker].free
 
 
-def _has_waited_long(tracked_step: runs.StepWork, now: float) -> bool:
+def _has_waited_long(tracked_step: tracking.TrackedStep, now: float) -> bool:
     waiting_since = tracked_step.waiting_since
     return waiting_since is not None and now - waiting_since >= _MAX_WAIT_S
 
 
-def _choose_index(tracked_step: runs.StepWork) -> int:
+def _choose_index(tracked_step: tracking.TrackedStep) -> int:
     """Return the task with the most crashes, as the most informative one."""
     return max(
-        tracked_step.waiting,
+        tracked_step.waiting_indices,
         key=lambda index: (
-            len(tracked_step.kept.crashes.get(index, ())),
+            len(tracked_step.progress.crashes.get(index, ())),
             -index,
         ),
     )
 
 
 def _spread_gang(
-    tracked_step: runs.StepWork, quiet_spaces: list[packing.Space]
+    tracked_step: tracking.TrackedStep, quiet_spaces: list[packing.Space]
 ) -> dict[int, packing.Space] | None:
     """Return spaces for all members of a gang, in one rack if possible."""
     racks = list(packing.group_by_rack(quiet_spaces).values())
@@ -154,7 +160,11 @@
         gang_spaces = _list_task_spaces(tracked_step.step, spaces)
         if len(gang_spaces) >= tracked_step.step.count:
             return dict(
-                zip(sorted(tracked_step.waiting), gang_spaces, strict=False)
+                zip(
+                    sorted(tracked_step.waiting_indices),
+                    gang_spaces,
+                    strict=False,
+                )
             )
     return None
 
--- a/crocusrouter/work/upkeep.py
+++ b/crocusrouter/work/upkeep.py
@@ -10,10 +10,10 @@
 
 import cbor2
 
-from crocusrouter.work import book as pool_states
 from crocusrouter.work import model
-from crocusrouter.work import runs
-from crocusrouter.work import victims
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import preemption
+from crocusrouter.work import tracking
 from crocusrouter.work import vms
 
 # Time from the order until the next worker answers: two seconds of upkeep by
@@ -27,13 +27,13 @@
     """Progress of a wave; all owners share it in the store.
 
     Attributes:
-        begun: VMs that are being emptied or whose order has no answer yet,
+        started: VMs that are being emptied or whose order has no answer yet,
             with the worker that was there.
         down: VMs whose order was answered, with the worker that was there.
         done: VMs that are back or have been removed.
     """
 
-    begun: dict[str, str] = dataclasses.field(default_factory=dict)
+    started: dict[str, str] = dataclasses.field(default_factory=dict)
     down: dict[str, str] = dataclasses.field(default_factory=dict)
     done: set[str] = dataclasses.field(default_factory=set)
 
@@ -43,16 +43,16 @@
         A VM counts before its order is sent, since an order without an answer
         may be carried out at any later time.
         """
-        return len(self.begun) + len(self.down)
+        return len(self.started) + len(self.down)
 
 
 def dump_record(record: WaveRecord) -> bytes:
     """Encode a record for the store.
 
-    >>> parse_record(dump_record(WaveRecord({"m": "w"}))).begun
+    >>> parse_record(dump_record(WaveRecord({"m": "w"}))).started
     {'m': 'w'}
     """
-    return cbor2.dumps([record.begun, record.down, sorted(record.done)])
+    return cbor2.dumps([record.started, record.down, sorted(record.done)])
 
 
 def parse_record(data: bytes) -> WaveRecord:
@@ -69,7 +69,7 @@
 
 
 def choose_vm(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     pool: str,
     wave: vms.Wave,
     record: WaveRecord,
@@ -93,7 +93,7 @@
         for vm in listed
         if vm.name in wave.vms
         and vm.name not in record.done
-        and vm.name not in record.begun
+        and vm.name not in record.started
         and vm.name not in record.down
         and vm.pool == pool
         and vm.state is vms.VmState.UP
@@ -110,23 +110,23 @@
 
 
 def _measure_evacuation_loss(
-    pool_state: pool_states.Book, worker_id: str, now: float
+    pool_state: pool_states.PoolState, worker_id: str, now: float
 ) -> float:
     """Return the core-seconds that are lost if a worker is emptied now."""
     total_loss = 0.0
     for run in pool_state.workers[worker_id].runs.values():
-        if run.work is not None:
-            total_loss += victims.measure_loss(run, run.work, now)
+        if run.tracked_step is not None:
+            total_loss += preemption.measure_loss(run, run.tracked_step, now)
     return total_loss
 
 
-def measure_patience(wave: vms.Wave) -> float:
+def measure_evacuation_s(wave: vms.Wave) -> float:
     """Return the seconds that emptying one VM may take.
 
     VMs go down in batches of `most_at_once`; each batch has an equal share of
     the wave's time.
 
-    >>> measure_patience(vms.Wave(1, frozenset("abcd"), 40.0, 2))
+    >>> measure_evacuation_s(vms.Wave(1, frozenset("abcd"), 40.0, 2))
     16.0
     """
     batch_count = -(-len(wave.vms) // max(1, wave.most_at_once))
@@ -134,8 +134,11 @@
 
 
 def list_evacuations(
-    pool_state: pool_states.Book, worker_id: str, now: float, leave_by: float
-) -> list[tuple[runs.Run, str]]:
+    pool_state: pool_states.PoolState,
+    worker_id: str,
+    now: float,
+    leave_by: float,
+) -> list[tuple[tracking.Run, str]]:
     """Return the runs to stop now so that a worker's VM can go down.
 
     Args:
@@ -144,13 +147,13 @@
         now: Steady time in seconds.
         leave_by: Steady time at which the worker should be empty.
     """
-    stops_by_task: dict[model.TaskKey, tuple[runs.Run, str]] = {}
+    stops_by_task: dict[model.TaskKey, tuple[tracking.Run, str]] = {}
     worker = pool_state.workers.get(worker_id)
     stops_left: dict[model.StepKey, int] = {}
     for key in sorted(worker.runs) if worker is not None else ():
         run = pool_state.runs[key]
-        tracked_step = run.work
-        if tracked_step is None or run.phase is not runs.Phase.RUNNING:
+        tracked_step = run.tracked_step
+        if tracked_step is None or run.phase is not tracking.Phase.RUNNING:
             continue
         if not _should_stop(
             pool_state, run, tracked_step, stops_left, now, leave_by
@@ -168,9 +171,9 @@
 
 
 def _should_stop(
-    pool_state: pool_states.Book,
-    run: runs.Run,
-    tracked_step: runs.StepWork,
+    pool_state: pool_states.PoolState,
+    run: tracking.Run,
+    tracked_step: tracking.TrackedStep,
     stops_left: dict[model.StepKey, int],
     now: float,
     leave_by: float,
@@ -198,22 +201,22 @@
         return stops_left[tracked_step.key] >= 0
     if tracked_step.step.checkpoints:
         return True
-    remaining_s = victims.estimate_rest(run, tracked_step, now)
+    remaining_s = preemption.estimate_remaining_s(run, tracked_step, now)
     return now >= leave_by or now + remaining_s > leave_by
 
 
 def count_away(
-    pool_state: pool_states.Book, tracked_step: runs.StepWork
+    pool_state: pool_states.PoolState, tracked_step: tracking.TrackedStep
 ) -> int:
     """Return how many tasks of a lasting step are not at work."""
     at_work_count = sum(
-        run.phase is runs.Phase.RUNNING and run.percent >= _READY_PERCENT
+        run.phase is tracking.Phase.RUNNING and run.percent >= _READY_PERCENT
         for run in pool_state.list_step_runs(tracked_step)
     )
     return tracked_step.step.count - at_work_count
 
 
-def note_back(record: WaveRecord, listed: tuple[vms.Vm, ...]) -> bool:
+def mark_returned_vms(record: WaveRecord, listed: tuple[vms.Vm, ...]) -> bool:
     """Mark the VMs as done that are back with another worker or removed.
 
     Returns:
@@ -221,7 +224,7 @@
     """
     by_name = {vm.name: vm for vm in listed}
     changed = False
-    for name, old_worker in [*record.down.items(), *record.begun.items()]:
+    for name, old_worker in [*record.down.items(), *record.started.items()]:
         vm = by_name.get(name)
         is_back = (
             vm is not None
@@ -230,14 +233,14 @@
             and vm.worker not in ("", old_worker)
         )
         if vm is None or is_back:
-            record.begun.pop(name, None)
+            record.started.pop(name, None)
             record.down.pop(name, None)
             record.done.add(name)
             changed = True
     return changed
 
 
-def is_shared(
+def waits_for_other_pools(
     wave: vms.Wave,
     record: WaveRecord,
     listed: tuple[vms.Vm, ...],
--- a/crocusrouter/work/turns.py
+++ b/crocusrouter/work/waiting_steps.py
@@ -6,11 +6,11 @@
 
 import dataclasses
 
-from crocusrouter.work import book as pool_states
-from crocusrouter.work import policy as policies
-from crocusrouter.work import runs
+from crocusrouter.work import planner_policy as policies
+from crocusrouter.work import pool_state as pool_states
+from crocusrouter.work import tracking
 
-_DEFAULT = policies.Policy()
+_DEFAULT = policies.PlannerPolicy()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -25,8 +25,8 @@
         hopeless: Whether the job's result has no value any more.
     """
 
-    tracked_job: runs.JobWork
-    tracked_step: runs.StepWork
+    tracked_job: tracking.TrackedJob
+    tracked_step: tracking.TrackedStep
     latest_start: float
     late: bool
     hopeless: bool
@@ -47,10 +47,10 @@
 
 
 def list_waiting_steps(
-    pool_state: pool_states.Book,
+    pool_state: pool_states.PoolState,
     now: float,
     wall: float,
-    policy: policies.Policy = _DEFAULT,
+    policy: policies.PlannerPolicy = _DEFAULT,
 ) -> list[WaitingStep]:
     """Return the steps with waiting tasks, in scheduling order.
 
@@ -61,20 +61,23 @@
         policy: Weights and limits of the planner.
     """
     waiting_steps = []
-    blocked_jobs = pool_state.list_blocked()
-    for tracked_job in pool_state.live.values():
-        if tracked_job.is_final or pool_state.may_run_unseen(
+    blocked_jobs = pool_state.list_blocked_jobs()
+    for tracked_job in pool_state.live_jobs.values():
+        if tracked_job.is_final or pool_state.may_run_unreported(
             tracked_job, blocked_jobs
         ):
             continue
         if tracked_job.has_unsaved_crash:
             continue
         for tracked_step in tracked_job.steps.values():
-            if not tracked_step.waiting or tracked_step.not_before > now:
+            if (
+                not tracked_step.waiting_indices
+                or tracked_step.not_before > now
+            ):
                 continue
             if (
                 tracked_step.step.gang
-                and len(tracked_step.waiting) < tracked_step.step.count
+                and len(tracked_step.waiting_indices) < tracked_step.step.count
             ):
                 continue
             if pool_state.is_ready(tracked_job, tracked_step):
@@ -85,15 +88,15 @@
 
 
 def _build_waiting_step(
-    tracked_job: runs.JobWork,
-    tracked_step: runs.StepWork,
+    tracked_job: tracking.TrackedJob,
+    tracked_step: tracking.TrackedStep,
     wall: float,
-    policy: policies.Policy,
+    policy: policies.PlannerPolicy,
 ) -> WaitingStep:
     job = tracked_job.job
     due_at = job.find_due(tracked_step.key.occurrence)
     objective_s = job.objective_s
-    remaining_s = job.tails[tracked_step.key.step]
+    remaining_s = job.critical_paths_s[tracked_step.key.step]
     hopeless = (
         wall > due_at + policy.late_factor * objective_s
         and not tracked_step.step.lasting
--- a/crocusrouter/work/orders.py
+++ b/crocusrouter/work/worker_port.py
@@ -11,7 +11,7 @@
 from crocusrouter.work import model
 
 
-class How(enum.StrEnum):
+class RunOutcome(enum.StrEnum):
     """How a run ended."""
 
     DONE = "done"
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Running:
+class ReportedRun:
     """One run as its worker reports it.
 
     Attributes:
@@ -37,13 +37,13 @@
 
     key: model.TaskKey
     run: int
-    saved: str = ""
+    checkpoint: str = ""
     percent: float = 0.0
     load: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class RunEnd:
     """One end of a run; the worker lists it until the owner confirms it.
 
     Attributes:
@@ -57,8 +57,8 @@
     number: int
     key: model.TaskKey
     run: int
-    how: How
-    saved: str = ""
+    outcome: RunOutcome
+    checkpoint: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -74,19 +74,19 @@
     """
 
     clock_ms: int
-    running: tuple[Running, ...] = ()
-    ended: tuple[Ended, ...] = ()
+    running: tuple[ReportedRun, ...] = ()
+    ended: tuple[RunEnd, ...] = ()
     born_ms: int | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class Taken:
+class Accepted:
     """The worker carried out the order."""
 
     clock_ms: int
 
 
-class Why(enum.StrEnum):
+class RejectionReason(enum.StrEnum):
     """Why a worker refused an order."""
 
     FENCED = "fenced"  # the worker knows a later owner
@@ -110,13 +110,13 @@
             one; None if unknown.
     """
 
-    why: Why
+    reason: RejectionReason
     clock_ms: int | None = None
     incarnation: str | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class Silent:
+class NoAnswer:
     """No answer came; the order may still be carried out, even seconds later.
 
     Attributes:
@@ -143,7 +143,7 @@
     key: model.TaskKey
     run: int
     payload: str
-    saved: str = ""
+    checkpoint: str = ""
     ticket: str = ""
 
 
@@ -192,7 +192,7 @@
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
-    ) -> PolicyAnswer | Silent:
+    ) -> PolicyAnswer | NoAnswer:
         """Ask which of `workers` may run a step.
 
         The service knows workers by the id that their incarnations share.
@@ -209,25 +209,25 @@
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> Report | Rejected | Silent:
+    ) -> Report | Rejected | NoAnswer:
         """Renew the lease, confirm ends up to `seen`, wait for a new end."""
         ...
 
     async def start(
         self, epoch: int, order: Start, until_ms: int, timeout_s: float
-    ) -> Taken | Rejected | Silent:
+    ) -> Accepted | Rejected | NoAnswer:
         """Start a run."""
         ...
 
     async def stop(
         self, epoch: int, order: Stop, timeout_s: float
-    ) -> Taken | Rejected | Silent:
+    ) -> Accepted | Rejected | NoAnswer:
         """Stop a run."""
         ...
 
     async def pace(
         self, epoch: int, order: Pace, timeout_s: float
-    ) -> Taken | Rejected | Silent:
+    ) -> Accepted | Rejected | NoAnswer:
         """Set the share of its speed at which a run works."""
         ...
 
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -19,7 +19,7 @@
 from crocusrouter.store import port
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins.emulator import changes as change_rules
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
@@ -53,7 +53,7 @@
 
 
 def _encode_worker_entry(
-    worker_entry: orders.WorkerEntry, born_ms: int
+    worker_entry: worker_port.WorkerEntry, born_ms: int
 ) -> bytes:
     return orjson.dumps(
         dataclasses.asdict(worker_entry)
@@ -65,7 +65,7 @@
     )
 
 
-def _parse_worker_entry(key: str, value: bytes) -> orders.WorkerEntry | None:
+def _parse_worker_entry(key: str, value: bytes) -> worker_port.WorkerEntry | None:
     try:
         fields = orjson.loads(value)
         fields["room"] = work.Room(*fields["room"])
@@ -73,7 +73,7 @@
         fields["id"] = incarnations.build_incarnation(
             fields["id"], fields.pop("born")
         )
-        return orders.WorkerEntry(**fields)
+        return worker_port.WorkerEntry(**fields)
     except (KeyError, TypeError, ValueError):
         return None
 
@@ -208,7 +208,7 @@
         self._start_worker(name, rack).start_anew(trio.current_time())
 
     def _start_worker(self, name: str, rack: str) -> workers.Worker:
-        worker_entry = orders.WorkerEntry(
+        worker_entry = worker_port.WorkerEntry(
             name,
             POOL,
             f"{name}:1",
@@ -311,14 +311,14 @@
 
     def _build_worker_view_opener(
         self, name: str
-    ) -> Callable[[str, str], orders.Connection]:
-        def open_view(incarnation: str, _: str) -> orders.Connection:
+    ) -> Callable[[str, str], worker_port.Connection]:
+        def open_view(incarnation: str, _: str) -> worker_port.Connection:
             worker_id = incarnations.find_worker(incarnation)
             view = workers.WorkerView(lambda: self.workers[worker_id], name)
             suspendable_view = suspension.SuspendablePort(
                 view, self.suspensions, name
             )
-            return cast(orders.Connection, suspendable_view)
+            return cast(worker_port.Connection, suspendable_view)
 
         return open_view
 
--- a/standins/emulator/policy.py
+++ b/standins/emulator/policy.py
@@ -10,7 +10,7 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 
 _ANSWER_DELAY_S = 0.05
 _DELAY_PER_WORKER_S = 0.005
@@ -48,7 +48,7 @@
 
     async def answer(
         self, step: work.StepKey, workers: tuple[str, ...]
-    ) -> orders.PolicyAnswer:
+    ) -> worker_port.PolicyAnswer:
         """Answer one question, after all earlier ones."""
         async with self._answer_lock:
             self.questions += 1
@@ -62,7 +62,7 @@
                     ticket = f"{step} {worker} {valid_until}"
                     self._valid_until[ticket] = valid_until
                     tickets[worker] = ticket
-            return orders.PolicyAnswer(tickets, _TICKET_LIFETIME_S)
+            return worker_port.PolicyAnswer(tickets, _TICKET_LIFETIME_S)
 
     def is_valid(self, ticket: str, step: work.StepKey, worker: str) -> bool:
         """Tell whether a ticket is valid now for a step on a worker."""
@@ -80,7 +80,7 @@
 
     async def advise(
         self, step: work.StepKey, workers: tuple[str, ...], timeout_s: float
-    ) -> orders.PolicyAnswer | orders.Silent:
+    ) -> worker_port.PolicyAnswer | worker_port.NoAnswer:
         """Ask which of the given workers may run a step."""
         return await self._policy.answer(step, workers)
 
--- a/standins/emulator/tests/test_rooms.py
+++ b/standins/emulator/tests/test_rooms.py
@@ -7,7 +7,7 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins import emulator
 from standins.emulator import cluster as clusters
 from standins.emulator import faults
@@ -61,6 +61,6 @@
     worker.set_room(room, 0.0)
     await trio.sleep(shrunk_for_s - trio.current_time())
     until_ms = int(worker.read_clock()) + 5000
-    order = orders.Start(work.TaskKey("j", 0, 0, 0), 1, "")
-    assert isinstance(worker.start_run(1, order, until_ms), orders.Taken)
+    order = worker_port.Start(work.TaskKey("j", 0, 0, 0), 1, "")
+    assert isinstance(worker.start_run(1, order, until_ms), worker_port.Accepted)
     assert len(cluster.oracle.broken) == broken
--- a/standins/emulator/vms.py
+++ b/standins/emulator/vms.py
@@ -9,8 +9,8 @@
 import orjson
 import trio
 
-from crocusrouter.work import orders
 from crocusrouter.work import vms
+from crocusrouter.work import worker_port
 from standins.emulator import oracle as oracles
 from standins.emulator import rules
 from standins.emulator import worker as workers
@@ -159,19 +159,19 @@
         self._control = control
         self._entry = entry
 
-    async def list_vms(self) -> tuple[vms.Vm, ...] | orders.Silent:
+    async def list_vms(self) -> tuple[vms.Vm, ...] | worker_port.NoAnswer:
         """Return all VMs with their states."""
         await trio.sleep(_ANSWER_DELAY_S)
         return self._control.list_all()
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
-    ) -> vms.Upkeep | orders.Silent:
+    ) -> vms.Upkeep | worker_port.NoAnswer:
         """Begin the upkeep of a VM; the answer may be lost."""
         await trio.sleep(_ANSWER_DELAY_S)
         outcome = self._control.begin(holder, epoch, vm)
         if self._control.should_lose_answer():
-            return orders.Silent("lost")
+            return worker_port.NoAnswer("lost")
         return outcome
 
     async def aclose(self) -> None:
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -7,7 +7,7 @@
 import trio
 
 from crocusrouter import work
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
 
@@ -62,7 +62,7 @@
     working_since: float | None
     ends_at: float | None
     stops_at: float | None = None
-    end_kind: orders.How = orders.How.DONE
+    end_kind: worker_port.RunOutcome = worker_port.RunOutcome.DONE
     lasting: bool = False
     pace: int = 100
     crashes_worker: bool = False
@@ -90,7 +90,7 @@
 
     def __init__(
         self,
-        entry: orders.WorkerEntry,
+        entry: worker_port.WorkerEntry,
         oracle: oracles.Oracle,
         gangs: Gangs,
         policy: policies.Policy,
@@ -122,7 +122,7 @@
         self.highest_epoch = 0
         self.lease_end_ms = 0.0
         self.tasks: dict[work.TaskKey, TaskRun] = {}
-        self.ended: list[orders.Ended] = []
+        self.ended: list[worker_port.RunEnd] = []
         self.highest_runs: dict[work.TaskKey, int] = {}
         self.last_end_number = 0
         self.confirmed_number = 0
@@ -157,12 +157,12 @@
             self._allow_reruns()
         for task_run in list(self.tasks.values()):
             if lapsed:
-                self._end_run(task_run, orders.How.LAPSED, now)
+                self._end_run(task_run, worker_port.RunOutcome.LAPSED, now)
             elif task_run.stops_at is not None and now >= task_run.stops_at:
-                self._end_run(task_run, orders.How.STOPPED, now)
+                self._end_run(task_run, worker_port.RunOutcome.STOPPED, now)
             elif task_run.working_since is None:
                 if now > task_run.started_at + oracles.GANG_WAIT_S:
-                    self._end_run(task_run, orders.How.ALONE, now)
+                    self._end_run(task_run, worker_port.RunOutcome.ALONE, now)
             elif task_run.ends_at is not None and now >= task_run.ends_at:
                 if task_run.crashes_worker:
                     self._crash_because_of(task_run, now)
@@ -182,14 +182,14 @@
             if task_run.ends_at is not None:
                 task_run.ends_at += delay_s
 
-    def _end_run(self, task_run: TaskRun, how: orders.How, now: float) -> None:
+    def _end_run(self, task_run: TaskRun, how: worker_port.RunOutcome, now: float) -> None:
         if self.tasks.get(task_run.key) is not task_run:
             return
         del self.tasks[task_run.key]
         self.last_end_number += 1
         self.highest_runs[task_run.key] = task_run.run
         self.ended.append(
-            orders.Ended(
+            worker_port.RunEnd(
                 self.last_end_number, task_run.key, task_run.run, how, ""
             )
         )
@@ -199,7 +199,7 @@
         self._end_listed.set()
         self._end_listed = trio.Event()
         step = self.oracle.jobs[task_run.key.job].steps[task_run.key.step]
-        if step.gang and how is not orders.How.DONE:
+        if step.gang and how is not worker_port.RunOutcome.DONE:
             self._break_gang(task_run, now)
 
     def _break_gang(self, task_run: TaskRun, now: float) -> None:
@@ -209,7 +209,7 @@
                     other.run == task_run.run
                     and other.key[:3] == task_run.key[:3]
                 ):
-                    worker._end_run(other, orders.How.BROKEN, now)
+                    worker._end_run(other, worker_port.RunOutcome.BROKEN, now)
 
     def crash_before_answer(self, key: work.TaskKey) -> bool:
         """Crash before the start of a task is answered, at random.
@@ -251,7 +251,7 @@
         for ended in self.ended:
             if (
                 ended.number > self.confirmed_number
-                and ended.how is orders.How.FAILED
+                and ended.outcome is worker_port.RunOutcome.FAILED
             ):
                 self.oracle.allow_uncounted_failure(ended.key)
         self.ended.clear()
@@ -260,27 +260,29 @@
         for ended in self.ended:
             if (
                 ended.number > self.confirmed_number
-                and ended.how is orders.How.DONE
+                and ended.outcome is worker_port.RunOutcome.DONE
             ):
                 self.oracle.allow_rerun(ended.key)
 
     # Orders.
 
-    def check_epoch(self, epoch: int) -> orders.Rejected | None:
+    def check_epoch(self, epoch: int) -> worker_port.Rejected | None:
         """Reject an order of an earlier owner; remember the epoch otherwise."""
         if epoch < self.highest_epoch:
-            return orders.Rejected(orders.Why.FENCED, int(self.read_clock()))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.FENCED, int(self.read_clock())
+            )
         self.highest_epoch = epoch
         return None
 
     def start_run(
         self,
         epoch: int,
-        order: orders.Start,
+        order: worker_port.Start,
         until_ms: int,
         *,
         late: bool = False,
-    ) -> orders.Taken | orders.Rejected:
+    ) -> worker_port.Accepted | worker_port.Rejected:
         """Carry out a start order.
 
         Args:
@@ -294,31 +296,39 @@
             return rejection
         clock = self.read_clock()
         if until_ms <= clock:
-            return orders.Rejected(orders.Why.LATE, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.LATE, int(clock)
+            )
         self.lease_end_ms = max(
             self.lease_end_ms, min(until_ms, clock + _MAX_LEASE_MS)
         )
         task_run = self.tasks.get(order.key)
         if task_run is not None and task_run.run == order.run:
-            return orders.Taken(int(clock))
+            return worker_port.Accepted(int(clock))
         if order.run <= self.highest_runs.get(order.key, 0):
-            return orders.Rejected(orders.Why.OLD, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OLD, int(clock)
+            )
         job = self.oracle.jobs[order.key.job]
         step = job.steps[order.key.step]
         if self.guards and not self._compute_free_room().holds(step.charge):
-            return orders.Rejected(orders.Why.NO_ROOM, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.NO_ROOM, int(clock)
+            )
         step_key = work.StepKey(*order.key[:3])
         if job.advised and not self.policy.is_valid(
             order.ticket, step_key, self.entry.id
         ):
             self.refused_tickets += 1
-            return orders.Rejected(orders.Why.NO_TICKET, int(clock))
+            return worker_port.Rejected(
+                worker_port.RejectionReason.NO_TICKET, int(clock)
+            )
         if not self.guards and not late:
             self._check_room(order.key, step.charge)
         self._add_run(order, job, step)
         if self.drains_since is not None and not late:
             self.started_draining.append((order.key, trio.current_time()))
-        return orders.Taken(int(clock))
+        return worker_port.Accepted(int(clock))
 
     def is_impaired(self, now: float) -> bool:
         """Tell whether orders to this worker may fail or come late."""
@@ -379,7 +389,7 @@
         return free
 
     def _add_run(
-        self, order: orders.Start, job: work.Job, step: work.Step
+        self, order: worker_port.Start, job: work.Job, step: work.Step
     ) -> None:
         now = trio.current_time()
         self._check_placement(order.key, now)
@@ -388,7 +398,7 @@
         task_run.ends_at = None if step.lasting else now + step.expected_s
         poisoned = job.payload == "poison"
         if poisoned or self.fails_all:
-            task_run.end_kind = orders.How.FAILED
+            task_run.end_kind = worker_port.RunOutcome.FAILED
             task_run.ends_at = now + 0.2
         if job.payload == CRASHING:
             task_run.crashes_worker = True
@@ -410,8 +420,8 @@
                     )
 
     def stop_run(
-        self, epoch: int, order: orders.Stop
-    ) -> orders.Taken | orders.Rejected:
+        self, epoch: int, order: worker_port.Stop
+    ) -> worker_port.Accepted | worker_port.Rejected:
         """Carry out a stop order."""
         rejection = self.check_epoch(epoch)
         if rejection is not None:
@@ -422,11 +432,11 @@
             task_run.stops_at = trio.current_time() + _STOP_DELAY_S
         else:
             self.highest_runs[order.key] = max(highest_run, order.run)
-        return orders.Taken(int(self.read_clock()))
+        return worker_port.Accepted(int(self.read_clock()))
 
     def build_report(
         self, epoch: int, confirmed: int, until_ms: int | None
-    ) -> orders.Report | orders.Rejected:
+    ) -> worker_port.Report | worker_port.Rejected:
         """Report the runs and the ends here, and extend the lease.
 
         Args:
@@ -445,7 +455,7 @@
         self.confirmed_number = max(self.confirmed_number, confirmed)
         self.ended = [e for e in self.ended if e.number > self.confirmed_number]
         running = tuple(
-            orders.Running(
+            worker_port.ReportedRun(
                 task_run.key,
                 task_run.run,
                 "",
@@ -454,7 +464,7 @@
             )
             for task_run in self.tasks.values()
         )
-        return orders.Report(
+        return worker_port.Report(
             int(clock), running, tuple(self.ended), self.born_ms
         )
 
@@ -478,8 +488,8 @@
         return self.oracle.jobs[task_run.key.job].steps[task_run.key.step]
 
     def set_pace(
-        self, epoch: int, order: orders.Pace
-    ) -> orders.Taken | orders.Rejected:
+        self, epoch: int, order: worker_port.Pace
+    ) -> worker_port.Accepted | worker_port.Rejected:
         """Carry out a pace order."""
         rejection = self.check_epoch(epoch)
         if rejection is not None:
@@ -487,7 +497,7 @@
         task_run = self.tasks.get(order.key)
         if task_run is not None and task_run.run == order.run:
             task_run.pace = order.percent
-        return orders.Taken(int(self.read_clock()))
+        return worker_port.Accepted(int(self.read_clock()))
 
     async def wait_for_end(self, wait_s: float) -> None:
         """Wait until a run ends, or for some seconds."""
@@ -541,7 +551,7 @@
 
     async def _wait_without_answer(
         self, timeout_s: float, *, sent: bool = False
-    ) -> orders.Silent:
+    ) -> worker_port.NoAnswer:
         """Return the failure of a call that gets no answer.
 
         It comes at once if the worker's VM refuses connections, else after the
@@ -557,21 +567,27 @@
             and self._entry not in self._worker.unreachable_from
         ):
             await trio.sleep(_ORDER_DELAY_S)
-            return orders.Silent("refused", maybe_done=sent)
+            return worker_port.NoAnswer("refused", maybe_done=sent)
         await trio.sleep(timeout_s)
-        return orders.Silent("cut")
+        return worker_port.NoAnswer("cut")
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
-    ) -> orders.Report | orders.Rejected | orders.Silent:
+    ) -> worker_port.Report | worker_port.Rejected | worker_port.NoAnswer:
         """Fetch a report; wait for an end if there is none."""
         await trio.sleep(_ORDER_DELAY_S)
         if self._worker.superseded:
-            return orders.Rejected(orders.Why.OTHER_INCARNATION)
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION
+            )
         if not self._is_reachable():
             return await self._wait_without_answer(wait_s + 0.6)
         report = self._worker.build_report(epoch, seen, until_ms)
-        if isinstance(report, orders.Report) and not report.ended and wait_s:
+        if (
+            isinstance(report, worker_port.Report)
+            and not report.ended
+            and wait_s
+        ):
             await self._worker.wait_for_end(wait_s)
             if not self._is_reachable():
                 return await self._wait_without_answer(0.6, sent=True)
@@ -580,13 +596,19 @@
         return report
 
     async def start(
-        self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self,
+        epoch: int,
+        order: worker_port.Start,
+        until_ms: int,
+        timeout_s: float,
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Order the start of a run; some starts are carried out late."""
         await trio.sleep(_ORDER_DELAY_S)
         if self._worker.superseded:
             self._worker.misdirected_starts += 1
-            return orders.Rejected(orders.Why.OTHER_INCARNATION)
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION
+            )
         if not self._is_reachable():
             return await self._wait_without_answer(timeout_s)
         if self._worker.random.random() < self._worker.late_start_share:
@@ -595,7 +617,7 @@
             )
             self.is_open = False
             await trio.sleep(timeout_s)
-            return orders.Silent("late")
+            return worker_port.NoAnswer("late")
         outcome = self._worker.start_run(epoch, order, until_ms)
         if self._worker.crash_before_answer(order.key):
             return await self._wait_without_answer(timeout_s, sent=True)
@@ -603,19 +625,21 @@
         return outcome
 
     async def _start_late(
-        self, epoch: int, order: orders.Start, until_ms: int
+        self, epoch: int, order: worker_port.Start, until_ms: int
     ) -> None:
         await trio.sleep(self._worker.random.uniform(2.0, 12.0))
         if self._worker.alive:
             self._worker.start_run(epoch, order, until_ms, late=True)
 
     async def stop(
-        self, epoch: int, order: orders.Stop, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self, epoch: int, order: worker_port.Stop, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Order the stop of a run."""
         await trio.sleep(_ORDER_DELAY_S)
         if self._worker.superseded:
-            return orders.Rejected(orders.Why.OTHER_INCARNATION)
+            return worker_port.Rejected(
+                worker_port.RejectionReason.OTHER_INCARNATION
+            )
         if not self._is_reachable():
             return await self._wait_without_answer(timeout_s)
         outcome = self._worker.stop_run(epoch, order)
@@ -623,8 +647,8 @@
         return outcome
 
     async def pace(
-        self, epoch: int, order: orders.Pace, timeout_s: float
-    ) -> orders.Taken | orders.Rejected | orders.Silent:
+        self, epoch: int, order: worker_port.Pace, timeout_s: float
+    ) -> worker_port.Accepted | worker_port.Rejected | worker_port.NoAnswer:
         """Order another pace of a run."""
         await trio.sleep(_ORDER_DELAY_S)
         if not self._is_reachable():
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -14,18 +14,18 @@
 from crocusrouter.store import client
 from crocusrouter.store import port
 from crocusrouter.store import records
-from crocusrouter.work import orders
+from crocusrouter.work import worker_port
 from standins.emulator import store as stores
 from standins.emulator import worker as workers
 
 # Longer than any caller waits: an answer that never comes.
 _NEVER_S = 8.0
 _REASONS = {
-    orders.Why.FENCED: "fence",
-    orders.Why.OLD: "old",
-    orders.Why.LATE: "late",
-    orders.Why.NO_ROOM: "room",
-    orders.Why.NO_TICKET: "ticket",
+    worker_port.RejectionReason.FENCED: "fence",
+    worker_port.RejectionReason.OLD: "old",
+    worker_port.RejectionReason.LATE: "late",
+    worker_port.RejectionReason.NO_ROOM: "room",
+    worker_port.RejectionReason.NO_TICKET: "ticket",
 }
 Answer = tuple[int, dict[str, Any]]
 
@@ -209,36 +209,49 @@
     assert key is not None
     number = document["run_id"]
     if path == "/run-start":
-        order = orders.Start(
+        order = worker_port.Start(
             key, number, document["spec"], document.get("checkpoint", "")
         )
         return _show(
             await view.start(epoch, order, document["until_ms"], _NEVER_S)
         )
-    return _show(await view.stop(epoch, orders.Stop(key, number), _NEVER_S))
+    return _show(
+        await view.stop(epoch, worker_port.Stop(key, number), _NEVER_S)
+    )
 
 
 def _show(
-    result: orders.Report | orders.Taken | orders.Rejected | orders.Silent,
+    result: worker_port.Report
+    | worker_port.Accepted
+    | worker_port.Rejected
+    | worker_port.NoAnswer,
 ) -> Answer:
     match result:
-        case orders.Report(clock_ms, running, ended, born_ms):
+        case worker_port.Report(clock_ms, running, ended, born_ms):
             return 200, {
                 "clock_ms": clock_ms,
                 "born": born_ms,
                 "running": [
-                    [names.build_task(r.key), r.run, r.saved, r.percent]
+                    [names.build_task(r.key), r.run, r.checkpoint, r.percent]
                     for r in running
                 ],
                 "finished": [
-                    [e.number, names.build_task(e.key), e.run, str(e.how), ""]
+                    [
+                        e.number,
+                        names.build_task(e.key),
+                        e.run,
+                        str(e.outcome),
+                        "",
+                    ]
                     for e in ended
                 ],
             }
-        case orders.Taken(clock_ms):
+        case worker_port.Accepted(clock_ms):
             return 200, {"clock_ms": clock_ms}
-        case orders.Rejected(orders.Why.OTHER_INCARNATION):
+        case worker_port.Rejected(
+            worker_port.RejectionReason.OTHER_INCARNATION
+        ):
             return 421, {}
-        case orders.Rejected(why, clock_ms):
+        case worker_port.Rejected(why, clock_ms):
             return 409, {"clock_ms": clock_ms, "reason": _REASONS[why]}
     raise _NoAnswerError
