--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -6,7 +6,7 @@
 from crocusrouter.pools.entry import Identity
 from crocusrouter.pools.entry import PoolEntry
 from crocusrouter.pools.job_api import Cancelled
-from crocusrouter.pools.job_api import Desk
+from crocusrouter.pools.job_api import JobApi
 from crocusrouter.pools.job_api import StateUnknownError
 from crocusrouter.pools.job_api import Stored
 from crocusrouter.pools.job_api import note_refusal
@@ -20,7 +20,7 @@
     "Cancelled",
     "Clock",
     "ConfigSource",
-    "Desk",
+    "JobApi",
     "Identity",
     "Platform",
     "PoolEntry",
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -167,7 +167,7 @@
             self.times,
             metrics,
         )
-        self.desk = job_api.Desk(
+        self.desk = job_api.JobApi(
             self._relay,
             self.peers,
             self.owned,
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -81,7 +81,7 @@
     )
 
 
-class Desk:
+class JobApi:
     """Serves the job requests of one entry's callers."""
 
     def __init__(
