--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -128,7 +128,7 @@
             call.customer,
             self._entry.times.wall(),
         )
-        match await self._entry.desk.accept(job, call.basis):
+        match await self._entry.job_api.accept(job, call.basis):
             case pools.Stored.STORED:
                 return Rendered(200, dict(_JSON), b"{}")
             case pools.Stored.NOT_STORED:
@@ -142,7 +142,7 @@
             return await self._count(call)
         _check_id(call)
         try:
-            state = await self._entry.desk.find_state(
+            state = await self._entry.job_api.find_state(
                 call.queue.pool, call.job_id
             )
         except pools.StateUnknownError as error:
@@ -156,7 +156,7 @@
         )
 
     async def _count(self, call: QueueCall) -> Rendered:
-        count = await self._entry.desk.count_pending(
+        count = await self._entry.job_api.count_pending(
             call.queue.pool, call.queue.name
         )
         if count is None:
@@ -171,7 +171,7 @@
         self, request: starlette_requests.Request, call: QueueCall
     ) -> Rendered:
         _check_id(call)
-        match await self._entry.desk.cancel(call.job_id):
+        match await self._entry.job_api.cancel(call.job_id):
             case pools.Cancelled.DONE:
                 return Rendered(200, dict(_JSON), b"{}")
             case pools.Cancelled.NO_JOB:
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -167,7 +167,7 @@
             self.times,
             metrics,
         )
-        self.desk = job_api.JobApi(
+        self.job_api = job_api.JobApi(
             self._relay,
             self.peers,
             self.owned,
@@ -282,11 +282,11 @@
                 return messages.ConfigReply(self.configuration.document)
             case messages.FindState(pool, job):
                 return messages.StateReply(
-                    self.desk.find_local_state(pool, job)
+                    self.job_api.find_local_state(pool, job)
                 )
             case messages.CountPending(pool, queue):
                 return messages.PendingReply(
-                    self.desk.count_local_pending(pool, queue)
+                    self.job_api.count_local_pending(pool, queue)
                 )
             case messages.RelayRead():
                 return await self._relay.answer_read(message)
--- a/crocusrouter/pools/tests/test_relay.py
+++ b/crocusrouter/pools/tests/test_relay.py
@@ -24,7 +24,7 @@
         await trio.sleep(wait_s)
         job = build.make_job("0123456789abcdef", build.make_step(1))
         cluster.oracle.jobs[job.id] = job
-        outcome = await cluster.entries["e0"].desk.accept(job)
+        outcome = await cluster.entries["e0"].job_api.accept(job)
         await trio.sleep(8.0)
         stored = any(job.id in key for key in cluster.store.items)
         nursery.cancel_scope.cancel()
@@ -86,7 +86,7 @@
         job = build.make_job("0123456789abcdef", build.make_step(1))
         cluster.oracle.jobs[job.id] = job
         for name in refused_entries:
-            desk = cluster.entries[name].desk
+            desk = cluster.entries[name].job_api
             assert await desk.accept(job) is pools.Stored.STORED
             assert await desk.count_pending(clusters.POOL, "q") is not None
         nursery.cancel_scope.cancel()
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -351,7 +351,7 @@
             if entry is None or not entry.is_ready:
                 await trio.sleep(0.5)
                 continue
-            outcome = await entry.desk.accept(job)
+            outcome = await entry.job_api.accept(job)
             if outcome is pools.Stored.STORED:
                 self.oracle.accepted.add(job.id)
                 return "accepted"
@@ -368,7 +368,7 @@
         """Cancel a job."""
         self.oracle.asked_to_cancel.add(job_id)
         for entry in list(self.entries.values()):
-            outcome = await entry.desk.cancel(job_id)
+            outcome = await entry.job_api.cancel(job_id)
             if outcome is pools.Cancelled.DONE:
                 self.oracle.cancelled[job_id] = trio.current_time()
                 return
@@ -379,7 +379,7 @@
         for job_id in sorted(self.oracle.accepted):
             entry = self.random.choice(list(self.entries.values()))
             try:
-                state = await entry.desk.find_state(POOL, job_id)
+                state = await entry.job_api.find_state(POOL, job_id)
             except pools.StateUnknownError:
                 state = None
             states[job_id] = str(state) if state is not None else None
