--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -129,9 +129,9 @@
             self._entry.times.wall(),
         )
         match await self._entry.job_api.accept(job, call.basis):
-            case pools.Stored.STORED:
+            case pools.AcceptOutcome.STORED:
                 return Rendered(200, dict(_JSON), b"{}")
-            case pools.Stored.NOT_STORED:
+            case pools.AcceptOutcome.NOT_STORED:
                 raise self._refuse(RefusalReason.STORE_UNAVAILABLE, job.id)
         raise self._refuse(RefusalReason.COMMIT_UNKNOWN, job.id)
 
--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -5,10 +5,10 @@
 from crocusrouter.pools.entry import ConfigSource
 from crocusrouter.pools.entry import Identity
 from crocusrouter.pools.entry import PoolEntry
+from crocusrouter.pools.job_api import AcceptOutcome
 from crocusrouter.pools.job_api import Cancelled
 from crocusrouter.pools.job_api import JobApi
 from crocusrouter.pools.job_api import StateUnknownError
-from crocusrouter.pools.job_api import Stored
 from crocusrouter.pools.job_api import note_refusal
 from crocusrouter.pools.members import find_secret
 from crocusrouter.pools.owner import Platform
@@ -26,7 +26,7 @@
     "PoolEntry",
     "PoolOwner",
     "StateUnknownError",
-    "Stored",
+    "AcceptOutcome",
     "Upkeeping",
     "find_secret",
     "note_refusal",
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -22,7 +22,7 @@
 _MAX_CANCEL_TRIES = 3
 
 
-class Stored(enum.StrEnum):
+class AcceptOutcome(enum.StrEnum):
     """Whether a job is stored."""
 
     STORED = "stored"
@@ -43,17 +43,17 @@
     """Neither the owner nor the store could be asked."""
 
 
-def _classify_outcome(outcome: port.WriteOutcome) -> Stored:
+def _classify_outcome(outcome: port.WriteOutcome) -> AcceptOutcome:
     """Return what the write of a job says about whether it is stored.
 
     The write requires that the key does not exist, so a mismatch means that an
     earlier try has stored the job.
     """
     if isinstance(outcome, port.Written | port.Mismatched):
-        return Stored.STORED
+        return AcceptOutcome.STORED
     if isinstance(outcome, port.NotWritten):
-        return Stored.NOT_STORED
-    return Stored.UNKNOWN
+        return AcceptOutcome.NOT_STORED
+    return AcceptOutcome.UNKNOWN
 
 
 def note_refusal(
@@ -104,7 +104,7 @@
 
     async def accept(
         self, job: work.Job, basis: configurations.Basis | None = None
-    ) -> Stored:
+    ) -> AcceptOutcome:
         """Store a job.
 
         The key must not exist before, so any number of tries by any entries
--- a/crocusrouter/pools/tests/test_relay.py
+++ b/crocusrouter/pools/tests/test_relay.py
@@ -41,7 +41,7 @@
     store served all other entries.
     """
     outcome, stored = await _accept(fault, ["e0"])
-    assert outcome is pools.Stored.STORED
+    assert outcome is pools.AcceptOutcome.STORED
     assert stored
 
 
@@ -59,7 +59,7 @@
     """
     started = trio.current_time()
     outcome, stored = await _accept(fault, ["e0", "e1", "e2", "e3"], 4.5)
-    assert outcome is pools.Stored.NOT_STORED
+    assert outcome is pools.AcceptOutcome.NOT_STORED
     assert not stored
     assert trio.current_time() - started < 3.0 + 4.5 + 8.0 + 0.1
 
@@ -87,7 +87,7 @@
         cluster.oracle.jobs[job.id] = job
         for name in refused_entries:
             desk = cluster.entries[name].job_api
-            assert await desk.accept(job) is pools.Stored.STORED
+            assert await desk.accept(job) is pools.AcceptOutcome.STORED
             assert await desk.count_pending(clusters.POOL, "q") is not None
         nursery.cancel_scope.cancel()
     assert cluster.find_owner() not in refused_entries
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -352,12 +352,12 @@
                 await trio.sleep(0.5)
                 continue
             outcome = await entry.job_api.accept(job)
-            if outcome is pools.Stored.STORED:
+            if outcome is pools.AcceptOutcome.STORED:
                 self.oracle.accepted.add(job.id)
                 return "accepted"
-            if outcome is pools.Stored.NOT_STORED and may_come:
+            if outcome is pools.AcceptOutcome.NOT_STORED and may_come:
                 return "unknown"
-            if outcome is pools.Stored.NOT_STORED:
+            if outcome is pools.AcceptOutcome.NOT_STORED:
                 self.oracle.refused.add(job.id)
                 return "refused"
             may_come = True
