--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -172,11 +172,11 @@
     ) -> Rendered:
         _check_id(call)
         match await self._entry.job_api.cancel(call.job_id):
-            case pools.Cancelled.DONE:
+            case pools.CancelOutcome.DONE:
                 return Rendered(200, dict(_JSON), b"{}")
-            case pools.Cancelled.NO_JOB:
+            case pools.CancelOutcome.NO_JOB:
                 raise refuse(RefusalReason.UNKNOWN_JOB, f"job {call.job_id}")
-            case pools.Cancelled.NOT_TRIED:
+            case pools.CancelOutcome.NOT_TRIED:
                 raise self._refuse(RefusalReason.STORE_UNAVAILABLE, call.job_id)
         raise self._refuse(RefusalReason.COMMIT_UNKNOWN, call.job_id)
 
--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -6,7 +6,7 @@
 from crocusrouter.pools.entry import Identity
 from crocusrouter.pools.entry import PoolEntry
 from crocusrouter.pools.job_api import AcceptOutcome
-from crocusrouter.pools.job_api import Cancelled
+from crocusrouter.pools.job_api import CancelOutcome
 from crocusrouter.pools.job_api import JobApi
 from crocusrouter.pools.job_api import StateUnknownError
 from crocusrouter.pools.job_api import note_refusal
@@ -17,7 +17,7 @@
 
 __all__ = [
     "Basis",
-    "Cancelled",
+    "CancelOutcome",
     "Clock",
     "ConfigSource",
     "JobApi",
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -30,7 +30,7 @@
     UNKNOWN = "unknown"
 
 
-class Cancelled(enum.Enum):
+class CancelOutcome(enum.Enum):
     """Outcome of a cancel request."""
 
     DONE = "done"
@@ -134,7 +134,7 @@
 
     # Cancelling.
 
-    async def cancel(self, job_id: str) -> Cancelled:
+    async def cancel(self, job_id: str) -> CancelOutcome:
         """Mark a job as cancelled; its owner stops it."""
         key = keys.build_job_key(job_id)
         has_tried_write = False
@@ -145,10 +145,10 @@
                 log("job:cancel", job=job_id, outcome=str(error))
                 break
             if record is None:
-                return Cancelled.NO_JOB
+                return CancelOutcome.NO_JOB
             job: work.Job = codec.unpack(work.Job, record.value)
             if job.cancelled:
-                return Cancelled.DONE
+                return CancelOutcome.DONE
             cancelled_job = dataclasses.replace(job, cancelled=True)
             has_tried_write = True
             outcome = await self._store.write(
@@ -157,8 +157,12 @@
             )
             log("job:cancel", job=job_id, outcome=type(outcome).__name__)
             if isinstance(outcome, port.Written):
-                return Cancelled.DONE
-        return Cancelled.UNKNOWN if has_tried_write else Cancelled.NOT_TRIED
+                return CancelOutcome.DONE
+        return (
+            CancelOutcome.UNKNOWN
+            if has_tried_write
+            else CancelOutcome.NOT_TRIED
+        )
 
     # State.
 
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -369,7 +369,7 @@
         self.oracle.asked_to_cancel.add(job_id)
         for entry in list(self.entries.values()):
             outcome = await entry.job_api.cancel(job_id)
-            if outcome is pools.Cancelled.DONE:
+            if outcome is pools.CancelOutcome.DONE:
                 self.oracle.cancelled[job_id] = trio.current_time()
                 return
 
