--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -100,7 +100,7 @@
         except RefusedError as error:
             reason = error.refusal.reason
             self._entry.metrics.count_refusal(reason)
-            pools.note_refusal(
+            pools.log_refusal(
                 request.method,
                 request.url.path,
                 error.refusal,
--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -9,7 +9,7 @@
 from crocusrouter.pools.job_api import CancelOutcome
 from crocusrouter.pools.job_api import JobApi
 from crocusrouter.pools.job_api import StateUnknownError
-from crocusrouter.pools.job_api import note_refusal
+from crocusrouter.pools.job_api import log_refusal
 from crocusrouter.pools.members import find_secret
 from crocusrouter.pools.owner import Platform
 from crocusrouter.pools.owner import PoolOwner
@@ -29,5 +29,5 @@
     "AcceptOutcome",
     "Upkeeping",
     "find_secret",
-    "note_refusal",
+    "log_refusal",
 ]
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -56,7 +56,7 @@
     return AcceptOutcome.UNKNOWN
 
 
-def note_refusal(
+def log_refusal(
     method: str,
     path: str,
     refusal: Refusal,
