--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -45,7 +45,7 @@
     queue: queues.Queue
     customer: str
     job_id: str
-    basis: pools.Basis
+    basis: pools.ConfigBasis
 
 
 async def identify(
--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -1,7 +1,7 @@
 """Pools of workers: ownership, scheduling, journal and job calls."""
 
 from crocusrouter.pools.clocks import Clock
-from crocusrouter.pools.configuration import Basis
+from crocusrouter.pools.configuration import ConfigBasis
 from crocusrouter.pools.entry import ConfigSource
 from crocusrouter.pools.entry import Identity
 from crocusrouter.pools.entry import PoolEntry
@@ -16,7 +16,7 @@
 from crocusrouter.pools.upkeep_controller import Upkeeping
 
 __all__ = [
-    "Basis",
+    "ConfigBasis",
     "CancelOutcome",
     "Clock",
     "ConfigSource",
--- a/crocusrouter/pools/configuration.py
+++ b/crocusrouter/pools/configuration.py
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Basis:
+class ConfigBasis:
     """The configuration by which a call was decided.
 
     Attributes:
@@ -107,9 +107,9 @@
             return None
         return max(0.0, now - self._confirmed_at)
 
-    def describe(self, now: float) -> Basis:
+    def describe(self, now: float) -> ConfigBasis:
         """Return the basis for a call that is decided now."""
-        return Basis(self.version, self.measure_age(now))
+        return ConfigBasis(self.version, self.measure_age(now))
 
     def confirm_newest(self, asked_at: float) -> None:
         """Record that at this time it was the newest version.
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -60,7 +60,7 @@
     method: str,
     path: str,
     refusal: Refusal,
-    basis: configurations.Basis,
+    basis: configurations.ConfigBasis,
 ) -> None:
     """Log a refusal with its reason and the job's path.
 
@@ -103,7 +103,7 @@
     # Acceptance.
 
     async def accept(
-        self, job: work.Job, basis: configurations.Basis | None = None
+        self, job: work.Job, basis: configurations.ConfigBasis | None = None
     ) -> AcceptOutcome:
         """Store a job.
 
