--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -142,7 +142,7 @@
 async def _find_secret(store: platform.PlatformStore) -> str:
     while True:
         try:
-            return await pools.find_secret(store)
+            return await pools.load_or_create_secret(store)
         except stores.StoreUnavailableError as error:
             log("entry:no-secret", cause=str(error))
             await trio.sleep(_RETRY_S)
--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -10,7 +10,7 @@
 from crocusrouter.pools.job_api import JobApi
 from crocusrouter.pools.job_api import StateUnknownError
 from crocusrouter.pools.job_api import log_refusal
-from crocusrouter.pools.members import find_secret
+from crocusrouter.pools.members import load_or_create_secret
 from crocusrouter.pools.owner import Platform
 from crocusrouter.pools.owner import PoolOwner
 from crocusrouter.pools.upkeep_controller import Upkeeping
@@ -28,6 +28,6 @@
     "StateUnknownError",
     "AcceptOutcome",
     "Upkeeping",
-    "find_secret",
+    "load_or_create_secret",
     "log_refusal",
 ]
--- a/crocusrouter/pools/members.py
+++ b/crocusrouter/pools/members.py
@@ -111,7 +111,7 @@
         await self._store.write((), (), (key,))
 
 
-async def find_secret(store: port.KeyValueStore) -> str:
+async def load_or_create_secret(store: port.KeyValueStore) -> str:
     """Return the secret that all entries share; create it if missing.
 
     Raises:
