--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -116,10 +116,10 @@
     return lambda: platform.PlatformPolicy(address)
 
 
-def _find_upkeeping(address: str) -> pools.Upkeeping | None:
+def _find_upkeeping(address: str) -> pools.UpkeepPlatform | None:
     if not address:
         return None
-    return pools.Upkeeping(
+    return pools.UpkeepPlatform(
         platform.WAVES_PREFIX,
         platform.parse_wave,
         lambda: platform.PlatformVms(address),
--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -13,7 +13,7 @@
 from crocusrouter.pools.members import load_or_create_secret
 from crocusrouter.pools.owner import Platform
 from crocusrouter.pools.owner import PoolOwner
-from crocusrouter.pools.upkeep_controller import Upkeeping
+from crocusrouter.pools.upkeep_controller import UpkeepPlatform
 
 __all__ = [
     "ConfigBasis",
@@ -27,7 +27,7 @@
     "PoolOwner",
     "StateUnknownError",
     "AcceptOutcome",
-    "Upkeeping",
+    "UpkeepPlatform",
     "load_or_create_secret",
     "log_refusal",
 ]
--- a/crocusrouter/pools/tests/test_upkeep_controller.py
+++ b/crocusrouter/pools/tests/test_upkeep_controller.py
@@ -44,7 +44,7 @@
         is_valid=lambda: True,
     )
     waves = upkeep_controller.OpenWaves(
-        upkeep_controller.Upkeeping(
+        upkeep_controller.UpkeepPlatform(
             "op/wave/",
             lambda key, value: _WAVE,
             lambda: vms_platform,
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Upkeeping:
+class UpkeepPlatform:
     """How waves are read and carried out on the platform.
 
     Attributes:
@@ -52,7 +52,7 @@
 class OpenWaves:
     """The waves that operators requested, as known to one entry."""
 
-    def __init__(self, platform: Upkeeping | None) -> None:
+    def __init__(self, platform: UpkeepPlatform | None) -> None:
         """Start without waves.
 
         Args:
@@ -128,7 +128,7 @@
             # Allow new work on the workers that were being emptied.
             self._book.set_resting(set())
 
-    async def _run_wave_loop(self, upkeep_platform: Upkeeping) -> None:
+    async def _run_wave_loop(self, upkeep_platform: UpkeepPlatform) -> None:
         while not self._is_fenced:
             await trio.sleep(_STEP_INTERVAL_S)
             waves = [
@@ -142,7 +142,7 @@
             await self._advance_waves(waves, upkeep_platform)
 
     async def _advance_waves(
-        self, waves: list[vm_port.Wave], upkeep_platform: Upkeeping
+        self, waves: list[vm_port.Wave], upkeep_platform: UpkeepPlatform
     ) -> None:
         """Advance each wave by one step; lists the platform's VMs once."""
         vms = upkeep_platform.make_vms()
