--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -116,7 +116,7 @@
         self._observed_store = observed_store
         self._store: port.KeyValueStore = observed_store
         self._platform = platform
-        self._open_waves = upkeep_controller.OpenWaves(platform.upkeeping)
+        self._open_waves = upkeep_controller.OpenWaves(platform.upkeep_platform)
         self._owner_scopes: dict[str, trio.CancelScope] = {}
         self._holder = owner_leases.make_holder(
             identity.name, identity.mesh_address
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -76,7 +76,7 @@
     open_connection: OpenConnection
     keep_jobs_s: float = 600.0
     make_policy: Callable[[], orders.PolicyPort] | None = None
-    upkeeping: upkeep_controller.UpkeepPlatform | None = None
+    upkeep_platform: upkeep_controller.UpkeepPlatform | None = None
 
 
 class PoolOwner:
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -269,7 +269,7 @@
                 _parse_worker,
                 self._find_view(name),
                 make_policy=lambda: policies.PolicyView(self.policy),
-                upkeeping=pools.UpkeepPlatform(
+                upkeep_platform=pools.UpkeepPlatform(
                     vm_control.WAVES,
                     vm_control.parse_wave,
                     lambda: vm_control.VmsView(self.vms, name),
