--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -58,7 +58,7 @@
     """
     may_decide = await entry.refresher.ensure_current()
     config = entry.configuration.current
-    basis = entry.configuration.describe(entry.times.steady())
+    basis = entry.configuration.describe(entry.clock.steady())
     if config is None or not may_decide:
         raise refuse(RefusalReason.NOT_READY, "", entry.choose_retry_after())
     entry.metrics.note_config_age(basis.age_s or 0.0)
@@ -104,7 +104,7 @@
                 request.method,
                 request.url.path,
                 error.refusal,
-                self._entry.configuration.describe(self._entry.times.steady()),
+                self._entry.configuration.describe(self._entry.clock.steady()),
             )
             rendered = render_refusal(error.refusal)
             status = _STATUS.get(reason, rendered.status)
@@ -126,7 +126,7 @@
             call.job_id,
             call.queue,
             call.customer,
-            self._entry.times.wall(),
+            self._entry.clock.wall(),
         )
         match await self._entry.job_api.accept(job, call.basis):
             case pools.AcceptOutcome.STORED:
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -104,15 +104,15 @@
         """
         self.name = identity.name
         self.metrics = metrics
-        self.times = clock or clocks.Clock()
+        self.clock = clock or clocks.Clock()
         self.is_stopping = False
         self.secret = ""
         self.owned: dict[str, owners.PoolOwner] = {}
         self.configuration = configurations.Configuration(
-            source.key, source.parse, source.apply_s, self.times, metrics
+            source.key, source.parse, source.apply_s, self.clock, metrics
         )
         self.configuration.listeners.append(self._apply_config_to_owners)
-        observed_store = observed.ObservedStore(store, self.times.steady)
+        observed_store = observed.ObservedStore(store, self.clock.steady)
         self._observed_store = observed_store
         self._store: port.KeyValueStore = observed_store
         self._platform = platform
@@ -131,7 +131,7 @@
             or (
                 lambda name, address: mesh.PeerLink(name, address, self.secret)
             ),
-            self.times,
+            self.clock,
             self._build_heartbeat,
             self._handle_heartbeat_answer,
             self._ownership.list_names,
@@ -164,7 +164,7 @@
             lambda: bool(self.owned),
             observed_store.is_down,
             self._config_watch.restart_watch,
-            self.times,
+            self.clock,
             metrics,
         )
         self.job_api = job_api.JobApi(
@@ -172,7 +172,7 @@
             self.peers,
             self.owned,
             self._ownership.find_owner,
-            self.times,
+            self.clock,
             metrics,
         )
         self._nursery: trio.Nursery | None = None
@@ -186,7 +186,7 @@
         ended. If only this entry is affected, another entry serves the next
         try.
         """
-        now = self.times.steady()
+        now = self.clock.steady()
         outage_s = self._observed_store.measure_outage()
         if not self.peers.shares_outage(now - outage_s):
             return _MIN_RETRY_AFTER_S
@@ -195,7 +195,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether this entry may accept new callers."""
-        is_fresh = self.configuration.is_fresh(self.times.steady())
+        is_fresh = self.configuration.is_fresh(self.clock.steady())
         return is_fresh and not self.is_stopping
 
     async def run(self) -> None:
@@ -227,7 +227,7 @@
     # Peers.
 
     def _build_heartbeat(self) -> messages.Beat:
-        now = self.times.steady()
+        now = self.clock.steady()
         return messages.Beat(
             self.name,
             self.configuration.version,
@@ -275,7 +275,7 @@
         """Answer a message of another entry."""
         match message:
             case messages.Beat():
-                self.peers.note_unrequested(message, self.times.steady())
+                self.peers.note_unrequested(message, self.clock.steady())
                 self._handle_heartbeat(message)
                 return self._build_heartbeat()
             case messages.AskConfig():
@@ -327,7 +327,7 @@
             self._members.pop(key.removeprefix(keys.MEMBERS), None)
         elif key.startswith(keys.OWNERS):
             self._ownership.note_vacant(
-                key.removeprefix(keys.OWNERS), self.times.steady()
+                key.removeprefix(keys.OWNERS), self.clock.steady()
             )
 
     def _stop_replaced_owner(self, pool: str, epoch: int) -> None:
@@ -345,7 +345,7 @@
                 config = self.configuration.current
                 if config is None or not self.is_ready:
                     continue
-                now = self.times.steady()
+                now = self.clock.steady()
                 for pool_config in config.services.values():
                     if pool_config.standby or not self._may_take(
                         pool_config.name, now
@@ -356,9 +356,9 @@
 
     async def _sleep_and_measure_stall(self, duration_s: float) -> None:
         """Sleep, and report if the event loop was blocked meanwhile."""
-        due_at = self.times.steady() + duration_s
+        due_at = self.clock.steady() + duration_s
         await trio.sleep(duration_s)
-        late_s = self.times.steady() - due_at
+        late_s = self.clock.steady() - due_at
         self.metrics.note_stall(late_s)
         if late_s > _STALL_THRESHOLD_S:
             log("loop:stalled", late_s=round(late_s, 3))
@@ -372,7 +372,7 @@
     async def _own_pool(self, pool: str) -> None:
         """Own a pool until ownership is lost or released."""
         owner_lease = owner_leases.OwnerLease(
-            self._store, pool, self._holder, self.times
+            self._store, pool, self._holder, self.clock
         )
         self._owner_leases[pool] = owner_lease
         try:
@@ -402,9 +402,9 @@
             owner_lease,
             self._store,
             self._platform,
-            self.times,
+            self.clock,
             self.metrics,
-            lambda: self.peers.would_know_successor(self.times.steady()),
+            lambda: self.peers.would_know_successor(self.clock.steady()),
         )
         self._ownership.note_owner(
             owner_lease.pool, self.name, owner_lease.epoch
@@ -417,7 +417,7 @@
             self.name,
             self._store,
             pool_owner.book,
-            self.times,
+            self.clock,
             self._open_waves,
             pool_owner.wake,
         )
