--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -56,7 +56,7 @@
     Raises:
         RefusedError: Not ready, no such queue, or no such key.
     """
-    may_decide = await entry.refresher.ensure_current()
+    may_decide = await entry.config_refresher.ensure_current()
     config = entry.configuration.current
     basis = entry.configuration.describe(entry.clock.steady())
     if config is None or not may_decide:
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -157,7 +157,7 @@
             may_wait_long=True,
         )
         self._relay = relay.RelayedStore(observed_store, self.peers)
-        self.refresher = config_refresh.ConfigRefresher(
+        self.config_refresher = config_refresh.ConfigRefresher(
             self.configuration,
             observed_store.read,
             self._relay.read_by_peers,
@@ -206,7 +206,7 @@
             nursery.start_soon(self._system_watch.run)
             nursery.start_soon(self._membership.run)
             nursery.start_soon(self.peers.run)
-            nursery.start_soon(self.refresher.run)
+            nursery.start_soon(self.config_refresher.run)
             try:
                 await self._run_elections()
             finally:
