--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -107,7 +107,7 @@
         self.clock = clock or clocks.Clock()
         self.is_stopping = False
         self.secret = ""
-        self.owned: dict[str, owners.PoolOwner] = {}
+        self.pool_owners: dict[str, owners.PoolOwner] = {}
         self.configuration = configurations.Configuration(
             source.key, source.parse, source.apply_s, self.clock, metrics
         )
@@ -161,7 +161,7 @@
             self.configuration,
             observed_store.read,
             self._relay.read_by_peers,
-            lambda: bool(self.owned),
+            lambda: bool(self.pool_owners),
             observed_store.is_down,
             self._config_watch.restart_watch,
             self.clock,
@@ -170,7 +170,7 @@
         self.job_api = job_api.JobApi(
             self._relay,
             self.peers,
-            self.owned,
+            self.pool_owners,
             self._ownership.find_owner,
             self.clock,
             metrics,
@@ -221,7 +221,7 @@
         self._open_waves.apply_events(events)
 
     def _apply_config_to_owners(self, config: queues.Config) -> None:
-        for pool_owner in self.owned.values():
+        for pool_owner in self.pool_owners.values():
             pool_owner.set_config(config)
 
     # Peers.
@@ -332,7 +332,7 @@
 
     def _stop_replaced_owner(self, pool: str, epoch: int) -> None:
         """Stop scheduling a pool that another entry owns by now."""
-        pool_owner = self.owned.get(pool)
+        pool_owner = self.pool_owners.get(pool)
         if pool_owner is not None and pool_owner.epoch < epoch:
             self._owner_scopes[pool].cancel()
 
@@ -411,7 +411,7 @@
         )
         if self.configuration.current is not None:
             pool_owner.set_config(self.configuration.current)
-        self.owned[owner_lease.pool] = pool_owner
+        self.pool_owners[owner_lease.pool] = pool_owner
         pool_upkeep = upkeep_controller.UpkeepController(
             owner_lease,
             self.name,
@@ -433,7 +433,7 @@
                     nursery.start_soon(pool_upkeep.run)
                     await pool_owner.run()
         finally:
-            del self.owned[owner_lease.pool]
+            del self.pool_owners[owner_lease.pool]
             del self._owner_scopes[owner_lease.pool]
             if self._ownership.find_owner(owner_lease.pool) == self.name:
                 self._ownership.forget_owner(owner_lease.pool)
@@ -443,12 +443,12 @@
         """Release every pool to other entries; part of a planned stop."""
         self.is_stopping = True
         async with trio.open_nursery() as nursery:
-            for pool in list(self.owned):
+            for pool in list(self.pool_owners):
                 nursery.start_soon(self._release_pool, pool)
         await self._membership.leave()
 
     async def _release_pool(self, pool: str) -> None:
-        await self.owned[pool].drain(_DRAIN_TIMEOUT_S)
+        await self.pool_owners[pool].drain(_DRAIN_TIMEOUT_S)
         owner_lease = self._owner_leases.get(pool)
         owner_scope = self._owner_scopes.get(pool)
         if owner_lease is not None and owner_scope is not None:
--- a/crocusrouter/pools/tests/test_known_workers.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -70,7 +70,9 @@
         for name in cluster.workers:
             cluster.list_worker(name)
         await trio.sleep(3.0)
-        pool_owner = cluster.entries[cluster.find_owner()].owned[clusters.POOL]
+        pool_owner = cluster.entries[cluster.find_owner()].pool_owners[
+            clusters.POOL
+        ]
         now = trio.current_time()
         usable = [
             state.may_take(now) for state in pool_owner.book.workers.values()
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -316,7 +316,7 @@
     def find_owner(self) -> str | None:
         """Return the entry that owns the pool."""
         for name, entry in self.entries.items():
-            if POOL in entry.owned:
+            if POOL in entry.pool_owners:
                 return name
         return None
 
