--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -147,7 +147,7 @@
         )
         self._is_draining = False
         self._worker_list = worker_listing.WorkerList(
-            worker_listing.Source(
+            worker_listing.ListSource(
                 platform.workers_prefix, platform.parse_worker
             ),
             store,
--- a/crocusrouter/pools/tests/test_worker_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -54,7 +54,7 @@
 def _open_list(store, book=None):
     metrics = Metrics()
     worker_list = worker_listing.WorkerList(
-        worker_listing.Source("listed/", _parse),
+        worker_listing.ListSource("listed/", _parse),
         store,
         "p",
         book or work.Book(1),
@@ -173,7 +173,7 @@
     book = work.Book(1)
     unlisted = []
     worker_list = worker_listing.WorkerList(
-        worker_listing.Source(
+        worker_listing.ListSource(
             "listed/", lambda _, value: build.make_entry(value.decode())
         ),
         _EmptyStore(*events),
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Source:
+class ListSource:
     """Location and format of the list of workers.
 
     Attributes:
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        source: Source,
+        source: ListSource,
         store: port.KeyValueStore,
         pool: str,
         book: work.Book,
