--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -155,7 +155,7 @@
             self.book,
             clock,
             metrics,
-            worker_listing.Listeners(
+            worker_listing.ListListeners(
                 self._open_link, self._handle_unlisted, self.wake
             ),
         )
--- a/crocusrouter/pools/tests/test_worker_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -60,7 +60,7 @@
         book or work.Book(1),
         clocks.Clock(trio.current_time, trio.current_time),
         metrics,
-        worker_listing.Listeners(
+        worker_listing.ListListeners(
             lambda worker, address: None, lambda worker: None, lambda: None
         ),
     )
@@ -181,7 +181,7 @@
         book,
         clocks.Clock(trio.current_time, trio.current_time),
         Metrics(),
-        worker_listing.Listeners(
+        worker_listing.ListListeners(
             lambda worker, address: None, unlisted.append, lambda: None
         ),
     )
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Listeners:
+class ListListeners:
     """Callbacks for changes of the list.
 
     Attributes:
@@ -64,7 +64,7 @@
         book: work.Book,
         clock: clocks.Clock,
         metrics: Metrics,
-        listeners: Listeners,
+        listeners: ListListeners,
     ) -> None:
         """Prepare to follow the list.
 
