--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -52,7 +52,7 @@
         self._metrics = metrics
         self._on_change = on_change
         self._progress_records: dict[str, records.Record] = {}
-        self._follower = intake.Follower(
+        self._follower = intake.PrefixFollower(
             store,
             keys.JOBS,
             self._handle_events,
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -142,14 +142,14 @@
         self._membership = members.Membership(
             observed_store, identity.name, own_member
         )
-        self._config_watch = intake.Follower(
+        self._config_watch = intake.PrefixFollower(
             observed_store,
             source.prefix,
             self._handle_operator_events,
             metrics,
             may_wait_long=True,
         )
-        self._system_watch = intake.Follower(
+        self._system_watch = intake.PrefixFollower(
             observed_store,
             keys.SYSTEM,
             self._handle_system_events,
--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -33,7 +33,7 @@
 DEAF_S = 1.0
 
 
-class Follower:
+class PrefixFollower:
     """Follows the keys under a prefix and reports their changes."""
 
     def __init__(
--- a/crocusrouter/pools/tests/test_prefix_follower.py
+++ b/crocusrouter/pools/tests/test_prefix_follower.py
@@ -42,7 +42,7 @@
     """
     received_events = []
     store = _Store(answer_s)
-    follower = intake.Follower(
+    follower = intake.PrefixFollower(
         store, "a/", received_events.extend, Metrics(), may_wait_long=True
     )
     async with trio.open_nursery() as nursery:
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -88,7 +88,7 @@
         self.freshness = freshness.Freshness(
             source.prefix, clock, metrics, listeners.on_change
         )
-        self._follower = intake.Follower(
+        self._follower = intake.PrefixFollower(
             store,
             source.prefix,
             self._handle_events,
