--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -30,7 +30,7 @@
 _RETRY_DELAY_S = 0.2
 # A follower that may have missed changes has them all this long after the
 # service answers again, if it answers within a fifth of a second.
-DEAF_S = 1.0
+MAX_CATCH_UP_S = 1.0
 
 
 class PrefixFollower:
--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -136,15 +136,15 @@
     """A change is made in the middle of four seconds of trouble."""
     held = clusters.Cluster(5)
     behind_s = await _measure(held, follower, trouble, 4.0)
-    assert behind_s <= intake.DEAF_S
+    assert behind_s <= intake.MAX_CATCH_UP_S
 
 
 @pytest.mark.parametrize("for_s", [0.3, 0.8, 1.5])
 @pytest.mark.parametrize(
     ("follower", "bound_s"),
     [
-        ("jobs", intake.DEAF_S),
-        ("workers", intake.DEAF_S),
+        ("jobs", intake.MAX_CATCH_UP_S),
+        ("workers", intake.MAX_CATCH_UP_S),
         ("configuration", _TOLD_S),
         ("members", _TOLD_S),
     ],
