--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -48,7 +48,7 @@
 def _hears_job(held):
     owner = held.entries.get(held.find_owner() or "")
     return owner is not None and (
-        "00000000000000aa" in owner.owned[clusters.POOL].book.jobs
+        "00000000000000aa" in owner.pool_owners[clusters.POOL].book.jobs
     )
 
 
@@ -60,7 +60,7 @@
     owner = held.entries.get(held.find_owner() or "")
     if owner is None:
         return False
-    book = owner.owned[clusters.POOL].book
+    book = owner.pool_owners[clusters.POOL].book
     found = book.workers.get(work.map_incarnations(book).get("w1", ""))
     return found is not None and found.sealed
 
