--- a/crocusrouter/pools/tests/test_relay.py
+++ b/crocusrouter/pools/tests/test_relay.py
@@ -86,8 +86,8 @@
         job = build.make_job("0123456789abcdef", build.make_step(1))
         cluster.oracle.jobs[job.id] = job
         for name in refused_entries:
-            desk = cluster.entries[name].job_api
-            assert await desk.accept(job) is pools.AcceptOutcome.STORED
-            assert await desk.count_pending(clusters.POOL, "q") is not None
+            job_api = cluster.entries[name].job_api
+            assert await job_api.accept(job) is pools.AcceptOutcome.STORED
+            assert await job_api.count_pending(clusters.POOL, "q") is not None
         nursery.cancel_scope.cancel()
     assert cluster.find_owner() not in refused_entries
