--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -68,7 +68,7 @@
             available.
         make_policy: Opens the policy service of advised queues; None if there
             is none.
-        upkeeping: Access to waves of upkeep; None if there are none.
+        upkeep_platform: Access to waves of upkeep; None if there are none.
     """
 
     workers_prefix: str
