--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -6,8 +6,8 @@
 from crocusrouter import work
 from crocusrouter.pools import clocks
 from crocusrouter.pools import freshness
-from crocusrouter.pools import intake
 from crocusrouter.pools import keys
+from crocusrouter.pools import prefix_follower
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
@@ -52,7 +52,7 @@
         self._metrics = metrics
         self._on_change = on_change
         self._progress_records: dict[str, records.Record] = {}
-        self._follower = intake.PrefixFollower(
+        self._follower = prefix_follower.PrefixFollower(
             store,
             keys.JOBS,
             self._handle_events,
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -12,7 +12,6 @@
 from crocusrouter.pools import clocks
 from crocusrouter.pools import config_refresh
 from crocusrouter.pools import configuration as configurations
-from crocusrouter.pools import intake
 from crocusrouter.pools import job_api
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
@@ -21,6 +20,7 @@
 from crocusrouter.pools import owner_leases
 from crocusrouter.pools import ownership
 from crocusrouter.pools import peers as peer_links
+from crocusrouter.pools import prefix_follower
 from crocusrouter.pools import relay
 from crocusrouter.pools import upkeep_controller
 from crocusrouter.store import observed
@@ -142,14 +142,14 @@
         self._membership = members.Membership(
             observed_store, identity.name, own_member
         )
-        self._config_watch = intake.PrefixFollower(
+        self._config_watch = prefix_follower.PrefixFollower(
             observed_store,
             source.prefix,
             self._handle_operator_events,
             metrics,
             may_wait_long=True,
         )
-        self._system_watch = intake.PrefixFollower(
+        self._system_watch = prefix_follower.PrefixFollower(
             observed_store,
             keys.SYSTEM,
             self._handle_system_events,
--- a/crocusrouter/pools/tests/test_prefix_follower.py
+++ b/crocusrouter/pools/tests/test_prefix_follower.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from crocusrouter.pools import intake
+from crocusrouter.pools import prefix_follower
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
@@ -42,7 +42,7 @@
     """
     received_events = []
     store = _Store(answer_s)
-    follower = intake.PrefixFollower(
+    follower = prefix_follower.PrefixFollower(
         store, "a/", received_events.extend, Metrics(), may_wait_long=True
     )
     async with trio.open_nursery() as nursery:
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -6,7 +6,7 @@
 from crocusrouter import work
 from crocusrouter.pools import clocks
 from crocusrouter.pools import freshness
-from crocusrouter.pools import intake
+from crocusrouter.pools import prefix_follower
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
@@ -88,7 +88,7 @@
         self.freshness = freshness.Freshness(
             source.prefix, clock, metrics, listeners.on_change
         )
-        self._follower = intake.PrefixFollower(
+        self._follower = prefix_follower.PrefixFollower(
             store,
             source.prefix,
             self._handle_events,
--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -11,8 +11,8 @@
 
 from crocusrouter import codec
 from crocusrouter import work
-from crocusrouter.pools import intake
 from crocusrouter.pools import keys
+from crocusrouter.pools import prefix_follower
 from standins import emulator
 from standins.emulator import cluster as clusters
 from standins.emulator import faults
@@ -136,15 +136,15 @@
     """A change is made in the middle of four seconds of trouble."""
     held = clusters.Cluster(5)
     behind_s = await _measure(held, follower, trouble, 4.0)
-    assert behind_s <= intake.MAX_CATCH_UP_S
+    assert behind_s <= prefix_follower.MAX_CATCH_UP_S
 
 
 @pytest.mark.parametrize("for_s", [0.3, 0.8, 1.5])
 @pytest.mark.parametrize(
     ("follower", "bound_s"),
     [
-        ("jobs", intake.MAX_CATCH_UP_S),
-        ("workers", intake.MAX_CATCH_UP_S),
+        ("jobs", prefix_follower.MAX_CATCH_UP_S),
+        ("workers", prefix_follower.MAX_CATCH_UP_S),
         ("configuration", _TOLD_S),
         ("members", _TOLD_S),
     ],
