--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -116,10 +116,10 @@
     return lambda: platform.PlatformPolicy(address)
 
 
-def _find_upkeeping(address: str) -> pools.Upkeeping | None:
+def _find_upkeeping(address: str) -> pools.UpkeepPlatform | None:
     if not address:
         return None
-    return pools.Upkeeping(
+    return pools.UpkeepPlatform(
         platform.WAVES_PREFIX,
         platform.parse_wave,
         lambda: platform.PlatformVms(address),
@@ -142,7 +142,7 @@
 async def _find_secret(store: platform.PlatformStore) -> str:
     while True:
         try:
-            return await pools.find_secret(store)
+            return await pools.load_or_create_secret(store)
         except stores.StoreUnavailableError as error:
             log("entry:no-secret", cause=str(error))
             await trio.sleep(_RETRY_S)
--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -45,7 +45,7 @@
     queue: queues.Queue
     customer: str
     job_id: str
-    basis: pools.Basis
+    basis: pools.ConfigBasis
 
 
 async def identify(
@@ -56,9 +56,9 @@
     Raises:
         RefusedError: Not ready, no such queue, or no such key.
     """
-    may_decide = await entry.refresher.ensure_current()
+    may_decide = await entry.config_refresher.ensure_current()
     config = entry.configuration.current
-    basis = entry.configuration.describe(entry.times.steady())
+    basis = entry.configuration.describe(entry.clock.steady())
     if config is None or not may_decide:
         raise refuse(RefusalReason.NOT_READY, "", entry.choose_retry_after())
     entry.metrics.note_config_age(basis.age_s or 0.0)
@@ -100,11 +100,11 @@
         except RefusedError as error:
             reason = error.refusal.reason
             self._entry.metrics.count_refusal(reason)
-            pools.note_refusal(
+            pools.log_refusal(
                 request.method,
                 request.url.path,
                 error.refusal,
-                self._entry.configuration.describe(self._entry.times.steady()),
+                self._entry.configuration.describe(self._entry.clock.steady()),
             )
             rendered = render_refusal(error.refusal)
             status = _STATUS.get(reason, rendered.status)
@@ -126,12 +126,12 @@
             call.job_id,
             call.queue,
             call.customer,
-            self._entry.times.wall(),
+            self._entry.clock.wall(),
         )
-        match await self._entry.desk.accept(job, call.basis):
-            case pools.Stored.STORED:
+        match await self._entry.job_api.accept(job, call.basis):
+            case pools.AcceptOutcome.STORED:
                 return Rendered(200, dict(_JSON), b"{}")
-            case pools.Stored.NOT_STORED:
+            case pools.AcceptOutcome.NOT_STORED:
                 raise self._refuse(RefusalReason.STORE_UNAVAILABLE, job.id)
         raise self._refuse(RefusalReason.COMMIT_UNKNOWN, job.id)
 
@@ -142,7 +142,7 @@
             return await self._count(call)
         _check_id(call)
         try:
-            state = await self._entry.desk.find_state(
+            state = await self._entry.job_api.find_state(
                 call.queue.pool, call.job_id
             )
         except pools.StateUnknownError as error:
@@ -156,7 +156,7 @@
         )
 
     async def _count(self, call: QueueCall) -> Rendered:
-        count = await self._entry.desk.count_pending(
+        count = await self._entry.job_api.count_pending(
             call.queue.pool, call.queue.name
         )
         if count is None:
@@ -171,12 +171,12 @@
         self, request: starlette_requests.Request, call: QueueCall
     ) -> Rendered:
         _check_id(call)
-        match await self._entry.desk.cancel(call.job_id):
-            case pools.Cancelled.DONE:
+        match await self._entry.job_api.cancel(call.job_id):
+            case pools.CancelOutcome.DONE:
                 return Rendered(200, dict(_JSON), b"{}")
-            case pools.Cancelled.NO_JOB:
+            case pools.CancelOutcome.NO_JOB:
                 raise refuse(RefusalReason.UNKNOWN_JOB, f"job {call.job_id}")
-            case pools.Cancelled.NOT_TRIED:
+            case pools.CancelOutcome.NOT_TRIED:
                 raise self._refuse(RefusalReason.STORE_UNAVAILABLE, call.job_id)
         raise self._refuse(RefusalReason.COMMIT_UNKNOWN, call.job_id)
 
--- a/crocusrouter/pools/__init__.py
+++ b/crocusrouter/pools/__init__.py
@@ -1,33 +1,33 @@
 """Pools of workers: ownership, scheduling, journal and job calls."""
 
 from crocusrouter.pools.clocks import Clock
-from crocusrouter.pools.configuration import Basis
+from crocusrouter.pools.configuration import ConfigBasis
 from crocusrouter.pools.entry import ConfigSource
 from crocusrouter.pools.entry import Identity
 from crocusrouter.pools.entry import PoolEntry
-from crocusrouter.pools.job_api import Cancelled
-from crocusrouter.pools.job_api import Desk
+from crocusrouter.pools.job_api import AcceptOutcome
+from crocusrouter.pools.job_api import CancelOutcome
+from crocusrouter.pools.job_api import JobApi
 from crocusrouter.pools.job_api import StateUnknownError
-from crocusrouter.pools.job_api import Stored
-from crocusrouter.pools.job_api import note_refusal
-from crocusrouter.pools.members import find_secret
+from crocusrouter.pools.job_api import log_refusal
+from crocusrouter.pools.members import load_or_create_secret
 from crocusrouter.pools.owner import Platform
 from crocusrouter.pools.owner import PoolOwner
-from crocusrouter.pools.upkeep_controller import Upkeeping
+from crocusrouter.pools.upkeep_controller import UpkeepPlatform
 
 __all__ = [
-    "Basis",
-    "Cancelled",
+    "ConfigBasis",
+    "CancelOutcome",
     "Clock",
     "ConfigSource",
-    "Desk",
+    "JobApi",
     "Identity",
     "Platform",
     "PoolEntry",
     "PoolOwner",
     "StateUnknownError",
-    "Stored",
-    "Upkeeping",
-    "find_secret",
-    "note_refusal",
+    "AcceptOutcome",
+    "UpkeepPlatform",
+    "load_or_create_secret",
+    "log_refusal",
 ]
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -12,7 +12,6 @@
 from crocusrouter.pools import clocks
 from crocusrouter.pools import config_refresh
 from crocusrouter.pools import configuration as configurations
-from crocusrouter.pools import intake
 from crocusrouter.pools import job_api
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
@@ -21,6 +20,7 @@
 from crocusrouter.pools import owner_leases
 from crocusrouter.pools import ownership
 from crocusrouter.pools import peers as peer_links
+from crocusrouter.pools import prefix_follower
 from crocusrouter.pools import relay
 from crocusrouter.pools import upkeep_controller
 from crocusrouter.store import observed
@@ -104,19 +104,19 @@
         """
         self.name = identity.name
         self.metrics = metrics
-        self.times = clock or clocks.Clock()
+        self.clock = clock or clocks.Clock()
         self.is_stopping = False
         self.secret = ""
-        self.owned: dict[str, owners.PoolOwner] = {}
+        self.pool_owners: dict[str, owners.PoolOwner] = {}
         self.configuration = configurations.Configuration(
-            source.key, source.parse, source.apply_s, self.times, metrics
+            source.key, source.parse, source.apply_s, self.clock, metrics
         )
         self.configuration.listeners.append(self._apply_config_to_owners)
-        observed_store = observed.ObservedStore(store, self.times.steady)
+        observed_store = observed.ObservedStore(store, self.clock.steady)
         self._observed_store = observed_store
         self._store: port.KeyValueStore = observed_store
         self._platform = platform
-        self._open_waves = upkeep_controller.OpenWaves(platform.upkeeping)
+        self._open_waves = upkeep_controller.OpenWaves(platform.upkeep_platform)
         self._owner_scopes: dict[str, trio.CancelScope] = {}
         self._holder = owner_leases.make_holder(
             identity.name, identity.mesh_address
@@ -131,7 +131,7 @@
             or (
                 lambda name, address: mesh.PeerLink(name, address, self.secret)
             ),
-            self.times,
+            self.clock,
             self._build_heartbeat,
             self._handle_heartbeat_answer,
             self._ownership.list_names,
@@ -142,14 +142,14 @@
         self._membership = members.Membership(
             observed_store, identity.name, own_member
         )
-        self._config_watch = intake.Follower(
+        self._config_watch = prefix_follower.PrefixFollower(
             observed_store,
             source.prefix,
             self._handle_operator_events,
             metrics,
             may_wait_long=True,
         )
-        self._system_watch = intake.Follower(
+        self._system_watch = prefix_follower.PrefixFollower(
             observed_store,
             keys.SYSTEM,
             self._handle_system_events,
@@ -157,22 +157,22 @@
             may_wait_long=True,
         )
         self._relay = relay.RelayedStore(observed_store, self.peers)
-        self.refresher = config_refresh.ConfigRefresher(
+        self.config_refresher = config_refresh.ConfigRefresher(
             self.configuration,
             observed_store.read,
             self._relay.read_by_peers,
-            lambda: bool(self.owned),
+            lambda: bool(self.pool_owners),
             observed_store.is_down,
             self._config_watch.restart_watch,
-            self.times,
+            self.clock,
             metrics,
         )
-        self.desk = job_api.Desk(
+        self.job_api = job_api.JobApi(
             self._relay,
             self.peers,
-            self.owned,
+            self.pool_owners,
             self._ownership.find_owner,
-            self.times,
+            self.clock,
             metrics,
         )
         self._nursery: trio.Nursery | None = None
@@ -186,7 +186,7 @@
         ended. If only this entry is affected, another entry serves the next
         try.
         """
-        now = self.times.steady()
+        now = self.clock.steady()
         outage_s = self._observed_store.measure_outage()
         if not self.peers.shares_outage(now - outage_s):
             return _MIN_RETRY_AFTER_S
@@ -195,7 +195,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether this entry may accept new callers."""
-        is_fresh = self.configuration.is_fresh(self.times.steady())
+        is_fresh = self.configuration.is_fresh(self.clock.steady())
         return is_fresh and not self.is_stopping
 
     async def run(self) -> None:
@@ -206,7 +206,7 @@
             nursery.start_soon(self._system_watch.run)
             nursery.start_soon(self._membership.run)
             nursery.start_soon(self.peers.run)
-            nursery.start_soon(self.refresher.run)
+            nursery.start_soon(self.config_refresher.run)
             try:
                 await self._run_elections()
             finally:
@@ -221,13 +221,13 @@
         self._open_waves.apply_events(events)
 
     def _apply_config_to_owners(self, config: queues.Config) -> None:
-        for pool_owner in self.owned.values():
+        for pool_owner in self.pool_owners.values():
             pool_owner.set_config(config)
 
     # Peers.
 
     def _build_heartbeat(self) -> messages.Beat:
-        now = self.times.steady()
+        now = self.clock.steady()
         return messages.Beat(
             self.name,
             self.configuration.version,
@@ -275,18 +275,18 @@
         """Answer a message of another entry."""
         match message:
             case messages.Beat():
-                self.peers.note_unrequested(message, self.times.steady())
+                self.peers.note_unrequested(message, self.clock.steady())
                 self._handle_heartbeat(message)
                 return self._build_heartbeat()
             case messages.AskConfig():
                 return messages.ConfigReply(self.configuration.document)
             case messages.FindState(pool, job):
                 return messages.StateReply(
-                    self.desk.find_local_state(pool, job)
+                    self.job_api.find_local_state(pool, job)
                 )
             case messages.CountPending(pool, queue):
                 return messages.PendingReply(
-                    self.desk.count_local_pending(pool, queue)
+                    self.job_api.count_local_pending(pool, queue)
                 )
             case messages.RelayRead():
                 return await self._relay.answer_read(message)
@@ -327,12 +327,12 @@
             self._members.pop(key.removeprefix(keys.MEMBERS), None)
         elif key.startswith(keys.OWNERS):
             self._ownership.note_vacant(
-                key.removeprefix(keys.OWNERS), self.times.steady()
+                key.removeprefix(keys.OWNERS), self.clock.steady()
             )
 
     def _stop_replaced_owner(self, pool: str, epoch: int) -> None:
         """Stop scheduling a pool that another entry owns by now."""
-        pool_owner = self.owned.get(pool)
+        pool_owner = self.pool_owners.get(pool)
         if pool_owner is not None and pool_owner.epoch < epoch:
             self._owner_scopes[pool].cancel()
 
@@ -345,7 +345,7 @@
                 config = self.configuration.current
                 if config is None or not self.is_ready:
                     continue
-                now = self.times.steady()
+                now = self.clock.steady()
                 for pool_config in config.services.values():
                     if pool_config.standby or not self._may_take(
                         pool_config.name, now
@@ -356,9 +356,9 @@
 
     async def _sleep_and_measure_stall(self, duration_s: float) -> None:
         """Sleep, and report if the event loop was blocked meanwhile."""
-        due_at = self.times.steady() + duration_s
+        due_at = self.clock.steady() + duration_s
         await trio.sleep(duration_s)
-        late_s = self.times.steady() - due_at
+        late_s = self.clock.steady() - due_at
         self.metrics.note_stall(late_s)
         if late_s > _STALL_THRESHOLD_S:
             log("loop:stalled", late_s=round(late_s, 3))
@@ -372,7 +372,7 @@
     async def _own_pool(self, pool: str) -> None:
         """Own a pool until ownership is lost or released."""
         owner_lease = owner_leases.OwnerLease(
-            self._store, pool, self._holder, self.times
+            self._store, pool, self._holder, self.clock
         )
         self._owner_leases[pool] = owner_lease
         try:
@@ -402,22 +402,22 @@
             owner_lease,
             self._store,
             self._platform,
-            self.times,
+            self.clock,
             self.metrics,
-            lambda: self.peers.would_know_successor(self.times.steady()),
+            lambda: self.peers.would_know_successor(self.clock.steady()),
         )
         self._ownership.note_owner(
             owner_lease.pool, self.name, owner_lease.epoch
         )
         if self.configuration.current is not None:
             pool_owner.set_config(self.configuration.current)
-        self.owned[owner_lease.pool] = pool_owner
+        self.pool_owners[owner_lease.pool] = pool_owner
         pool_upkeep = upkeep_controller.UpkeepController(
             owner_lease,
             self.name,
             self._store,
             pool_owner.book,
-            self.times,
+            self.clock,
             self._open_waves,
             pool_owner.wake,
         )
@@ -433,7 +433,7 @@
                     nursery.start_soon(pool_upkeep.run)
                     await pool_owner.run()
         finally:
-            del self.owned[owner_lease.pool]
+            del self.pool_owners[owner_lease.pool]
             del self._owner_scopes[owner_lease.pool]
             if self._ownership.find_owner(owner_lease.pool) == self.name:
                 self._ownership.forget_owner(owner_lease.pool)
@@ -443,12 +443,12 @@
         """Release every pool to other entries; part of a planned stop."""
         self.is_stopping = True
         async with trio.open_nursery() as nursery:
-            for pool in list(self.owned):
+            for pool in list(self.pool_owners):
                 nursery.start_soon(self._release_pool, pool)
         await self._membership.leave()
 
     async def _release_pool(self, pool: str) -> None:
-        await self.owned[pool].drain(_DRAIN_TIMEOUT_S)
+        await self.pool_owners[pool].drain(_DRAIN_TIMEOUT_S)
         owner_lease = self._owner_leases.get(pool)
         owner_scope = self._owner_scopes.get(pool)
         if owner_lease is not None and owner_scope is not None:
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -22,7 +22,7 @@
 _MAX_CANCEL_TRIES = 3
 
 
-class Stored(enum.StrEnum):
+class AcceptOutcome(enum.StrEnum):
     """Whether a job is stored."""
 
     STORED = "stored"
@@ -30,7 +30,7 @@
     UNKNOWN = "unknown"
 
 
-class Cancelled(enum.Enum):
+class CancelOutcome(enum.Enum):
     """Outcome of a cancel request."""
 
     DONE = "done"
@@ -43,24 +43,24 @@
     """Neither the owner nor the store could be asked."""
 
 
-def _classify_outcome(outcome: port.WriteOutcome) -> Stored:
+def _classify_outcome(outcome: port.WriteOutcome) -> AcceptOutcome:
     """Return what the write of a job says about whether it is stored.
 
     The write requires that the key does not exist, so a mismatch means that an
     earlier try has stored the job.
     """
     if isinstance(outcome, port.Written | port.Mismatched):
-        return Stored.STORED
+        return AcceptOutcome.STORED
     if isinstance(outcome, port.NotWritten):
-        return Stored.NOT_STORED
-    return Stored.UNKNOWN
+        return AcceptOutcome.NOT_STORED
+    return AcceptOutcome.UNKNOWN
 
 
-def note_refusal(
+def log_refusal(
     method: str,
     path: str,
     refusal: Refusal,
-    basis: configurations.Basis,
+    basis: configurations.ConfigBasis,
 ) -> None:
     """Log a refusal with its reason and the job's path.
 
@@ -81,7 +81,7 @@
     )
 
 
-class Desk:
+class JobApi:
     """Serves the job requests of one entry's callers."""
 
     def __init__(
@@ -103,8 +103,8 @@
     # Acceptance.
 
     async def accept(
-        self, job: work.Job, basis: configurations.Basis | None = None
-    ) -> Stored:
+        self, job: work.Job, basis: configurations.ConfigBasis | None = None
+    ) -> AcceptOutcome:
         """Store a job.
 
         The key must not exist before, so any number of tries by any entries
@@ -134,7 +134,7 @@
 
     # Cancelling.
 
-    async def cancel(self, job_id: str) -> Cancelled:
+    async def cancel(self, job_id: str) -> CancelOutcome:
         """Mark a job as cancelled; its owner stops it."""
         key = keys.build_job_key(job_id)
         has_tried_write = False
@@ -145,10 +145,10 @@
                 log("job:cancel", job=job_id, outcome=str(error))
                 break
             if record is None:
-                return Cancelled.NO_JOB
+                return CancelOutcome.NO_JOB
             job: work.Job = codec.unpack(work.Job, record.value)
             if job.cancelled:
-                return Cancelled.DONE
+                return CancelOutcome.DONE
             cancelled_job = dataclasses.replace(job, cancelled=True)
             has_tried_write = True
             outcome = await self._store.write(
@@ -157,8 +157,12 @@
             )
             log("job:cancel", job=job_id, outcome=type(outcome).__name__)
             if isinstance(outcome, port.Written):
-                return Cancelled.DONE
-        return Cancelled.UNKNOWN if has_tried_write else Cancelled.NOT_TRIED
+                return CancelOutcome.DONE
+        return (
+            CancelOutcome.UNKNOWN
+            if has_tried_write
+            else CancelOutcome.NOT_TRIED
+        )
 
     # State.
 
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -68,7 +68,7 @@
             available.
         make_policy: Opens the policy service of advised queues; None if there
             is none.
-        upkeeping: Access to waves of upkeep; None if there are none.
+        upkeep_platform: Access to waves of upkeep; None if there are none.
     """
 
     workers_prefix: str
@@ -76,7 +76,7 @@
     open_connection: OpenConnection
     keep_jobs_s: float = 600.0
     make_policy: Callable[[], worker_port.PolicyPort] | None = None
-    upkeeping: upkeep_controller.Upkeeping | None = None
+    upkeep_platform: upkeep_controller.UpkeepPlatform | None = None
 
 
 class PoolOwner:
@@ -147,7 +147,7 @@
         )
         self._is_draining = False
         self._worker_list = worker_listing.WorkerList(
-            worker_listing.Source(
+            worker_listing.ListSource(
                 platform.workers_prefix, platform.parse_worker
             ),
             store,
@@ -155,7 +155,7 @@
             self.book,
             clock,
             metrics,
-            worker_listing.Listeners(
+            worker_listing.ListListeners(
                 self._open_link, self._handle_unlisted, self.wake
             ),
         )
--- a/crocusrouter/pools/tests/test_relay.py
+++ b/crocusrouter/pools/tests/test_relay.py
@@ -24,7 +24,7 @@
         await trio.sleep(wait_s)
         job = build.make_job("0123456789abcdef", build.make_step(1))
         cluster.oracle.jobs[job.id] = job
-        outcome = await cluster.entries["e0"].desk.accept(job)
+        outcome = await cluster.entries["e0"].job_api.accept(job)
         await trio.sleep(8.0)
         stored = any(job.id in key for key in cluster.store.items)
         nursery.cancel_scope.cancel()
@@ -41,7 +41,7 @@
     store served all other entries.
     """
     outcome, stored = await _accept(fault, ["e0"])
-    assert outcome is pools.Stored.STORED
+    assert outcome is pools.AcceptOutcome.STORED
     assert stored
 
 
@@ -59,7 +59,7 @@
     """
     started = trio.current_time()
     outcome, stored = await _accept(fault, ["e0", "e1", "e2", "e3"], 4.5)
-    assert outcome is pools.Stored.NOT_STORED
+    assert outcome is pools.AcceptOutcome.NOT_STORED
     assert not stored
     assert trio.current_time() - started < 3.0 + 4.5 + 8.0 + 0.1
 
@@ -86,8 +86,8 @@
         job = build.make_job("0123456789abcdef", build.make_step(1))
         cluster.oracle.jobs[job.id] = job
         for name in refused_entries:
-            desk = cluster.entries[name].desk
-            assert await desk.accept(job) is pools.Stored.STORED
-            assert await desk.count_pending(clusters.POOL, "q") is not None
+            job_api = cluster.entries[name].job_api
+            assert await job_api.accept(job) is pools.AcceptOutcome.STORED
+            assert await job_api.count_pending(clusters.POOL, "q") is not None
         nursery.cancel_scope.cancel()
     assert cluster.find_owner() not in refused_entries
--- a/crocusrouter/pools/tests/test_worker_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -54,13 +54,13 @@
 def _open_list(store, book=None):
     metrics = Metrics()
     worker_list = worker_listing.WorkerList(
-        worker_listing.Source("listed/", _parse),
+        worker_listing.ListSource("listed/", _parse),
         store,
         "p",
         book or work.PoolState(1),
         clocks.Clock(trio.current_time, trio.current_time),
         metrics,
-        worker_listing.Listeners(
+        worker_listing.ListListeners(
             lambda worker, address: None, lambda worker: None, lambda: None
         ),
     )
@@ -173,7 +173,7 @@
     book = work.PoolState(1)
     unlisted = []
     worker_list = worker_listing.WorkerList(
-        worker_listing.Source(
+        worker_listing.ListSource(
             "listed/", lambda _, value: build.make_entry(value.decode())
         ),
         _EmptyStore(*events),
@@ -181,7 +181,7 @@
         book,
         clocks.Clock(trio.current_time, trio.current_time),
         Metrics(),
-        worker_listing.Listeners(
+        worker_listing.ListListeners(
             lambda worker, address: None, unlisted.append, lambda: None
         ),
     )
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -6,7 +6,7 @@
 from crocusrouter import work
 from crocusrouter.pools import clocks
 from crocusrouter.pools import freshness
-from crocusrouter.pools import intake
+from crocusrouter.pools import prefix_follower
 from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Source:
+class ListSource:
     """Location and format of the list of workers.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Listeners:
+class ListListeners:
     """Callbacks for changes of the list.
 
     Attributes:
@@ -58,13 +58,13 @@
 
     def __init__(
         self,
-        source: Source,
+        source: ListSource,
         store: port.KeyValueStore,
         pool: str,
         book: work.PoolState,
         clock: clocks.Clock,
         metrics: Metrics,
-        listeners: Listeners,
+        listeners: ListListeners,
     ) -> None:
         """Prepare to follow the list.
 
@@ -88,7 +88,7 @@
         self.freshness = freshness.Freshness(
             source.prefix, clock, metrics, listeners.on_change
         )
-        self._follower = intake.Follower(
+        self._follower = prefix_follower.PrefixFollower(
             store,
             source.prefix,
             self._handle_events,
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -284,7 +284,7 @@
                 _parse_worker_entry,
                 self._build_worker_view_opener(name),
                 make_policy=lambda: policies.PolicyView(self.policy),
-                upkeeping=pools.Upkeeping(
+                upkeep_platform=pools.UpkeepPlatform(
                     vm_control.WAVES_PREFIX,
                     vm_control.parse_wave,
                     lambda: vm_control.VmControlView(self.vms, name),
@@ -337,7 +337,7 @@
     def find_owner(self) -> str | None:
         """Return the name of the entry that owns the pool."""
         for name, entry in self.entries.items():
-            if POOL in entry.owned:
+            if POOL in entry.pool_owners:
                 return name
         return None
 
@@ -372,13 +372,13 @@
             if entry is None or not entry.is_ready:
                 await trio.sleep(0.5)
                 continue
-            outcome = await entry.desk.accept(job)
-            if outcome is pools.Stored.STORED:
+            outcome = await entry.job_api.accept(job)
+            if outcome is pools.AcceptOutcome.STORED:
                 self.oracle.accepted.add(job.id)
                 return "accepted"
-            if outcome is pools.Stored.NOT_STORED and maybe_accepted:
+            if outcome is pools.AcceptOutcome.NOT_STORED and maybe_accepted:
                 return "unknown"
-            if outcome is pools.Stored.NOT_STORED:
+            if outcome is pools.AcceptOutcome.NOT_STORED:
                 self.oracle.refused.add(job.id)
                 return "refused"
             maybe_accepted = True
@@ -389,8 +389,8 @@
         """Cancel a job through the first entry that confirms it."""
         self.oracle.asked_to_cancel.add(job_id)
         for entry in list(self.entries.values()):
-            outcome = await entry.desk.cancel(job_id)
-            if outcome is pools.Cancelled.DONE:
+            outcome = await entry.job_api.cancel(job_id)
+            if outcome is pools.CancelOutcome.DONE:
                 self.oracle.cancelled[job_id] = trio.current_time()
                 return
 
@@ -400,7 +400,7 @@
         for job_id in sorted(self.oracle.accepted):
             entry = self.random.choice(list(self.entries.values()))
             try:
-                state = await entry.desk.find_state(POOL, job_id)
+                state = await entry.job_api.find_state(POOL, job_id)
             except pools.StateUnknownError:
                 state = None
             states[job_id] = str(state) if state is not None else None
--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -11,8 +11,8 @@
 
 from crocusrouter import codec
 from crocusrouter import work
-from crocusrouter.pools import intake
 from crocusrouter.pools import keys
+from crocusrouter.pools import prefix_follower
 from standins import emulator
 from standins.emulator import cluster as clusters
 from standins.emulator import faults
@@ -48,7 +48,7 @@
 def _knows_job(cluster):
     owner = cluster.entries.get(cluster.find_owner() or "")
     return owner is not None and (
-        "00000000000000aa" in owner.owned[clusters.POOL].book.jobs
+        "00000000000000aa" in owner.pool_owners[clusters.POOL].book.jobs
     )
 
 
@@ -60,7 +60,7 @@
     owner = cluster.entries.get(cluster.find_owner() or "")
     if owner is None:
         return False
-    book = owner.owned[clusters.POOL].book
+    book = owner.pool_owners[clusters.POOL].book
     found = book.workers.get(work.map_incarnations(book).get("w1", ""))
     return found is not None and found.was_draining
 
@@ -139,15 +139,15 @@
     """A change is made in the middle of a fault of four seconds."""
     cluster = clusters.Cluster(5)
     delay_s = await _measure_delay(cluster, follower, fault, 4.0)
-    assert delay_s <= intake.DEAF_S
+    assert delay_s <= prefix_follower.MAX_CATCH_UP_S
 
 
 @pytest.mark.parametrize("duration_s", [0.3, 0.8, 1.5])
 @pytest.mark.parametrize(
     ("follower", "bound_s"),
     [
-        ("jobs", intake.DEAF_S),
-        ("workers", intake.DEAF_S),
+        ("jobs", prefix_follower.MAX_CATCH_UP_S),
+        ("workers", prefix_follower.MAX_CATCH_UP_S),
         ("configuration", _PEER_REPORT_S),
         ("members", _PEER_REPORT_S),
     ],
