--- a/bench/policy.py
+++ b/bench/policy.py
@@ -228,7 +228,7 @@
             cells.Need("", job.spec.level, job.spec.accelerators)
             for job in self._book.list_queued()
         ]
-        shapes += [need for need in state.needs if not need.pinned]
+        shapes += [need for need in state.needs if not need.claimed_members]
         if shapes:
             largest = max(shapes, key=lambda need: need.accelerators)
             self._fragments.append(measure_fragmentation(largest, state.floor))
--- a/crocusrouter/jobs/cell_bindings.py
+++ b/crocusrouter/jobs/cell_bindings.py
@@ -68,7 +68,7 @@
         return False
     claimed_masks = {
         member.worker: member.mask
-        for member in merge_allocations([demand.pinned])
+        for member in merge_allocations([demand.claimed_members])
     }
     for member in binding:
         claimed_mask = claimed_masks.pop(member.worker, 0)
@@ -91,7 +91,7 @@
     """
     claimed_masks = {
         member.worker: member.mask
-        for member in merge_allocations([demand.pinned])
+        for member in merge_allocations([demand.claimed_members])
     }
     unclaimed_members = (
         model.Member(
@@ -160,7 +160,7 @@
         result.demands, result.allocations, strict=True
     ):
         all_bindings[get_cell_key(demand)] = merge_allocations(
-            [demand.pinned, allocation]
+            [demand.claimed_members, allocation]
         )
     return all_bindings
 
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -77,12 +77,14 @@
     level: Level
     accelerators: int
     index: int = 0
-    pinned: tuple[model.Member, ...] = ()
+    claimed_members: tuple[model.Member, ...] = ()
 
     @property
     def unclaimed_count(self) -> int:
         """The number of accelerators that are not claimed."""
-        return self.accelerators - sum(member.size for member in self.pinned)
+        return self.accelerators - sum(
+            member.size for member in self.claimed_members
+        )
 
 
 Spot = tuple[model.Member, ...]
@@ -174,7 +176,7 @@
 def _build_demand_sort_key(demand: Need) -> tuple[bool, int, int, str]:
     """Build a sort key that puts the most constrained cells first."""
     return (
-        not demand.pinned,
+        not demand.claimed_members,
         _LEVEL_ORDER[demand.level],
         -demand.unclaimed_count,
         demand.customer,
@@ -255,9 +257,9 @@
 def _list_units(demand: Need, capacities: Floor) -> list[list[WorkerCapacity]]:
     """Return the units that contain all claimed workers of a cell."""
     units = group_spaces(capacities, demand.level)
-    if not demand.pinned:
+    if not demand.claimed_members:
         return units
-    claimed_workers = {member.worker for member in demand.pinned}
+    claimed_workers = {member.worker for member in demand.claimed_members}
     return [
         unit
         for unit in units
--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -115,7 +115,7 @@
 ) -> CellDemands:
     """Return the cells with one more claim on one of them."""
     return tuple(
-        dataclasses.replace(demand, pinned=demand.pinned + claim.spot)
+        dataclasses.replace(demand, pinned=demand.claimed_members + claim.spot)
         if (demand.customer, demand.index) == (customer, claim.cell)
         else demand
         for demand in demands
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -194,7 +194,7 @@
     request: PlacementRequest, context: PlacementContext, demand: cells.Need
 ) -> Placed | None:
     """Bind an unclaimed cell to a free place outside all bindings."""
-    if demand.pinned:
+    if demand.claimed_members:
         return None
     free_capacities = _exclude_reclaimable(context.capacities)
     unbound_capacities = cell_bindings.subtract_unclaimed(
