--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -90,7 +90,7 @@
             unclaimed_counts[key] -= claim.size
             claimed_parts[key] = claimed_parts.get(key, ()) + claim.spot
     claimed_demands = tuple(
-        dataclasses.replace(demand, pinned=claimed_parts[key])
+        dataclasses.replace(demand, claimed_members=claimed_parts[key])
         if key in claimed_parts
         else demand
         for demand in demands
@@ -115,7 +115,9 @@
 ) -> CellDemands:
     """Return the cells with one more claim on one of them."""
     return tuple(
-        dataclasses.replace(demand, pinned=demand.claimed_members + claim.spot)
+        dataclasses.replace(
+            demand, claimed_members=demand.claimed_members + claim.spot
+        )
         if (demand.customer, demand.index) == (customer, claim.cell)
         else demand
         for demand in demands
