--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -70,7 +70,7 @@
         level: Kind of unit that must hold the whole cell.
         accelerators: Size of the whole cell.
         index: Index of the cell among the customer's cells.
-        pinned: Claimed part of the cell, which is not reclaimable.
+        claimed_members: Claimed part of the cell, which is not reclaimable.
     """
 
     customer: str
