--- a/bench/policy.py
+++ b/bench/policy.py
@@ -225,7 +225,7 @@
         ):
             self._broken += 1
         shapes = [
-            cells.Need("", job.spec.level, job.spec.accelerators)
+            cells.CellDemand("", job.spec.level, job.spec.accelerators)
             for job in self._book.list_queued()
         ]
         shapes += [need for need in state.needs if not need.claimed_members]
@@ -234,7 +234,7 @@
             self._fragments.append(measure_fragmentation(largest, state.floor))
 
 
-def measure_fragmentation(need: cells.Need, floor: cells.Floor) -> float:
+def measure_fragmentation(need: cells.CellDemand, floor: cells.Floor) -> float:
     """Return the share of free accelerators that a shape can't use."""
     free = {name: space._replace(lent=0) for name, space in floor.items()}
     total = cells.count_free(list(free.values()))
@@ -252,7 +252,7 @@
 
 
 def _place_first(
-    need: cells.Need, floor: cells.Floor, *, tightest: bool
+    need: cells.CellDemand, floor: cells.Floor, *, tightest: bool
 ) -> cells.Spot | None:
     units = [
         unit
@@ -284,7 +284,7 @@
             shape = (job.spec.level, job.spec.accelerators)
             if shape in failed:
                 continue
-            need = cells.Need(job.customer, *shape)
+            need = cells.CellDemand(job.customer, *shape)
             spot = _place_first(need, floor, tightest=tightest)
             if spot is None:
                 failed.add(shape)
--- a/crocusrouter/jobs/admission.py
+++ b/crocusrouter/jobs/admission.py
@@ -23,7 +23,7 @@
     """
 
     data_centre: str
-    demand: cells.Need
+    demand: cells.CellDemand
     lost_part: str = ""
 
     def __str__(self) -> str:
--- a/crocusrouter/jobs/cell_bindings.py
+++ b/crocusrouter/jobs/cell_bindings.py
@@ -23,13 +23,13 @@
 CellBindings = dict[CellKey, cells.Spot]
 
 
-def get_cell_key(demand: cells.Need) -> CellKey:
+def get_cell_key(demand: cells.CellDemand) -> CellKey:
     """Return the key of a cell in `CellBindings`."""
     return (demand.customer, demand.index)
 
 
 def bind_cells(
-    demands: tuple[cells.Need, ...],
+    demands: tuple[cells.CellDemand, ...],
     capacities: cells.Floor,
     bindings: CellBindings,
 ) -> CellBindings:
@@ -61,7 +61,9 @@
 
 
 def is_binding_intact(
-    demand: cells.Need, capacities: cells.Floor, binding: cells.Spot | None
+    demand: cells.CellDemand,
+    capacities: cells.Floor,
+    binding: cells.Spot | None,
 ) -> bool:
     """Tell whether a binding still holds its whole cell."""
     if binding is None or _count_accelerators(binding) != demand.accelerators:
@@ -81,7 +83,9 @@
     return not claimed_masks
 
 
-def find_unclaimed_part(demand: cells.Need, binding: cells.Spot) -> cells.Spot:
+def find_unclaimed_part(
+    demand: cells.CellDemand, binding: cells.Spot
+) -> cells.Spot:
     """Return the accelerators of a binding that are not claimed.
 
     >>> claimed = (model.Member("w", 0b01),)
@@ -105,7 +109,7 @@
 
 def subtract_unclaimed(
     capacities: cells.Floor,
-    demands: tuple[cells.Need, ...],
+    demands: tuple[cells.CellDemand, ...],
     bindings: CellBindings,
 ) -> cells.Floor:
     """Return the capacities without the unclaimed parts of all bindings."""
@@ -138,7 +142,7 @@
 
 
 def _bind_remaining(
-    demands: tuple[cells.Need, ...],
+    demands: tuple[cells.CellDemand, ...],
     capacities: cells.Floor,
     bindings: CellBindings,
 ) -> CellBindings | None:
@@ -166,7 +170,7 @@
 
 
 def _bind_as_many_as_possible(
-    demands: tuple[cells.Need, ...],
+    demands: tuple[cells.CellDemand, ...],
     capacities: cells.Floor,
     intact_bindings: CellBindings,
 ) -> CellBindings:
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
+class CellDemand:
     """One cell that must be embedded.
 
     Attributes:
@@ -99,7 +99,7 @@
         allocations: `allocations[i]` belongs to `demands[i]`.
     """
 
-    demands: tuple[Need, ...]
+    demands: tuple[CellDemand, ...]
     allocations: tuple[Spot, ...]
 
 
@@ -111,11 +111,11 @@
         demand: The first cell for which no allocation was found.
     """
 
-    demand: Need
+    demand: CellDemand
 
 
 def embed(
-    demands: Iterable[Need], capacities: Floor
+    demands: Iterable[CellDemand], capacities: Floor
 ) -> Embedding | EmbeddingFailure:
     """Find disjoint allocations for all cells in usable accelerators.
 
@@ -148,7 +148,7 @@
     return _EmbeddingSearch(ordered, capacities).run()
 
 
-def find_allocation(demand: Need, capacities: Floor) -> Spot | None:
+def find_allocation(demand: CellDemand, capacities: Floor) -> Spot | None:
     """Return the best allocation of usable accelerators for one cell."""
     return next(_iterate_allocations(demand, capacities), None)
 
@@ -173,7 +173,7 @@
     return remaining
 
 
-def _build_demand_sort_key(demand: Need) -> tuple[bool, int, int, str]:
+def _build_demand_sort_key(demand: CellDemand) -> tuple[bool, int, int, str]:
     """Build a sort key that puts the most constrained cells first."""
     return (
         not demand.claimed_members,
@@ -186,7 +186,9 @@
 class _EmbeddingSearch:
     """Depth-first search for an embedding with a bounded number of nodes."""
 
-    def __init__(self, demands: tuple[Need, ...], capacities: Floor) -> None:
+    def __init__(
+        self, demands: tuple[CellDemand, ...], capacities: Floor
+    ) -> None:
         self._demands = demands
         self._capacities = capacities
         self._visited_nodes = 0
@@ -219,7 +221,9 @@
         return None
 
 
-def _iterate_allocations(demand: Need, capacities: Floor) -> Iterator[Spot]:
+def _iterate_allocations(
+    demand: CellDemand, capacities: Floor
+) -> Iterator[Spot]:
     """Yield allocations for a cell, tightest unit first.
 
     Of several units with the same shape, only the first is used.
@@ -254,7 +258,9 @@
             return
 
 
-def _list_units(demand: Need, capacities: Floor) -> list[list[WorkerCapacity]]:
+def _list_units(
+    demand: CellDemand, capacities: Floor
+) -> list[list[WorkerCapacity]]:
     """Return the units that contain all claimed workers of a cell."""
     units = group_spaces(capacities, demand.level)
     if not demand.claimed_members:
--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -11,7 +11,7 @@
 
 _LEVEL_WIDTH = {Level.WORKER: 0, Level.RACK: 1, Level.DATA_CENTRE: 2}
 
-CellDemands = tuple[cells.Need, ...]
+CellDemands = tuple[cells.CellDemand, ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -40,13 +40,15 @@
 
 def _iterate_customer_cells(
     catalog: Catalog, customer: str, data_centre: str
-) -> Iterator[cells.Need]:
+) -> Iterator[cells.CellDemand]:
     index = 0
     for cell in catalog.templates[customer].template.guarantee:
         if cell.data_centre != data_centre:
             continue
         for _ in range(cell.count):
-            yield cells.Need(customer, cell.level, cell.accelerators, index)
+            yield cells.CellDemand(
+                customer, cell.level, cell.accelerators, index
+            )
             index += 1
 
 
@@ -126,7 +128,7 @@
 
 def list_claimable_cells(
     demands: CellDemands, customer: str, level: Level, size: int
-) -> list[cells.Need]:
+) -> list[cells.CellDemand]:
     """Return the cells that have room for a whole job, the tightest first.
 
     A cell guarantees adjacency at its own level, so it serves jobs that ask
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -124,7 +124,9 @@
     >>> fits_in_capacity(request, capacities)
     False
     """
-    demand = cells.Need(request.customer, request.level, request.accelerators)
+    demand = cells.CellDemand(
+        request.customer, request.level, request.accelerators
+    )
     return cells.find_allocation(demand, total_capacities) is not None
 
 
@@ -178,7 +180,9 @@
 
 
 def _claim_free_part(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
 ) -> Placed | None:
     """Claim free accelerators to which the cell is bound."""
     unit = _list_unclaimed_capacities(
@@ -191,7 +195,9 @@
 
 
 def _rebind_and_claim(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
 ) -> Placed | None:
     """Bind an unclaimed cell to a free place outside all bindings."""
     if demand.claimed_members:
@@ -215,7 +221,9 @@
 
 
 def _borrow_instead(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
 ) -> Placed | None:
     """Borrow free accelerators instead of stopping another job's loan.
 
@@ -229,7 +237,9 @@
 
 
 def _claim_lent_part(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
 ) -> Placed | None:
     """Claim accelerators of the cell's binding and reclaim loans on them."""
     unit = _list_unclaimed_capacities(context, demand, include_reclaimable=True)
@@ -279,7 +289,10 @@
 
 
 def _list_unclaimed_capacities(
-    context: PlacementContext, demand: cells.Need, *, include_reclaimable: bool
+    context: PlacementContext,
+    demand: cells.CellDemand,
+    *,
+    include_reclaimable: bool,
 ) -> list[cells.WorkerCapacity]:
     """Return the capacity of the unclaimed part of a cell's binding."""
     binding = context.bindings[cell_bindings.get_cell_key(demand)]
--- a/crocusrouter/jobs/tests/test_cells.py
+++ b/crocusrouter/jobs/tests/test_cells.py
@@ -10,7 +10,7 @@
 
 
 def _build_demand(level, size, customer="c"):
-    return cells.Need(customer, Level(level), size)
+    return cells.CellDemand(customer, Level(level), size)
 
 
 @pytest.mark.parametrize(
@@ -81,7 +81,7 @@
 
 _DEMANDS = strategies.lists(
     strategies.builds(
-        cells.Need,
+        cells.CellDemand,
         strategies.sampled_from("ab"),
         strategies.sampled_from(Level),
         strategies.integers(1, 5),
