--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -128,10 +128,10 @@
     >>> capacities = {
     ...     name: WorkerCapacity(name, "r1", 0b1111) for name in ("w1", "w2")
     ... }
-    >>> rack_cell = Need("a", Level.RACK, 6)
+    >>> rack_cell = CellDemand("a", Level.RACK, 6)
     >>> embed([rack_cell], capacities).allocations
     ((Member(worker='w1', mask=15), Member(worker='w2', mask=3)),)
-    >>> worker_cell = Need("b", Level.WORKER, 4)
+    >>> worker_cell = CellDemand("b", Level.WORKER, 4)
     >>> embed([rack_cell, worker_cell], capacities).demand.customer
     'a'
 
