--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -60,7 +60,7 @@
     An edit of a template can remove or shrink a cell that is claimed. The
     claim then no longer counts, and its job runs on a loan.
 
-    >>> demand = cells.Need("a", Level.RACK, 4)
+    >>> demand = cells.CellDemand("a", Level.RACK, 4)
     >>> claim = model.CellClaim(0, (model.Member("w", 0b1),))
     >>> job_allocation = JobAllocation("dc.1", "a", claim.spot, (claim,))
     >>> claimed_demands, loans = assign_claims((demand,), [job_allocation])
