--- a/crocusrouter/jobs/admission.py
+++ b/crocusrouter/jobs/admission.py
@@ -29,7 +29,7 @@
     def __str__(self) -> str:
         """Describe the cell.
 
-        >>> demand = cells.Need("a", Level.RACK, 16)
+        >>> demand = cells.CellDemand("a", Level.RACK, 16)
         >>> str(UnsatisfiableGuarantee("liege", demand, "rack r1"))
         "a's cell of 16 in one rack of liege, after the loss of rack r1"
         """
