--- a/crocusrouter/jobs/cell_bindings.py
+++ b/crocusrouter/jobs/cell_bindings.py
@@ -89,7 +89,7 @@
     """Return the accelerators of a binding that are not claimed.
 
     >>> claimed = (model.Member("w", 0b01),)
-    >>> demand = cells.Need("a", cells.Level.RACK, 2, 0, claimed)
+    >>> demand = cells.CellDemand("a", cells.Level.RACK, 2, 0, claimed)
     >>> find_unclaimed_part(demand, (model.Member("w", 0b11),))
     (Member(worker='w', mask=2),)
     """
