--- a/bench/policy.py
+++ b/bench/policy.py
@@ -234,7 +234,9 @@
             self._fragments.append(measure_fragmentation(largest, state.floor))
 
 
-def measure_fragmentation(need: cells.CellDemand, floor: cells.Floor) -> float:
+def measure_fragmentation(
+    need: cells.CellDemand, floor: cells.Capacities
+) -> float:
     """Return the share of free accelerators that a shape can't use."""
     free = {name: space._replace(lent=0) for name, space in floor.items()}
     total = cells.count_free(list(free.values()))
@@ -252,7 +254,7 @@
 
 
 def _place_first(
-    need: cells.CellDemand, floor: cells.Floor, *, tightest: bool
+    need: cells.CellDemand, floor: cells.Capacities, *, tightest: bool
 ) -> cells.Spot | None:
     units = [
         unit
--- a/crocusrouter/jobs/admission.py
+++ b/crocusrouter/jobs/admission.py
@@ -102,7 +102,7 @@
 
 
 def _iterate_losses(
-    catalog: Catalog, capacities: cells.Floor
+    catalog: Catalog, capacities: cells.Capacities
 ) -> Iterator[tuple[str, set[str], set[str]]]:
     """Yield the losses that guarantees must survive, "no loss" first.
 
--- a/crocusrouter/jobs/backfill.py
+++ b/crocusrouter/jobs/backfill.py
@@ -36,7 +36,7 @@
 
 def reserve_unit(
     request: placement.PlacementRequest,
-    capacities: cells.Floor,
+    capacities: cells.Capacities,
     expected_ends: ExpectedEnds,
     now: float,
 ) -> Reservation | None:
@@ -95,9 +95,9 @@
 
 def exclude_reserved_unit(
     reservation: Reservation | None,
-    capacities: cells.Floor,
+    capacities: cells.Capacities,
     job_ends_at: float,
-) -> cells.Floor:
+) -> cells.Capacities:
     """Return the capacities that a job with this expected end may use."""
     if reservation is None or job_ends_at <= reservation.starts_at:
         return capacities
--- a/crocusrouter/jobs/cell_bindings.py
+++ b/crocusrouter/jobs/cell_bindings.py
@@ -30,7 +30,7 @@
 
 def bind_cells(
     demands: tuple[cells.CellDemand, ...],
-    capacities: cells.Floor,
+    capacities: cells.Capacities,
     bindings: CellBindings,
 ) -> CellBindings:
     """Bind all cells; bindings that are intact stay.
@@ -62,7 +62,7 @@
 
 def is_binding_intact(
     demand: cells.CellDemand,
-    capacities: cells.Floor,
+    capacities: cells.Capacities,
     binding: cells.Spot | None,
 ) -> bool:
     """Tell whether a binding still holds its whole cell."""
@@ -108,10 +108,10 @@
 
 
 def subtract_unclaimed(
-    capacities: cells.Floor,
+    capacities: cells.Capacities,
     demands: tuple[cells.CellDemand, ...],
     bindings: CellBindings,
-) -> cells.Floor:
+) -> cells.Capacities:
     """Return the capacities without the unclaimed parts of all bindings."""
     return cells.subtract_allocations(
         capacities,
@@ -143,7 +143,7 @@
 
 def _bind_remaining(
     demands: tuple[cells.CellDemand, ...],
-    capacities: cells.Floor,
+    capacities: cells.Capacities,
     bindings: CellBindings,
 ) -> CellBindings | None:
     """Bind all unbound cells around the given bindings, or return None."""
@@ -171,7 +171,7 @@
 
 def _bind_as_many_as_possible(
     demands: tuple[cells.CellDemand, ...],
-    capacities: cells.Floor,
+    capacities: cells.Capacities,
     intact_bindings: CellBindings,
 ) -> CellBindings:
     """Bind cells in order while workers are missing."""
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -56,7 +56,7 @@
 
 
 # Capacities of the workers of one data centre, by worker name.
-Floor = dict[str, WorkerCapacity]
+Capacities = dict[str, WorkerCapacity]
 # Usable and free counts of each worker of a unit, sorted.
 _UnitShape = tuple[tuple[int, int], ...]
 
@@ -115,7 +115,7 @@
 
 
 def embed(
-    demands: Iterable[CellDemand], capacities: Floor
+    demands: Iterable[CellDemand], capacities: Capacities
 ) -> Embedding | EmbeddingFailure:
     """Find disjoint allocations for all cells in usable accelerators.
 
@@ -148,19 +148,19 @@
     return _EmbeddingSearch(ordered, capacities).run()
 
 
-def find_allocation(demand: CellDemand, capacities: Floor) -> Spot | None:
+def find_allocation(demand: CellDemand, capacities: Capacities) -> Spot | None:
     """Return the best allocation of usable accelerators for one cell."""
     return next(_iterate_allocations(demand, capacities), None)
 
 
-def remove_spot(capacities: Floor, allocation: Spot) -> Floor:
+def remove_spot(capacities: Capacities, allocation: Spot) -> Capacities:
     """Return the capacities without the accelerators of an allocation."""
     return subtract_allocations(capacities, (allocation,))
 
 
 def subtract_allocations(
-    capacities: Floor, allocations: Iterable[Spot]
-) -> Floor:
+    capacities: Capacities, allocations: Iterable[Spot]
+) -> Capacities:
     """Return the capacities without the accelerators of all allocations."""
     remaining = dict(capacities)
     for allocation in allocations:
@@ -187,7 +187,7 @@
     """Depth-first search for an embedding with a bounded number of nodes."""
 
     def __init__(
-        self, demands: tuple[CellDemand, ...], capacities: Floor
+        self, demands: tuple[CellDemand, ...], capacities: Capacities
     ) -> None:
         self._demands = demands
         self._capacities = capacities
@@ -201,7 +201,7 @@
         return Embedding(self._demands, spots)
 
     def _place_from(
-        self, index: int, capacities: Floor
+        self, index: int, capacities: Capacities
     ) -> tuple[Spot, ...] | None:
         """Place the cells from `index` on, or return None."""
         if index == len(self._demands):
@@ -222,7 +222,7 @@
 
 
 def _iterate_allocations(
-    demand: CellDemand, capacities: Floor
+    demand: CellDemand, capacities: Capacities
 ) -> Iterator[Spot]:
     """Yield allocations for a cell, tightest unit first.
 
@@ -259,7 +259,7 @@
 
 
 def _list_units(
-    demand: CellDemand, capacities: Floor
+    demand: CellDemand, capacities: Capacities
 ) -> list[list[WorkerCapacity]]:
     """Return the units that contain all claimed workers of a cell."""
     units = group_spaces(capacities, demand.level)
@@ -273,7 +273,9 @@
     ]
 
 
-def group_spaces(capacities: Floor, level: Level) -> list[list[WorkerCapacity]]:
+def group_spaces(
+    capacities: Capacities, level: Level
+) -> list[list[WorkerCapacity]]:
     """Group the worker capacities into the units of one level."""
     if level is Level.WORKER:
         return [[capacity] for capacity in capacities.values()]
@@ -301,7 +303,9 @@
     return (broken, count_usable(unit) - size)
 
 
-def _describe_racks(capacities: Floor) -> dict[str, tuple[int, _UnitShape]]:
+def _describe_racks(
+    capacities: Capacities,
+) -> dict[str, tuple[int, _UnitShape]]:
     """Return the usable count and the shape of each rack."""
     racks = group_spaces(capacities, Level.RACK)
     return {
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -76,7 +76,7 @@
         loans: Allocations of jobs that run beyond a guarantee.
     """
 
-    capacities: cells.Floor
+    capacities: cells.Capacities
     demands: claims.CellDemands = ()
     bindings: cell_bindings.CellBindings = dataclasses.field(
         default_factory=dict
@@ -115,7 +115,7 @@
 
 
 def fits_in_capacity(
-    request: PlacementRequest, total_capacities: cells.Floor
+    request: PlacementRequest, total_capacities: cells.Capacities
 ) -> bool:
     """Tell whether the job would fit if nothing else ran.
 
@@ -307,7 +307,7 @@
 
 
 def _restrict_to_allocation(
-    allocation: cells.Spot, capacities: cells.Floor
+    allocation: cells.Spot, capacities: cells.Capacities
 ) -> list[cells.WorkerCapacity]:
     """Return the capacities of the accelerators of an allocation."""
     return [
@@ -336,7 +336,7 @@
     )
 
 
-def _exclude_reclaimable(capacities: cells.Floor) -> cells.Floor:
+def _exclude_reclaimable(capacities: cells.Capacities) -> cells.Capacities:
     """Return the capacities with their free accelerators only."""
     return {
         name: cells.WorkerCapacity(name, capacity.rack, capacity.free_mask)
@@ -345,7 +345,7 @@
 
 
 def _iterate_allocations(
-    request: PlacementRequest, capacities: cells.Floor
+    request: PlacementRequest, capacities: cells.Capacities
 ) -> Iterator[cells.Spot]:
     """Yield allocations for a job, those that fragment least first."""
     units = [
@@ -371,7 +371,7 @@
         yield cells.fill_unit(unit, request.accelerators)
 
 
-def _count_usable_by_rack(capacities: cells.Floor) -> dict[str, int]:
+def _count_usable_by_rack(capacities: cells.Capacities) -> dict[str, int]:
     racks = cells.group_spaces(capacities, Level.RACK)
     return {unit[0].rack: cells.count_usable(unit) for unit in racks}
 
@@ -393,7 +393,7 @@
 
 
 def _describe_shortage(
-    request: PlacementRequest, free_capacities: cells.Floor
+    request: PlacementRequest, free_capacities: cells.Capacities
 ) -> str:
     units = cells.group_spaces(free_capacities, request.level)
     largest = max(map(cells.count_usable, units), default=0)
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -33,7 +33,7 @@
         valid_until: When the next worker leaves quarantine, as Unix time.
     """
 
-    floor: cells.Floor
+    floor: cells.Capacities
     needs: claims.CellDemands
     bindings: cell_bindings.CellBindings
     loans: tuple[claims.JobAllocation, ...]
@@ -201,7 +201,7 @@
     scheduler_state: Book,
     now: float,
     loans: Iterable[claims.JobAllocation] = (),
-) -> cells.Floor:
+) -> cells.Capacities:
     """Return the capacities of the workers that can be used now.
 
     Accelerators that only ending attempts hold count as reclaimable: a claim
