--- a/bench/policy.py
+++ b/bench/policy.py
@@ -255,7 +255,7 @@
 
 def _place_first(
     need: cells.CellDemand, floor: cells.Capacities, *, tightest: bool
-) -> cells.Spot | None:
+) -> cells.Allocation | None:
     units = [
         unit
         for unit in cells.group_spaces(floor, need.level)
--- a/crocusrouter/jobs/cell_bindings.py
+++ b/crocusrouter/jobs/cell_bindings.py
@@ -20,7 +20,7 @@
 
 # Customer and index of a cell.
 CellKey = tuple[str, int]
-CellBindings = dict[CellKey, cells.Spot]
+CellBindings = dict[CellKey, cells.Allocation]
 
 
 def get_cell_key(demand: cells.CellDemand) -> CellKey:
@@ -63,7 +63,7 @@
 def is_binding_intact(
     demand: cells.CellDemand,
     capacities: cells.Capacities,
-    binding: cells.Spot | None,
+    binding: cells.Allocation | None,
 ) -> bool:
     """Tell whether a binding still holds its whole cell."""
     if binding is None or _count_accelerators(binding) != demand.accelerators:
@@ -84,8 +84,8 @@
 
 
 def find_unclaimed_part(
-    demand: cells.CellDemand, binding: cells.Spot
-) -> cells.Spot:
+    demand: cells.CellDemand, binding: cells.Allocation
+) -> cells.Allocation:
     """Return the accelerators of a binding that are not claimed.
 
     >>> claimed = (model.Member("w", 0b01),)
@@ -124,8 +124,8 @@
 
 
 def merge_allocations(
-    allocations: "list[cells.Spot] | tuple[cells.Spot, ...]",
-) -> cells.Spot:
+    allocations: "list[cells.Allocation] | tuple[cells.Allocation, ...]",
+) -> cells.Allocation:
     """Merge allocations so that each worker has one member.
 
     >>> first, second = model.Member("w", 0b01), model.Member("w", 0b10)
@@ -195,5 +195,5 @@
     return bindings
 
 
-def _count_accelerators(allocation: cells.Spot) -> int:
+def _count_accelerators(allocation: cells.Allocation) -> int:
     return sum(member.size for member in allocation)
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -87,7 +87,7 @@
         )
 
 
-Spot = tuple[model.Member, ...]
+Allocation = tuple[model.Member, ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -100,7 +100,7 @@
     """
 
     demands: tuple[CellDemand, ...]
-    allocations: tuple[Spot, ...]
+    allocations: tuple[Allocation, ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -148,18 +148,20 @@
     return _EmbeddingSearch(ordered, capacities).run()
 
 
-def find_allocation(demand: CellDemand, capacities: Capacities) -> Spot | None:
+def find_allocation(
+    demand: CellDemand, capacities: Capacities
+) -> Allocation | None:
     """Return the best allocation of usable accelerators for one cell."""
     return next(_iterate_allocations(demand, capacities), None)
 
 
-def remove_spot(capacities: Capacities, allocation: Spot) -> Capacities:
+def remove_spot(capacities: Capacities, allocation: Allocation) -> Capacities:
     """Return the capacities without the accelerators of an allocation."""
     return subtract_allocations(capacities, (allocation,))
 
 
 def subtract_allocations(
-    capacities: Capacities, allocations: Iterable[Spot]
+    capacities: Capacities, allocations: Iterable[Allocation]
 ) -> Capacities:
     """Return the capacities without the accelerators of all allocations."""
     remaining = dict(capacities)
@@ -202,7 +204,7 @@
 
     def _place_from(
         self, index: int, capacities: Capacities
-    ) -> tuple[Spot, ...] | None:
+    ) -> tuple[Allocation, ...] | None:
         """Place the cells from `index` on, or return None."""
         if index == len(self._demands):
             return ()
@@ -223,7 +225,7 @@
 
 def _iterate_allocations(
     demand: CellDemand, capacities: Capacities
-) -> Iterator[Spot]:
+) -> Iterator[Allocation]:
     """Yield allocations for a cell, tightest unit first.
 
     Of several units with the same shape, only the first is used.
@@ -326,7 +328,7 @@
     )
 
 
-def fill_unit(unit: Sequence[WorkerCapacity], size: int) -> Spot:
+def fill_unit(unit: Sequence[WorkerCapacity], size: int) -> Allocation:
     """Allocate `size` accelerators of a unit on as few workers as possible.
 
     Workers that are used completely come first, the largest first. The rest
--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -20,7 +20,7 @@
 
     job_id: str
     customer: str
-    allocation: cells.Spot
+    allocation: cells.Allocation
     claims: tuple[model.CellClaim, ...] = ()
 
     @property
@@ -79,7 +79,7 @@
         (demand.customer, demand.index): demand.accelerators
         for demand in demands
     }
-    claimed_parts: dict[tuple[str, int], cells.Spot] = {}
+    claimed_parts: dict[tuple[str, int], cells.Allocation] = {}
     loans = []
     for job_allocation in job_allocations:
         if not job_allocation.claims or not _is_covered(
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -51,10 +51,10 @@
             another place.
     """
 
-    allocation: cells.Spot
+    allocation: cells.Allocation
     claims: tuple[model.CellClaim, ...] = ()
     victims: tuple[str, ...] = ()
-    new_binding: tuple[cell_bindings.CellKey, cells.Spot] | None = None
+    new_binding: tuple[cell_bindings.CellKey, cells.Allocation] | None = None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -307,7 +307,7 @@
 
 
 def _restrict_to_allocation(
-    allocation: cells.Spot, capacities: cells.Capacities
+    allocation: cells.Allocation, capacities: cells.Capacities
 ) -> list[cells.WorkerCapacity]:
     """Return the capacities of the accelerators of an allocation."""
     return [
@@ -322,7 +322,7 @@
 
 
 def find_victims(
-    allocation: cells.Spot, loans: Iterable[claims.JobAllocation]
+    allocation: cells.Allocation, loans: Iterable[claims.JobAllocation]
 ) -> tuple[str, ...]:
     """Return the ids of the jobs whose loans overlap an allocation."""
     masks = {member.worker: member.mask for member in allocation}
@@ -346,7 +346,7 @@
 
 def _iterate_allocations(
     request: PlacementRequest, capacities: cells.Capacities
-) -> Iterator[cells.Spot]:
+) -> Iterator[cells.Allocation]:
     """Yield allocations for a job, those that fragment least first."""
     units = [
         unit
