--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -47,12 +47,12 @@
     worker: str
     rack: str
     free_mask: int
-    lent: int = 0
+    reclaimable_mask: int = 0
 
     @property
     def usable_mask(self) -> int:
         """Accelerators that a guarantee can count on: free or reclaimable."""
-        return self.free_mask | self.lent
+        return self.free_mask | self.reclaimable_mask
 
 
 # Capacities of the workers of one data centre, by worker name.
@@ -389,7 +389,7 @@
     '0b101'
     """
     selected_mask = 0
-    for available_mask in (capacity.free_mask, capacity.lent):
+    for available_mask in (capacity.free_mask, capacity.reclaimable_mask):
         while available_mask and selected_mask.bit_count() < size:
             lowest_bit = available_mask & -available_mask
             selected_mask |= lowest_bit
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -315,7 +315,7 @@
             member.worker,
             capacities[member.worker].rack,
             capacities[member.worker].free_mask & member.mask,
-            capacities[member.worker].lent & member.mask,
+            capacities[member.worker].reclaimable_mask & member.mask,
         )
         for member in allocation
     ]
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -173,7 +173,7 @@
     for member in decision.allocation:
         capacity = capacities[member.worker]
         capacities[member.worker] = capacity._replace(
-            lent=capacity.lent | member.mask
+            lent=capacity.reclaimable_mask | member.mask
         )
     loan = claims.JobAllocation(job.id, job.customer, decision.allocation)
     return dataclasses.replace(
--- a/crocusrouter/jobs/tests/test_cells.py
+++ b/crocusrouter/jobs/tests/test_cells.py
@@ -113,6 +113,8 @@
 
 def test_free_accelerators_are_used_before_reclaimable_ones():
     capacities = build.build_capacities(0x0F, 0xFF)
-    capacities["w0"] = cells.WorkerCapacity("w0", "r0", free_mask=0, lent=0xFF)
+    capacities["w0"] = cells.WorkerCapacity(
+        "w0", "r0", free_mask=0, reclaimable_mask=0xFF
+    )
     allocation = cells.find_allocation(_build_demand("worker", 8), capacities)
     assert [m.worker for m in allocation] == ["w1"]
