--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -173,7 +173,7 @@
     for member in decision.allocation:
         capacity = capacities[member.worker]
         capacities[member.worker] = capacity._replace(
-            lent=capacity.reclaimable_mask | member.mask
+            reclaimable_mask=capacity.reclaimable_mask | member.mask
         )
     loan = claims.JobAllocation(job.id, job.customer, decision.allocation)
     return dataclasses.replace(
@@ -291,7 +291,7 @@
         # Workers on which the job failed offer no accelerators to it. They
         # stay in the mapping, because cells may be bound there.
         capacities = {
-            name: capacity._replace(free_mask=0, lent=0)
+            name: capacity._replace(free_mask=0, reclaimable_mask=0)
             if name in job.failed_on
             else capacity
             for name, capacity in capacities.items()
