--- a/bench/policy.py
+++ b/bench/policy.py
@@ -238,7 +238,10 @@
     need: cells.CellDemand, floor: cells.Capacities
 ) -> float:
     """Return the share of free accelerators that a shape can't use."""
-    free = {name: space._replace(lent=0) for name, space in floor.items()}
+    free = {
+        name: space._replace(reclaimable_mask=0)
+        for name, space in floor.items()
+    }
     total = cells.count_free(list(free.values()))
     if not total:
         return 0.0
@@ -275,7 +278,7 @@
     def schedule(book: books.Book, now: float) -> jobs.Effects:
         effects = jobs.Effects()
         floor = {
-            name: space._replace(lent=0)
+            name: space._replace(reclaimable_mask=0)
             for name, space in scheduler.build_floor(book, now).items()
         }
         failed: set[tuple[Level, int]] = set()
