--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -40,7 +40,7 @@
         worker: The worker's name.
         rack: The rack of the worker.
         free_mask: Accelerators that nobody uses.
-        lent: Accelerators used beyond a guarantee; claims can
+        reclaimable_mask: Accelerators used beyond a guarantee; claims can
             take them back.
     """
 
