--- a/bench/policy.py
+++ b/bench/policy.py
@@ -246,7 +246,7 @@
     if not total:
         return 0.0
     usable = 0
-    for unit in cells.group_spaces(free, need.level):
+    for unit in cells.group_by_level(free, need.level):
         count = cells.count_free(unit)
         usable += count - count % need.accelerators
     return 1 - usable / total
@@ -261,7 +261,7 @@
 ) -> cells.Allocation | None:
     units = [
         unit
-        for unit in cells.group_spaces(floor, need.level)
+        for unit in cells.group_by_level(floor, need.level)
         if cells.count_free(unit) >= need.accelerators
     ]
     if tightest:
--- a/crocusrouter/jobs/admission.py
+++ b/crocusrouter/jobs/admission.py
@@ -129,6 +129,6 @@
         for name in capacities:
             yield f"worker {name}", {name}, worker_loss_customers
     if rack_loss_customers:
-        for unit in cells.group_spaces(capacities, Level.RACK):
+        for unit in cells.group_by_level(capacities, Level.RACK):
             lost_workers = {capacity.worker for capacity in unit}
             yield f"rack {unit[0].rack}", lost_workers, rack_loss_customers
--- a/crocusrouter/jobs/backfill.py
+++ b/crocusrouter/jobs/backfill.py
@@ -58,7 +58,7 @@
         The reservation, or None if no unit is large enough.
     """
     candidates = []
-    for unit in cells.group_spaces(capacities, request.level):
+    for unit in cells.group_by_level(capacities, request.level):
         starts_at = _find_start_time(
             unit, request.accelerators, expected_ends, now
         )
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -194,7 +194,7 @@
             build_placement_request(job), total_capacities
         ):
             return None
-        units = cells.group_spaces(total_capacities, job.spec.level)
+        units = cells.group_by_level(total_capacities, job.spec.level)
         largest = max(map(cells.count_usable, units), default=0)
         detail = (
             f"{job.spec.accelerators} accelerators in one {job.spec.level} of "
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -264,7 +264,7 @@
     demand: CellDemand, capacities: Capacities
 ) -> list[list[WorkerCapacity]]:
     """Return the units that contain all claimed workers of a cell."""
-    units = group_spaces(capacities, demand.level)
+    units = group_by_level(capacities, demand.level)
     if not demand.claimed_members:
         return units
     claimed_workers = {member.worker for member in demand.claimed_members}
@@ -275,7 +275,7 @@
     ]
 
 
-def group_spaces(
+def group_by_level(
     capacities: Capacities, level: Level
 ) -> list[list[WorkerCapacity]]:
     """Group the worker capacities into the units of one level."""
@@ -309,7 +309,7 @@
     capacities: Capacities,
 ) -> dict[str, tuple[int, _UnitShape]]:
     """Return the usable count and the shape of each rack."""
-    racks = group_spaces(capacities, Level.RACK)
+    racks = group_by_level(capacities, Level.RACK)
     return {
         unit[0].rack: (count_usable(unit), _describe_unit(unit))
         for unit in racks
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -350,12 +350,12 @@
     """Yield allocations for a job, those that fragment least first."""
     units = [
         unit
-        for unit in cells.group_spaces(capacities, request.level)
+        for unit in cells.group_by_level(capacities, request.level)
         if cells.count_usable(unit) >= request.accelerators
     ]
     if request.level is not Level.WORKER:
         # A job that one worker can hold should not span several.
-        worker_units = cells.group_spaces(capacities, Level.WORKER)
+        worker_units = cells.group_by_level(capacities, Level.WORKER)
         units += [
             unit
             for unit in worker_units
@@ -372,7 +372,7 @@
 
 
 def _count_usable_by_rack(capacities: cells.Capacities) -> dict[str, int]:
-    racks = cells.group_spaces(capacities, Level.RACK)
+    racks = cells.group_by_level(capacities, Level.RACK)
     return {unit[0].rack: cells.count_usable(unit) for unit in racks}
 
 
@@ -395,7 +395,7 @@
 def _describe_shortage(
     request: PlacementRequest, free_capacities: cells.Capacities
 ) -> str:
-    units = cells.group_spaces(free_capacities, request.level)
+    units = cells.group_by_level(free_capacities, request.level)
     largest = max(map(cells.count_usable, units), default=0)
     return (
         f"needs {request.accelerators} free accelerators in one"
