--- a/bench/policy.py
+++ b/bench/policy.py
@@ -266,7 +266,9 @@
     ]
     if tightest:
         units.sort(key=cells.count_free)
-    return cells.fill_unit(units[0], need.accelerators) if units else None
+    return (
+        cells.allocate_in_unit(units[0], need.accelerators) if units else None
+    )
 
 
 def build_baseline(*, tightest: bool, quota: bool) -> Schedule:
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -255,7 +255,7 @@
         if shape in seen_shapes:
             continue
         seen_shapes.add(shape)
-        yield fill_unit(unit, size)
+        yield allocate_in_unit(unit, size)
         if len(seen_shapes) == _MAX_CANDIDATE_UNITS:
             return
 
@@ -328,7 +328,7 @@
     )
 
 
-def fill_unit(unit: Sequence[WorkerCapacity], size: int) -> Allocation:
+def allocate_in_unit(unit: Sequence[WorkerCapacity], size: int) -> Allocation:
     """Allocate `size` accelerators of a unit on as few workers as possible.
 
     Workers that are used completely come first, the largest first. The rest
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -190,7 +190,7 @@
     )
     if cells.count_free(unit) < request.accelerators:
         return None
-    allocation = cells.fill_unit(unit, request.accelerators)
+    allocation = cells.allocate_in_unit(unit, request.accelerators)
     return Placed(allocation, (model.CellClaim(demand.index, allocation),))
 
 
@@ -209,7 +209,7 @@
     binding = cells.find_allocation(demand, unbound_capacities)
     if binding is None:
         return None
-    allocation = cells.fill_unit(
+    allocation = cells.allocate_in_unit(
         _restrict_to_allocation(binding, free_capacities), request.accelerators
     )
     claim = model.CellClaim(demand.index, allocation)
@@ -245,7 +245,7 @@
     unit = _list_unclaimed_capacities(context, demand, include_reclaimable=True)
     if cells.count_usable(unit) < request.accelerators:
         return None
-    allocation = cells.fill_unit(unit, request.accelerators)
+    allocation = cells.allocate_in_unit(unit, request.accelerators)
     victims = find_victims(allocation, context.loans)
     return Placed(
         allocation, (model.CellClaim(demand.index, allocation),), victims
@@ -272,7 +272,9 @@
         unit = _list_unclaimed_capacities(
             context, demand, include_reclaimable=True
         )
-        new_claims.append(model.CellClaim(index, cells.fill_unit(unit, size)))
+        new_claims.append(
+            model.CellClaim(index, cells.allocate_in_unit(unit, size))
+        )
     allocation = cell_bindings.merge_allocations(
         [claim.spot for claim in new_claims]
     )
@@ -368,7 +370,7 @@
         )
     )
     for unit in units[:_MAX_CANDIDATE_UNITS]:
-        yield cells.fill_unit(unit, request.accelerators)
+        yield cells.allocate_in_unit(unit, request.accelerators)
 
 
 def _count_usable_by_rack(capacities: cells.Capacities) -> dict[str, int]:
