--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -337,7 +337,7 @@
 
     >>> small_worker = WorkerCapacity("w1", "r", 0b11)
     >>> large_worker = WorkerCapacity("w2", "r", 0b1111)
-    >>> fill_unit([small_worker, large_worker], 5)
+    >>> allocate_in_unit([small_worker, large_worker], 5)
     (Member(worker='w2', mask=15), Member(worker='w1', mask=1))
     """
     members = []
