--- a/bench/policy.py
+++ b/bench/policy.py
@@ -296,7 +296,7 @@
             if spot is None:
                 failed.add(shape)
                 continue
-            floor = cells.remove_spot(floor, spot)
+            floor = cells.subtract_allocation(floor, spot)
             placed = jobs.Placed(spot)
             scheduler.assign(book, job, placed, now, effects)
         return effects
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -155,7 +155,9 @@
     return next(_iterate_allocations(demand, capacities), None)
 
 
-def remove_spot(capacities: Capacities, allocation: Allocation) -> Capacities:
+def subtract_allocation(
+    capacities: Capacities, allocation: Allocation
+) -> Capacities:
     """Return the capacities without the accelerators of an allocation."""
     return subtract_allocations(capacities, (allocation,))
 
@@ -214,7 +216,7 @@
         ):
             self._visited_nodes += 1
             rest = self._place_from(
-                index + 1, remove_spot(capacities, allocation)
+                index + 1, subtract_allocation(capacities, allocation)
             )
             if rest is not None:
                 return (allocation, *rest)
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -153,7 +153,7 @@
     now: float,
 ) -> Snapshot:
     """Return the snapshot after a decision without a scan of all gangs."""
-    capacities = cells.remove_spot(snapshot.floor, decision.allocation)
+    capacities = cells.subtract_allocation(snapshot.floor, decision.allocation)
     if decision.new_binding is not None:
         key, binding = decision.new_binding
         scheduler_state.bindings = scheduler_state.bindings | {key: binding}
