--- a/bench/policy.py
+++ b/bench/policy.py
@@ -297,7 +297,7 @@
                 failed.add(shape)
                 continue
             floor = cells.subtract_allocation(floor, spot)
-            placed = jobs.Placed(spot)
+            placed = jobs.Placement(spot)
             scheduler.assign(book, job, placed, now, effects)
         return effects
 
--- a/crocusrouter/jobs/__init__.py
+++ b/crocusrouter/jobs/__init__.py
@@ -17,7 +17,7 @@
 from crocusrouter.jobs.model import parse_data_centre
 from crocusrouter.jobs.outbox import Outbox
 from crocusrouter.jobs.placement import NoPlacement
-from crocusrouter.jobs.placement import Placed
+from crocusrouter.jobs.placement import Placement
 from crocusrouter.jobs.placement import PlacementContext
 from crocusrouter.jobs.placement import PlacementRequest
 from crocusrouter.jobs.placement import place_job
@@ -34,7 +34,7 @@
     "Member",
     "NoPlacement",
     "Outbox",
-    "Placed",
+    "Placement",
     "PlacementContext",
     "PlacementRequest",
     "Spec",
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Placed:
+class Placement:
     """An allocation on which the job starts.
 
     Attributes:
@@ -86,7 +86,7 @@
 
 def place_job(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Choose where a job starts, or say why it has to wait.
 
     A job within its customer's guarantee uses a part of the accelerators to
@@ -132,7 +132,7 @@
 
 def _borrow(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Allocate free accelerators, outside all cell bindings if possible.
 
     A loan inside a binding would have to stop when the cell is claimed.
@@ -144,7 +144,7 @@
     for capacities in (unbound_capacities, free_capacities):
         allocation = next(_iterate_allocations(request, capacities), None)
         if allocation is not None:
-            return Placed(allocation)
+            return Placement(allocation)
     return NoPlacement(
         WaitReason.NO_FREE_SPOT, _describe_shortage(request, free_capacities)
     )
@@ -152,7 +152,7 @@
 
 def _claim(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Start a job within its customer's guarantee."""
     bound_cells = [
         demand
@@ -183,7 +183,7 @@
     request: PlacementRequest,
     context: PlacementContext,
     demand: cells.CellDemand,
-) -> Placed | None:
+) -> Placement | None:
     """Claim free accelerators to which the cell is bound."""
     unit = _list_unclaimed_capacities(
         context, demand, include_reclaimable=False
@@ -191,14 +191,14 @@
     if cells.count_free(unit) < request.accelerators:
         return None
     allocation = cells.allocate_in_unit(unit, request.accelerators)
-    return Placed(allocation, (model.CellClaim(demand.index, allocation),))
+    return Placement(allocation, (model.CellClaim(demand.index, allocation),))
 
 
 def _rebind_and_claim(
     request: PlacementRequest,
     context: PlacementContext,
     demand: cells.CellDemand,
-) -> Placed | None:
+) -> Placement | None:
     """Bind an unclaimed cell to a free place outside all bindings."""
     if demand.claimed_members:
         return None
@@ -213,7 +213,7 @@
         _restrict_to_allocation(binding, free_capacities), request.accelerators
     )
     claim = model.CellClaim(demand.index, allocation)
-    return Placed(
+    return Placement(
         allocation,
         (claim,),
         new_binding=(cell_bindings.get_cell_key(demand), binding),
@@ -224,7 +224,7 @@
     request: PlacementRequest,
     context: PlacementContext,
     demand: cells.CellDemand,
-) -> Placed | None:
+) -> Placement | None:
     """Borrow free accelerators instead of stopping another job's loan.
 
     The cell stays unclaimed and the guarantee stays whole. An urgent job never
@@ -233,28 +233,28 @@
     if request.urgent:
         return None
     result = _borrow(request, context)
-    return result if isinstance(result, Placed) else None
+    return result if isinstance(result, Placement) else None
 
 
 def _claim_lent_part(
     request: PlacementRequest,
     context: PlacementContext,
     demand: cells.CellDemand,
-) -> Placed | None:
+) -> Placement | None:
     """Claim accelerators of the cell's binding and reclaim loans on them."""
     unit = _list_unclaimed_capacities(context, demand, include_reclaimable=True)
     if cells.count_usable(unit) < request.accelerators:
         return None
     allocation = cells.allocate_in_unit(unit, request.accelerators)
     victims = find_victims(allocation, context.loans)
-    return Placed(
+    return Placement(
         allocation, (model.CellClaim(demand.index, allocation),), victims
     )
 
 
 def _claim_several_cells(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Claim parts of several cells for a job without adjacency needs."""
     sizes_by_cell = claims.split_over_cells(
         context.demands, request.customer, request.accelerators
@@ -279,7 +279,7 @@
         [claim.spot for claim in new_claims]
     )
     victims = find_victims(allocation, context.loans)
-    return Placed(allocation, tuple(new_claims), victims)
+    return Placement(allocation, tuple(new_claims), victims)
 
 
 def _report_unbound_cell(request: PlacementRequest) -> NoPlacement:
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -148,7 +148,7 @@
 def _update_snapshot(
     scheduler_state: Book,
     job: model.Job,
-    decision: placement.Placed,
+    decision: placement.Placement,
     snapshot: Snapshot,
     now: float,
 ) -> Snapshot:
@@ -279,7 +279,7 @@
     snapshot: Snapshot,
     reservation: backfill.Reservation | None,
     now: float,
-) -> placement.Placed | placement.NoPlacement:
+) -> placement.Placement | placement.NoPlacement:
     """Place a job outside the backfill reservation and its failed workers."""
     expected_s = queue.estimate_job_run_time(
         scheduler_state.run_time_history, job
@@ -320,7 +320,7 @@
 def assign(
     scheduler_state: Book,
     job: model.Job,
-    decision: placement.Placed,
+    decision: placement.Placement,
     now: float,
     effects: Effects,
 ) -> None:
@@ -367,7 +367,7 @@
     )
 
 
-def _describe_placement(job: model.Job, decision: placement.Placed) -> str:
+def _describe_placement(job: model.Job, decision: placement.Placement) -> str:
     where = ", ".join(
         f"{member.worker} x{member.size}" for member in decision.allocation
     )
