--- a/bench/policy.py
+++ b/bench/policy.py
@@ -221,7 +221,7 @@
     def _sample(self, now: float) -> None:
         state = scheduler.observe(self._book, now)
         if not isinstance(
-            cells.embed(state.needs, state.floor), cells.Embedding
+            cells.embed(state.needs, state.capacities), cells.Embedding
         ):
             self._broken += 1
         shapes = [
@@ -231,7 +231,9 @@
         shapes += [need for need in state.needs if not need.claimed_members]
         if shapes:
             largest = max(shapes, key=lambda need: need.accelerators)
-            self._fragments.append(measure_fragmentation(largest, state.floor))
+            self._fragments.append(
+                measure_fragmentation(largest, state.capacities)
+            )
 
 
 def measure_fragmentation(
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -33,7 +33,7 @@
         valid_until: When the next worker leaves quarantine, as Unix time.
     """
 
-    floor: cells.Capacities
+    capacities: cells.Capacities
     needs: claims.CellDemands
     bindings: cell_bindings.CellBindings
     loans: tuple[claims.JobAllocation, ...]
@@ -86,7 +86,7 @@
             if reservation is None:
                 reservation = backfill.reserve_unit(
                     build_placement_request(job),
-                    snapshot.floor,
+                    snapshot.capacities,
                     _list_expected_ends(scheduler_state, now),
                     now,
                 )
@@ -153,7 +153,9 @@
     now: float,
 ) -> Snapshot:
     """Return the snapshot after a decision without a scan of all gangs."""
-    capacities = cells.subtract_allocation(snapshot.floor, decision.allocation)
+    capacities = cells.subtract_allocation(
+        snapshot.capacities, decision.allocation
+    )
     if decision.new_binding is not None:
         key, binding = decision.new_binding
         scheduler_state.bindings = scheduler_state.bindings | {key: binding}
@@ -285,7 +287,7 @@
         scheduler_state.run_time_history, job
     )
     capacities = backfill.exclude_reserved_unit(
-        reservation, snapshot.floor, now + expected_s
+        reservation, snapshot.capacities, now + expected_s
     )
     if job.failed_on:
         # Workers on which the job failed offer no accelerators to it. They
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -419,9 +419,9 @@
             return
         kept = scheduler.get_snapshot(self.scheduler_state, self.now)
         snapshot = scheduler.observe(self.scheduler_state, self.now)
-        assert kept.floor == snapshot.floor
+        assert kept.capacities == snapshot.capacities
         assert set(kept.loans) == set(snapshot.loans)
-        result = cells.embed(snapshot.needs, snapshot.floor)
+        result = cells.embed(snapshot.needs, snapshot.capacities)
         assert isinstance(result, cells.Embedding), (result, snapshot)
         assert len(snapshot.bindings) == len(snapshot.needs), snapshot.bindings
 
--- a/crocusrouter/jobs/tests/test_quarantine.py
+++ b/crocusrouter/jobs/tests/test_quarantine.py
@@ -59,7 +59,9 @@
     )
     assert (
         failing_worker
-        not in scheduler.observe(machine.scheduler_state, machine.now).floor
+        not in scheduler.observe(
+            machine.scheduler_state, machine.now
+        ).capacities
     )
 
 
