--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -168,7 +168,7 @@
             demands = claims.add_claim(demands, job.customer, claim)
         return dataclasses.replace(
             snapshot,
-            floor=capacities,
+            capacities=capacities,
             needs=demands,
             bindings=scheduler_state.bindings,
         )
@@ -179,7 +179,7 @@
         )
     loan = claims.JobAllocation(job.id, job.customer, decision.allocation)
     return dataclasses.replace(
-        snapshot, floor=capacities, loans=(*snapshot.loans, loan)
+        snapshot, capacities=capacities, loans=(*snapshot.loans, loan)
     )
 
 
