--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -26,7 +26,7 @@
     """The state of a data centre on which the next decision depends.
 
     Attributes:
-        floor: Capacities of the workers that can be used now.
+        capacities: Capacities of the workers that can be used now.
         needs: Every guaranteed cell, with its claimed part.
         bindings: The allocation to which each cell is bound.
         loans: Allocations of jobs that run beyond a guarantee.
