--- a/bench/policy.py
+++ b/bench/policy.py
@@ -221,14 +221,14 @@
     def _sample(self, now: float) -> None:
         state = scheduler.observe(self._book, now)
         if not isinstance(
-            cells.embed(state.needs, state.capacities), cells.Embedding
+            cells.embed(state.demands, state.capacities), cells.Embedding
         ):
             self._broken += 1
         shapes = [
             cells.CellDemand("", job.spec.level, job.spec.accelerators)
             for job in self._book.list_queued()
         ]
-        shapes += [need for need in state.needs if not need.claimed_members]
+        shapes += [need for need in state.demands if not need.claimed_members]
         if shapes:
             largest = max(shapes, key=lambda need: need.accelerators)
             self._fragments.append(
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -34,7 +34,7 @@
     """
 
     capacities: cells.Capacities
-    needs: claims.CellDemands
+    demands: claims.CellDemands
     bindings: cell_bindings.CellBindings
     loans: tuple[claims.JobAllocation, ...]
     valid_until: float = math.inf
@@ -63,7 +63,7 @@
     reservation: backfill.Reservation | None = None
     ordered_jobs = queue.order_queue(
         ready_jobs,
-        snapshot.needs,
+        snapshot.demands,
         _compute_borrowed_shares(scheduler_state, snapshot),
         scheduler_state.catalog,
         scheduler_state.run_time_history,
@@ -163,7 +163,7 @@
         # The victims release their accelerators one after the other.
         return observe(scheduler_state, now)
     if decision.claims:
-        demands = snapshot.needs
+        demands = snapshot.demands
         for claim in decision.claims:
             demands = claims.add_claim(demands, job.customer, claim)
         return dataclasses.replace(
@@ -299,7 +299,7 @@
             for name, capacity in capacities.items()
         }
     context = placement.PlacementContext(
-        capacities, snapshot.needs, snapshot.bindings, snapshot.loans
+        capacities, snapshot.demands, snapshot.bindings, snapshot.loans
     )
     return placement.place_job(build_placement_request(job), context)
 
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -421,9 +421,11 @@
         snapshot = scheduler.observe(self.scheduler_state, self.now)
         assert kept.capacities == snapshot.capacities
         assert set(kept.loans) == set(snapshot.loans)
-        result = cells.embed(snapshot.needs, snapshot.capacities)
+        result = cells.embed(snapshot.demands, snapshot.capacities)
         assert isinstance(result, cells.Embedding), (result, snapshot)
-        assert len(snapshot.bindings) == len(snapshot.needs), snapshot.bindings
+        assert len(snapshot.bindings) == len(snapshot.demands), (
+            snapshot.bindings
+        )
 
     @stateful.invariant()
     def check_attempts_hold_disjoint_accelerators(self):
