--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -169,7 +169,7 @@
         return dataclasses.replace(
             snapshot,
             capacities=capacities,
-            needs=demands,
+            demands=demands,
             bindings=scheduler_state.bindings,
         )
     for member in decision.allocation:
