--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -27,7 +27,7 @@
 
     Attributes:
         capacities: Capacities of the workers that can be used now.
-        needs: Every guaranteed cell, with its claimed part.
+        demands: Every guaranteed cell, with its claimed part.
         bindings: The allocation to which each cell is bound.
         loans: Allocations of jobs that run beyond a guarantee.
         valid_until: When the next worker leaves quarantine, as Unix time.
