--- a/bench/policy.py
+++ b/bench/policy.py
@@ -283,7 +283,7 @@
         effects = jobs.Effects()
         floor = {
             name: space._replace(reclaimable_mask=0)
-            for name, space in scheduler.build_floor(book, now).items()
+            for name, space in scheduler.build_capacities(book, now).items()
         }
         failed: set[tuple[Level, int]] = set()
         waiting = list(_list_fifo(book))
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -130,7 +130,7 @@
         ),
         scheduler_state.holdings.values(),
     )
-    capacities = build_floor(scheduler_state, now, loans)
+    capacities = build_capacities(scheduler_state, now, loans)
     scheduler_state.bindings = cell_bindings.bind_cells(
         demands, capacities, scheduler_state.bindings
     )
@@ -199,7 +199,7 @@
     }
 
 
-def build_floor(
+def build_capacities(
     scheduler_state: Book,
     now: float,
     loans: Iterable[claims.JobAllocation] = (),
