--- a/bench/policy.py
+++ b/bench/policy.py
@@ -219,7 +219,7 @@
         self._book.forget(job_id)
 
     def _sample(self, now: float) -> None:
-        state = scheduler.observe(self._book, now)
+        state = scheduler.build_snapshot(self._book, now)
         if not isinstance(
             cells.embed(state.demands, state.capacities), cells.Embedding
         ):
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -114,7 +114,7 @@
         snapshot: Snapshot = cache_entry[1]
         if now < snapshot.valid_until:
             return snapshot
-    snapshot = observe(scheduler_state, now)
+    snapshot = build_snapshot(scheduler_state, now)
     scheduler_state.cached_snapshot = (
         scheduler_state.snapshot_version,
         snapshot,
@@ -122,7 +122,7 @@
     return snapshot
 
 
-def observe(scheduler_state: Book, now: float) -> Snapshot:
+def build_snapshot(scheduler_state: Book, now: float) -> Snapshot:
     """Build a snapshot and bind all cells that lost their binding."""
     demands, loans = claims.assign_claims(
         claims.list_demands(
@@ -161,7 +161,7 @@
         scheduler_state.bindings = scheduler_state.bindings | {key: binding}
     if decision.victims:
         # The victims release their accelerators one after the other.
-        return observe(scheduler_state, now)
+        return build_snapshot(scheduler_state, now)
     if decision.claims:
         demands = snapshot.demands
         for claim in decision.claims:
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -418,7 +418,7 @@
         if self.scheduler_state.find_missing():
             return
         kept = scheduler.get_snapshot(self.scheduler_state, self.now)
-        snapshot = scheduler.observe(self.scheduler_state, self.now)
+        snapshot = scheduler.build_snapshot(self.scheduler_state, self.now)
         assert kept.capacities == snapshot.capacities
         assert set(kept.loans) == set(snapshot.loans)
         result = cells.embed(snapshot.demands, snapshot.capacities)
--- a/crocusrouter/jobs/tests/test_quarantine.py
+++ b/crocusrouter/jobs/tests/test_quarantine.py
@@ -59,7 +59,7 @@
     )
     assert (
         failing_worker
-        not in scheduler.observe(
+        not in scheduler.build_snapshot(
             machine.scheduler_state, machine.now
         ).capacities
     )
