--- a/bench/policy.py
+++ b/bench/policy.py
@@ -300,7 +300,7 @@
                 continue
             floor = cells.subtract_allocation(floor, spot)
             placed = jobs.Placement(spot)
-            scheduler.assign(book, job, placed, now, effects)
+            scheduler.assign_job(book, job, placed, now, effects)
         return effects
 
     return schedule
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -91,7 +91,7 @@
                     now,
                 )
             continue
-        assign(scheduler_state, job, decision, now, effects)
+        assign_job(scheduler_state, job, decision, now, effects)
         snapshot = _update_snapshot(
             scheduler_state, job, decision, snapshot, now
         )
@@ -319,7 +319,7 @@
         )
 
 
-def assign(
+def assign_job(
     scheduler_state: Book,
     job: model.Job,
     decision: placement.Placement,
