--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -127,7 +127,7 @@
 def _stop_all(book: jobs.Book, job_id: str) -> None:
     held = book.gangs.get(job_id)
     if held is not None:
-        for name in sorted(held.held):
+        for name in sorted(held.holding_workers):
             stopped = messages.Stopped(job_id, held.attempt)
             jobs.handle_message(book, name, stopped, 0.0)
 
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -301,7 +301,9 @@
     def list_gangs_on(self, worker_name: str) -> list[gangs.Gang]:
         """Return the gangs of which a worker may hold a task."""
         return [
-            gang for gang in self.gangs.values() if worker_name in gang.held
+            gang
+            for gang in self.gangs.values()
+            if worker_name in gang.holding_workers
         ]
 
     def apply(
@@ -341,7 +343,7 @@
                 gangs.Command(
                     name, messages.Stop(gang.job_id, gang.attempt, False)
                 )
-                for name in sorted(gang.held)
+                for name in sorted(gang.holding_workers)
             ]
         return effects
 
--- a/crocusrouter/jobs/gang.py
+++ b/crocusrouter/jobs/gang.py
@@ -68,7 +68,7 @@
     reserved_workers: frozenset[str] = frozenset()
     started_workers: frozenset[str] = frozenset()
     results: tuple[tuple[str, str], ...] = ()
-    held: frozenset[str] = frozenset()
+    holding_workers: frozenset[str] = frozenset()
     end_reason: EndReason | None = None
     detail: str = ""
     failed_worker: str = ""
@@ -120,7 +120,7 @@
         job.spec,
         job.members,
         phase=Phase.RESERVING,
-        held=workers,
+        holding_workers=workers,
     )
 
 
@@ -186,7 +186,7 @@
 
     The attempt ends at the first failure, or when all tasks have succeeded.
     """
-    gang = dataclasses.replace(gang, held=gang.held - {worker})
+    gang = dataclasses.replace(gang, held=gang.holding_workers - {worker})
     if gang.phase is Phase.ENDING:
         return _end_if_released(gang), ()
     if not ok:
@@ -205,7 +205,7 @@
     gang: Gang, worker: str, end_reason: EndReason, detail: str
 ) -> Transition:
     """Record that a worker certainly holds no task of the attempt any more."""
-    gang = dataclasses.replace(gang, held=gang.held - {worker})
+    gang = dataclasses.replace(gang, held=gang.holding_workers - {worker})
     if gang.phase is Phase.ENDED:
         return gang, ()
     if gang.phase is Phase.ENDING:
@@ -231,7 +231,9 @@
         detail=detail,
         failed_worker=failed_worker,
     )
-    commands = tuple(build_stop(gang, name) for name in sorted(gang.held))
+    commands = tuple(
+        build_stop(gang, name) for name in sorted(gang.holding_workers)
+    )
     return _end_if_released(gang), commands
 
 
@@ -243,7 +245,7 @@
 
 def _end_if_released(gang: Gang) -> Gang:
     """Set the phase to ended if no worker holds a task any more."""
-    if gang.held:
+    if gang.holding_workers:
         return gang
     return dataclasses.replace(gang, phase=Phase.ENDED)
 
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -139,7 +139,7 @@
     ):
         scheduler_state.invalidate_snapshot()
     gang = scheduler_state.find_gang(*key)
-    if gang is not None and worker_name in gang.held:
+    if gang is not None and worker_name in gang.holding_workers:
         transition = gangs.record_released(
             gang,
             worker_name,
@@ -177,7 +177,7 @@
     if gang is None:
         return False
     has_result = any(name == worker_name for name, _ in gang.results)
-    return worker_name in gang.held or has_result
+    return worker_name in gang.holding_workers or has_result
 
 
 def _remove_stray_task(
