--- a/crocusrouter/jobs/gang.py
+++ b/crocusrouter/jobs/gang.py
@@ -143,7 +143,7 @@
         for member in gang.members
     )
     reserving_gang = dataclasses.replace(
-        gang, phase=Phase.RESERVING, held=gang.workers
+        gang, phase=Phase.RESERVING, holding_workers=gang.workers
     )
     return reserving_gang, commands
 
@@ -186,7 +186,9 @@
 
     The attempt ends at the first failure, or when all tasks have succeeded.
     """
-    gang = dataclasses.replace(gang, held=gang.holding_workers - {worker})
+    gang = dataclasses.replace(
+        gang, holding_workers=gang.holding_workers - {worker}
+    )
     if gang.phase is Phase.ENDING:
         return _end_if_released(gang), ()
     if not ok:
@@ -205,7 +207,9 @@
     gang: Gang, worker: str, end_reason: EndReason, detail: str
 ) -> Transition:
     """Record that a worker certainly holds no task of the attempt any more."""
-    gang = dataclasses.replace(gang, held=gang.holding_workers - {worker})
+    gang = dataclasses.replace(
+        gang, holding_workers=gang.holding_workers - {worker}
+    )
     if gang.phase is Phase.ENDED:
         return gang, ()
     if gang.phase is Phase.ENDING:
