--- a/crocusrouter/jobs/gang.py
+++ b/crocusrouter/jobs/gang.py
@@ -53,7 +53,7 @@
         reserved_workers: Workers that hold the reservation or went further.
         started_workers: Workers whose task runs or has ended.
         results: Results of tasks that succeeded, as (worker, JSON text).
-        held: Workers that may still hold a reservation or a task.
+        holding_workers: Workers that may still hold a reservation or a task.
         end_reason: Why the attempt ends; None before.
         detail: Explanation of the failure or loss.
         failed_worker: Worker whose failure or loss ended the attempt.
