--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -72,7 +72,7 @@
         book.submit(job, 0.0)
         number += 1
         tasks += size
-    while jobs.schedule(book, 0.0).changed:
+    while jobs.schedule(book, 0.0).changed_jobs:
         pass
     return number
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -176,7 +176,7 @@
     def _decide(self, now: float) -> None:
         while True:
             effects = self._schedule(self._book, now)
-            if not effects.changed:
+            if not effects.changed_jobs:
                 return
             self._obey(effects.commands, now)
 
--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -209,7 +209,7 @@
 
     def _apply(self, effects: jobs.Effects) -> None:
         """Journal what changed; hold commands back until it is durable."""
-        for job in effects.changed:
+        for job in effects.changed_jobs:
             self._metrics.count_job(str(job.state))
             log(
                 "job:changed",
@@ -220,11 +220,11 @@
             )
         for reason in effects.retries:
             self._metrics.count_retry(reason)
-        self._journal.stage(effects.changed)
+        self._journal.stage(effects.changed_jobs)
         ready = self._outbox.admit(effects.commands, self._journal.is_pending)
         for command in ready:
             self._transmit(command)
-        if effects.changed:
+        if effects.changed_jobs:
             self._wake.set()
 
     def _transmit(self, command: gang.Command) -> None:
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -124,7 +124,7 @@
             return refusal
         self.store_job(job)
         self.record_event(job.id, now, "accepted")
-        return Effects(changed=[job])
+        return Effects(changed_jobs=[job])
 
     def cancel(self, job_id: str, now: float) -> Effects | Refusal:
         """Cancel a job.
@@ -402,7 +402,7 @@
             job, state=model.JobState.QUEUED, members=(), claims=()
         )
         self.store_job(job)
-        effects.changed.append(job)
+        effects.changed_jobs.append(job)
         if end_reason in _RETRY_REASONS:
             effects.retries.append(_RETRY_REASONS[end_reason])
 
@@ -466,7 +466,7 @@
         self.failed_placements.pop(job.id, None)
         self.earliest_retry_at.pop(job.id, None)
         self.record_event(job.id, now, str(state))
-        effects.changed.append(job)
+        effects.changed_jobs.append(job)
 
     def _unblock_gangs(self, job_id: str, now: float, effects: Effects) -> None:
         """Tell the gangs that wait for a job that its attempt has ended."""
--- a/crocusrouter/jobs/effects.py
+++ b/crocusrouter/jobs/effects.py
@@ -17,13 +17,13 @@
         retries: Why attempts ended whose jobs run again.
     """
 
-    changed: list[model.Job] = dataclasses.field(default_factory=list)
+    changed_jobs: list[model.Job] = dataclasses.field(default_factory=list)
     commands: list[gangs.Command] = dataclasses.field(default_factory=list)
     retries: list[RetryReason] = dataclasses.field(default_factory=list)
 
     def add(self, other: "Effects") -> None:
         """Append the effects of another event."""
-        self.changed += other.changed
+        self.changed_jobs += other.changed_jobs
         self.commands += other.commands
         self.retries += other.retries
 
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -340,7 +340,7 @@
     scheduler_state.record_event(
         job.id, now, _describe_placement(job, decision)
     )
-    effects.changed.append(job)
+    effects.changed_jobs.append(job)
     blocking_job_ids = frozenset(decision.victims) | _find_ending_jobs(
         scheduler_state, job
     )
