--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -119,7 +119,7 @@
         link.to_worker.append(messages.Hello("e", self.epoch, _LEASE_S))
 
     def _apply_effects(self, effects):
-        for job in effects.changed:
+        for job in effects.changed_jobs:
             self.pending[job.id] = job
         for command in self.outbox.admit(
             effects.commands, self.pending.__contains__
