--- a/crocusrouter/jobs/effects.py
+++ b/crocusrouter/jobs/effects.py
@@ -12,7 +12,7 @@
     """What an event changes and which commands it causes.
 
     Attributes:
-        changed: Jobs whose new state must be journaled.
+        changed_jobs: Jobs whose new state must be journaled.
         commands: Commands for workers, to be sent once that is done.
         retries: Why attempts ended whose jobs run again.
     """
