--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -218,7 +218,7 @@
                 attempt=job.attempt,
                 epoch=self.epoch,
             )
-        for reason in effects.retries:
+        for reason in effects.retry_reasons:
             self._metrics.count_retry(reason)
         self._journal.stage(effects.changed_jobs)
         ready = self._outbox.admit(effects.commands, self._journal.is_pending)
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -404,7 +404,7 @@
         self.store_job(job)
         effects.changed_jobs.append(job)
         if end_reason in _RETRY_REASONS:
-            effects.retries.append(_RETRY_REASONS[end_reason])
+            effects.retry_reasons.append(_RETRY_REASONS[end_reason])
 
     def _record_run_time(self, job: model.Job, run_time_s: float) -> None:
         key = (job.customer, job.spec.kind)
--- a/crocusrouter/jobs/effects.py
+++ b/crocusrouter/jobs/effects.py
@@ -19,13 +19,13 @@
 
     changed_jobs: list[model.Job] = dataclasses.field(default_factory=list)
     commands: list[gangs.Command] = dataclasses.field(default_factory=list)
-    retries: list[RetryReason] = dataclasses.field(default_factory=list)
+    retry_reasons: list[RetryReason] = dataclasses.field(default_factory=list)
 
     def add(self, other: "Effects") -> None:
         """Append the effects of another event."""
         self.changed_jobs += other.changed_jobs
         self.commands += other.commands
-        self.retries += other.retries
+        self.retry_reasons += other.retry_reasons
 
 
 @dataclasses.dataclass(frozen=True)
