--- a/crocusrouter/jobs/effects.py
+++ b/crocusrouter/jobs/effects.py
@@ -14,7 +14,7 @@
     Attributes:
         changed_jobs: Jobs whose new state must be journaled.
         commands: Commands for workers, to be sent once that is done.
-        retries: Why attempts ended whose jobs run again.
+        retry_reasons: Why attempts ended whose jobs run again.
     """
 
     changed_jobs: list[model.Job] = dataclasses.field(default_factory=list)
