--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -294,7 +294,7 @@
             for name, (_, opened) in self._links.items():
                 if not lease.is_suspect(opened.lease, now):
                     continue
-                if self.book.workers[name].known:
+                if self.book.workers[name].inventory_known:
                     # After a pause of our own, answers may still come over
                     # this connection, but only a new one brings the
                     # inventory that makes the worker known again.
@@ -340,7 +340,7 @@
 def describe_owner(owner: Owner) -> OwnerStatus:
     """Summarise an owner."""
     unfinished = [j for j in owner.book.jobs.values() if not j.is_final]
-    known = [w for w in owner.book.workers.values() if w.known]
+    known = [w for w in owner.book.workers.values() if w.inventory_known]
     return OwnerStatus(
         owner.data_centre, owner.epoch, len(unfinished), len(known)
     )
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -240,7 +240,7 @@
         """
         effects = Effects()
         if name in self.workers:
-            self.workers[name].known = False
+            self.workers[name].inventory_known = False
             self.invalidate_snapshot()
         for gang in self.list_gangs_on(name):
             if len(gang.members) > 1:
@@ -254,7 +254,7 @@
         """Record that a worker certainly runs no task of this owner."""
         effects = Effects()
         if name in self.workers:
-            self.workers[name].known = False
+            self.workers[name].inventory_known = False
             self.workers[name].stray_masks.clear()
             self.invalidate_snapshot()
         for gang in list(self.gangs.values()):
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -57,7 +57,7 @@
         (task.job_id, task.attempt): task for task in message.tasks
     }
     worker = scheduler_state.workers[worker_name]
-    worker.known = True
+    worker.inventory_known = True
     worker.stray_masks = {}
     scheduler_state.invalidate_snapshot()
     for key, task in reported_tasks.items():
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -224,7 +224,7 @@
             lent_masks[member.worker] |= member.mask
     capacities = {}
     for worker in scheduler_state.workers.values():
-        if not (worker.known and worker.live):
+        if not (worker.inventory_known and worker.live):
             continue
         if quarantine.is_quarantined(worker.failure_history, now):
             continue
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -296,7 +296,7 @@
     def _check_lease(self, name, link):
         if not lease.is_suspect(link.lease, self.now):
             return
-        if self.scheduler_state.workers[name].known and link.up:
+        if self.scheduler_state.workers[name].inventory_known and link.up:
             self._cut_connection(name)
             self._connect(name)
         if lease.has_lapsed(link.lease, self.now):
@@ -412,7 +412,8 @@
         """Check that all cells embed, unless a worker is missing."""
         workers = self.scheduler_state.workers.values()
         if not all(
-            worker.known and not worker.stray_masks for worker in workers
+            worker.inventory_known and not worker.stray_masks
+            for worker in workers
         ):
             return
         if self.scheduler_state.find_missing():
--- a/crocusrouter/jobs/workers.py
+++ b/crocusrouter/jobs/workers.py
@@ -25,7 +25,7 @@
     name: str
     rack: str
     accelerators: int
-    known: bool = False
+    inventory_known: bool = False
     live: bool = True
     stray_masks: dict[tuple[str, int], int] = dataclasses.field(
         default_factory=dict
--- a/standins/world.py
+++ b/standins/world.py
@@ -226,7 +226,7 @@
             return any(
                 held.is_ready
                 and set(held.book.workers) >= set(self.workers)
-                and all(w.known for w in held.book.workers.values())
+                and all(w.inventory_known for w in held.book.workers.values())
                 for served in self.entries.values()
                 for held in served.entry.owned.values()
             )
