--- a/crocusrouter/jobs/workers.py
+++ b/crocusrouter/jobs/workers.py
@@ -13,7 +13,7 @@
         name: Name of the worker.
         rack: Rack of the worker.
         accelerators: Number of its accelerators.
-        known: Whether it has sent this owner its inventory of
+        inventory_known: Whether it has sent this owner its inventory of
             tasks. Until then nothing is placed on it, because tasks of an
             earlier owner may still run there.
         live: Whether the VM list shows it as live, so it isn't leaving.
