--- a/bench/policy.py
+++ b/bench/policy.py
@@ -311,7 +311,7 @@
     quota = sum(c.accelerators * c.count for c in template.guarantee)
     used = sum(
         held.size
-        for held in book.holdings.values()
+        for held in book.job_allocations.values()
         if held.customer == job.customer
     )
     return used + job.spec.accelerators <= quota
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -72,7 +72,7 @@
         self.run_time_history = run_times.RunTimeHistory()
         self.run_started_at: dict[str, float] = {}
         self._stop_requested_at: dict[str, float] = {}
-        self.holdings: dict[str, claims.JobAllocation] = {}
+        self.job_allocations: dict[str, claims.JobAllocation] = {}
         self.workers: dict[str, workers.Worker] = {}
         self._catalog = Catalog()
         self.snapshot_version = 0
@@ -289,7 +289,7 @@
     def add_gang(self, job: model.Job, gang: gangs.Gang) -> None:
         """Add the gang of a job's attempt and its allocation."""
         self.gangs[job.id] = gang
-        self.holdings[job.id] = claims.JobAllocation(
+        self.job_allocations[job.id] = claims.JobAllocation(
             job.id, job.customer, job.members, job.claims
         )
 
@@ -312,7 +312,7 @@
         """Store a changed gang; update its job if the attempt has ended."""
         gang, commands = transition
         if gang.phase in (gangs.Phase.ENDING, gangs.Phase.ENDED):
-            self.holdings.pop(gang.job_id, None)
+            self.job_allocations.pop(gang.job_id, None)
             self._stop_requested_at.setdefault(gang.job_id, now)
             self.invalidate_snapshot()
         elif gang.phase is gangs.Phase.RUNNING:
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -128,7 +128,7 @@
         claims.list_demands(
             scheduler_state.catalog, scheduler_state.data_centre
         ),
-        scheduler_state.holdings.values(),
+        scheduler_state.job_allocations.values(),
     )
     capacities = build_capacities(scheduler_state, now, loans)
     scheduler_state.bindings = cell_bindings.bind_cells(
