--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -54,7 +54,7 @@
         gangs: Gangs of the attempts that have not ended, by job id.
         run_time_history: Run times of recent jobs.
         run_started_at: Unix time at which a job's attempt began to run.
-        holdings: Allocations of attempts that are not ending, by
+        job_allocations: Allocations of attempts that are not ending, by
             job id.
         workers: Workers of the VM list, by name.
         snapshot_version: Rises whenever a cached snapshot becomes invalid.
