--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -72,7 +72,7 @@
         try:
             loaded = await self._journal.take_over()
             now = self._read_wall_clock()
-            self.book.load(loaded, now)
+            self.book.load_jobs(loaded, now)
             self._committed = {job.id: job for job in loaded}
             log(
                 "owner:took-over",
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -101,7 +101,7 @@
 
     # Jobs.
 
-    def load(self, jobs: Iterable[model.Job], now: float) -> None:
+    def load_jobs(self, jobs: Iterable[model.Job], now: float) -> None:
         """Load the jobs that an earlier owner journaled."""
         self.invalidate_snapshot()
         for job in jobs:
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -99,7 +99,7 @@
         self.owner_lease = lease.Lease(_LEASE_S, self.now)
         self.scheduler_state = books.Book(build.DATA_CENTRE)
         self.scheduler_state.catalog = _CATALOG
-        self.scheduler_state.load(self.durable_jobs.values(), self.now)
+        self.scheduler_state.load_jobs(self.durable_jobs.values(), self.now)
         self.outbox = jobs.Outbox()
         self.pending = {}
         self.links = {}
