--- a/bench/policy.py
+++ b/bench/policy.py
@@ -216,7 +216,7 @@
             effects = jobs.handle_message(self._book, worker, finished, now)
             self._obey(effects.commands, now)
         self._took.append(now - self._book.jobs[job_id].submitted_at)
-        self._book.forget(job_id)
+        self._book.forget_job(job_id)
 
     def _sample(self, now: float) -> None:
         state = scheduler.build_snapshot(self._book, now)
--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -310,7 +310,7 @@
             if job.finished_at is None:
                 continue
             if now - job.finished_at > self._keep_jobs_s:
-                self.book.forget(job.id)
+                self.book.forget_job(job.id)
                 del self._committed[job.id]
                 self._journal.drop(job.id)
 
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -144,7 +144,7 @@
             self.apply(transition, now, effects)
         return effects
 
-    def forget(self, job_id: str) -> None:
+    def forget_job(self, job_id: str) -> None:
         """Remove a final job whose retention time is over."""
         self.jobs.pop(job_id, None)
         self._queued_jobs.pop(job_id, None)
