--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -267,7 +267,7 @@
         self._scopes.pop(name).cancel()
         del self._links[name]
         now = self._read_wall_clock()
-        self._apply(self.book.lose_worker(name, now))
+        self._apply(self.book.mark_worker_lost(name, now))
         self.book.remove_worker(name)
 
     def _receive(self, worker: str, message: object) -> None:
@@ -290,7 +290,7 @@
             self._apply(self.book.press_stops(wall))
             if lease.has_lapsed(own, now):
                 for name in self.book.find_missing():
-                    self._apply(self.book.lose_worker(name, wall))
+                    self._apply(self.book.mark_worker_lost(name, wall))
             for name, (_, opened) in self._links.items():
                 if not lease.is_suspect(opened.lease, now):
                     continue
@@ -300,7 +300,7 @@
                     # inventory that makes the worker known again.
                     opened.retire()
                 if lease.has_lapsed(opened.lease, now):
-                    self._apply(self.book.lose_worker(name, wall))
+                    self._apply(self.book.mark_worker_lost(name, wall))
                 else:
                     self._apply(self.book.suspect_worker(name, wall))
             self._drop_old(wall)
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -250,7 +250,7 @@
                 self.apply(transition, now, effects)
         return effects
 
-    def lose_worker(self, name: str, now: float) -> Effects:
+    def mark_worker_lost(self, name: str, now: float) -> Effects:
         """Record that a worker certainly runs no task of this owner."""
         effects = Effects()
         if name in self.workers:
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -285,7 +285,7 @@
         if lease.has_lapsed(self.owner_lease, self.now):
             for name in self.scheduler_state.find_missing():
                 self._apply_effects(
-                    self.scheduler_state.lose_worker(name, self.now)
+                    self.scheduler_state.mark_worker_lost(name, self.now)
                 )
 
     def _send_renewal(self, link):
@@ -301,7 +301,7 @@
             self._connect(name)
         if lease.has_lapsed(link.lease, self.now):
             self._apply_effects(
-                self.scheduler_state.lose_worker(name, self.now)
+                self.scheduler_state.mark_worker_lost(name, self.now)
             )
         else:
             self._apply_effects(
@@ -353,7 +353,9 @@
         old_worker = self.workers.pop(name)
         self.old_records = [*self.old_records, *old_worker.records]
         del self.links[name]
-        self._apply_effects(self.scheduler_state.lose_worker(name, self.now))
+        self._apply_effects(
+            self.scheduler_state.mark_worker_lost(name, self.now)
+        )
         self.scheduler_state.remove_worker(name)
         new_name = f"{name.split('-')[0]}-{len(self.replaced_at)}"
         self.racks[new_name] = self.racks[name]
