--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -289,7 +289,7 @@
             wall = self._read_wall_clock()
             self._apply(self.book.press_stops(wall))
             if lease.has_lapsed(own, now):
-                for name in self.book.find_missing():
+                for name in self.book.find_unlisted_workers():
                     self._apply(self.book.mark_worker_lost(name, wall))
             for name, (_, opened) in self._links.items():
                 if not lease.is_suspect(opened.lease, now):
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -266,7 +266,7 @@
             self.apply(transition, now, effects)
         return effects
 
-    def find_missing(self) -> frozenset[str]:
+    def find_unlisted_workers(self) -> frozenset[str]:
         """Return workers of gangs that are not in the VM list.
 
         If a worker disappeared while the data centre had no owner, only the
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -283,7 +283,7 @@
 
     def _mark_missing_workers_lost(self):
         if lease.has_lapsed(self.owner_lease, self.now):
-            for name in self.scheduler_state.find_missing():
+            for name in self.scheduler_state.find_unlisted_workers():
                 self._apply_effects(
                     self.scheduler_state.mark_worker_lost(name, self.now)
                 )
@@ -418,7 +418,7 @@
             for worker in workers
         ):
             return
-        if self.scheduler_state.find_missing():
+        if self.scheduler_state.find_unlisted_workers():
             return
         kept = scheduler.get_snapshot(self.scheduler_state, self.now)
         snapshot = scheduler.build_snapshot(self.scheduler_state, self.now)
