--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -287,7 +287,7 @@
             await trio.sleep(_CHECK_INTERVAL_S)
             now = trio.current_time()
             wall = self._read_wall_clock()
-            self._apply(self.book.press_stops(wall))
+            self._apply(self.book.stop_overdue_checkpoints(wall))
             if lease.has_lapsed(own, now):
                 for name in self.book.find_unlisted_workers():
                     self._apply(self.book.mark_worker_lost(name, wall))
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -322,7 +322,7 @@
         if gang.phase is gangs.Phase.ENDED:
             self._remove_ended_gang(gang, now, effects)
 
-    def press_stops(self, now: float) -> Effects:
+    def stop_overdue_checkpoints(self, now: float) -> Effects:
         """Stop reclaimed attempts whose checkpoints take too long.
 
         A claim waits until the loans that it reclaims have stopped. Their
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -269,7 +269,9 @@
                 self._send_renewal(link)
                 self._check_lease(name, link)
             self._mark_missing_workers_lost()
-            self._apply_effects(self.scheduler_state.press_stops(self.now))
+            self._apply_effects(
+                self.scheduler_state.stop_overdue_checkpoints(self.now)
+            )
             self.check_no_attempt_overlaps()
 
     def _advance_worker(self, name, worker):
