--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -51,8 +51,8 @@
     return jobs.Job(f"dc.{number:016x}", f"team-{team}", spec, float(number))
 
 
-def _build_book(workers: int, teams: int) -> jobs.Book:
-    book = books.Book("dc")
+def _build_book(workers: int, teams: int) -> jobs.SchedulerState:
+    book = books.SchedulerState("dc")
     book.catalog = _build_catalog(teams, "dc")
     for number in range(workers):
         name = f"w{number}"
@@ -61,7 +61,7 @@
     return book
 
 
-def _fill(book: jobs.Book, workers: int, rng: random.Random) -> int:
+def _fill(book: jobs.SchedulerState, workers: int, rng: random.Random) -> int:
     """Start small tasks until most slots are in use; return the tasks."""
     wanted = int(workers * _SLOTS * 0.8)
     number = 0
@@ -106,7 +106,7 @@
 
 
 def _time_decisions(
-    book: jobs.Book, running: int, rng: random.Random
+    book: jobs.SchedulerState, running: int, rng: random.Random
 ) -> list[float]:
     took_ms = []
     for number in range(running, running + _DECISIONS):
@@ -124,7 +124,7 @@
     return took_ms
 
 
-def _stop_all(book: jobs.Book, job_id: str) -> None:
+def _stop_all(book: jobs.SchedulerState, job_id: str) -> None:
     held = book.gangs.get(job_id)
     if held is not None:
         for name in sorted(held.holding_workers):
--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.data_centre = data_centre
         self.epoch = epoch
-        self.book = jobs.Book(data_centre)
+        self.book = jobs.SchedulerState(data_centre)
         self._client = client
         self._metrics = metrics
         self._keep_jobs_s = keep_jobs_s
--- a/crocusrouter/jobs/__init__.py
+++ b/crocusrouter/jobs/__init__.py
@@ -2,7 +2,7 @@
 
 from crocusrouter.jobs.admission import UnsatisfiableGuarantee
 from crocusrouter.jobs.admission import check_guarantees
-from crocusrouter.jobs.book import Book
+from crocusrouter.jobs.book import SchedulerState
 from crocusrouter.jobs.effects import Effects
 from crocusrouter.jobs.effects import Explanation
 from crocusrouter.jobs.handlers import handle_message
@@ -24,7 +24,7 @@
 from crocusrouter.jobs.scheduler import schedule
 
 __all__ = [
-    "Book",
+    "SchedulerState",
     "Effects",
     "Explanation",
     "FencedError",
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -45,7 +45,7 @@
 }
 
 
-class Book:
+class SchedulerState:
     """Jobs, gangs and workers of one data centre.
 
     Attributes:
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -4,7 +4,7 @@
 
 from crocusrouter.fleet import messages
 from crocusrouter.jobs import gang as gangs
-from crocusrouter.jobs.book import Book
+from crocusrouter.jobs.book import SchedulerState
 from crocusrouter.jobs.effects import Effects
 
 _RETRY_DELAY_AFTER_DECLINE_S = 0.5
@@ -12,7 +12,10 @@
 
 
 def handle_message(
-    scheduler_state: Book, worker_name: str, message: object, now: float
+    scheduler_state: SchedulerState,
+    worker_name: str,
+    message: object,
+    now: float,
 ) -> Effects:
     """Apply a worker's message; ignore messages of unknown workers.
 
@@ -37,7 +40,7 @@
 @functools.singledispatch
 def _handle(
     message: object,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -48,7 +51,7 @@
 @_handle.register
 def _(
     message: messages.Inventory,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -73,7 +76,7 @@
 @_handle.register
 def _(
     message: messages.Reserved,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -90,7 +93,7 @@
 @_handle.register
 def _(
     message: messages.Started,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -107,7 +110,7 @@
 @_handle.register
 def _(
     message: messages.Declined,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -127,7 +130,7 @@
 @_handle.register
 def _(
     message: messages.Stopped,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -152,7 +155,7 @@
 @_handle.register
 def _(
     message: messages.Finished,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -170,7 +173,7 @@
 
 
 def _is_expected(
-    scheduler_state: Book, key: tuple[str, int], worker_name: str
+    scheduler_state: SchedulerState, key: tuple[str, int], worker_name: str
 ) -> bool:
     """Tell whether a gang accounts for a worker's task."""
     gang = scheduler_state.find_gang(*key)
@@ -181,7 +184,7 @@
 
 
 def _remove_stray_task(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     task: messages.TaskReport,
     effects: Effects,
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -14,7 +14,7 @@
 from crocusrouter.jobs import placement
 from crocusrouter.jobs import quarantine
 from crocusrouter.jobs import queue
-from crocusrouter.jobs.book import Book
+from crocusrouter.jobs.book import SchedulerState
 from crocusrouter.jobs.book import build_placement_request
 from crocusrouter.jobs.effects import Effects
 
@@ -40,7 +40,7 @@
     valid_until: float = math.inf
 
 
-def schedule(scheduler_state: Book, now: float) -> Effects:
+def schedule(scheduler_state: SchedulerState, now: float) -> Effects:
     """Start jobs that can start, a few at most so that the call stays short.
 
     Once a job of some shape finds no place, other jobs of this shape are
@@ -105,7 +105,7 @@
     return effects
 
 
-def get_snapshot(scheduler_state: Book, now: float) -> Snapshot:
+def get_snapshot(scheduler_state: SchedulerState, now: float) -> Snapshot:
     """Return the cached snapshot, or a new one if the cache is out of date."""
     cache_entry = scheduler_state.cached_snapshot
     if isinstance(cache_entry, tuple) and cache_entry[0] == (
@@ -122,7 +122,7 @@
     return snapshot
 
 
-def build_snapshot(scheduler_state: Book, now: float) -> Snapshot:
+def build_snapshot(scheduler_state: SchedulerState, now: float) -> Snapshot:
     """Build a snapshot and bind all cells that lost their binding."""
     demands, loans = claims.assign_claims(
         claims.list_demands(
@@ -146,7 +146,7 @@
 
 
 def _update_snapshot(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     job: model.Job,
     decision: placement.Placement,
     snapshot: Snapshot,
@@ -184,7 +184,7 @@
 
 
 def _compute_borrowed_shares(
-    scheduler_state: Book, snapshot: Snapshot
+    scheduler_state: SchedulerState, snapshot: Snapshot
 ) -> dict[str, float]:
     """Return the share of the data centre that each customer borrows."""
     total_count = sum(
@@ -200,7 +200,7 @@
 
 
 def build_capacities(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     now: float,
     loans: Iterable[claims.JobAllocation] = (),
 ) -> cells.Capacities:
@@ -242,7 +242,9 @@
     return capacities
 
 
-def _list_ready_jobs(scheduler_state: Book, now: float) -> list[model.Job]:
+def _list_ready_jobs(
+    scheduler_state: SchedulerState, now: float
+) -> list[model.Job]:
     """Return the queued jobs whose retry delay is over."""
     return [
         job
@@ -252,7 +254,7 @@
 
 
 def _list_expected_ends(
-    scheduler_state: Book, now: float
+    scheduler_state: SchedulerState, now: float
 ) -> backfill.ExpectedEnds:
     """Return the expected end of each task, by worker name.
 
@@ -276,7 +278,7 @@
 
 
 def _decide_placement(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     job: model.Job,
     snapshot: Snapshot,
     reservation: backfill.Reservation | None,
@@ -305,7 +307,7 @@
 
 
 def _record_wait(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     job: model.Job,
     no_placement: placement.NoPlacement,
     now: float,
@@ -320,7 +322,7 @@
 
 
 def assign_job(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     job: model.Job,
     decision: placement.Placement,
     now: float,
@@ -356,7 +358,9 @@
         scheduler_state.apply(gangs.reserve_members(gang), now, effects)
 
 
-def _find_ending_jobs(scheduler_state: Book, job: model.Job) -> frozenset[str]:
+def _find_ending_jobs(
+    scheduler_state: SchedulerState, job: model.Job
+) -> frozenset[str]:
     """Return jobs whose ending attempts still hold the job's accelerators."""
     masks = {member.worker: member.mask for member in job.members}
     return frozenset(
--- a/crocusrouter/jobs/tests/build.py
+++ b/crocusrouter/jobs/tests/build.py
@@ -53,7 +53,7 @@
     """Return a state whose workers have all reported an empty inventory."""
     from crocusrouter.fleet import messages
 
-    scheduler_state = books.Book(DATA_CENTRE)
+    scheduler_state = books.SchedulerState(DATA_CENTRE)
     scheduler_state.catalog = catalog
     for i in range(workers):
         scheduler_state.set_worker(
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -97,7 +97,7 @@
         """Start a new owner, which knows only the journal."""
         self.epoch += 1
         self.owner_lease = lease.Lease(_LEASE_S, self.now)
-        self.scheduler_state = books.Book(build.DATA_CENTRE)
+        self.scheduler_state = books.SchedulerState(build.DATA_CENTRE)
         self.scheduler_state.catalog = _CATALOG
         self.scheduler_state.load_jobs(self.durable_jobs.values(), self.now)
         self.outbox = jobs.Outbox()
