--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.data_centre = data_centre
         self.epoch = epoch
-        self.book = jobs.SchedulerState(data_centre)
+        self.scheduler_state = jobs.SchedulerState(data_centre)
         self._client = client
         self._metrics = metrics
         self._keep_jobs_s = keep_jobs_s
@@ -72,7 +72,7 @@
         try:
             loaded = await self._journal.take_over()
             now = self._read_wall_clock()
-            self.book.load_jobs(loaded, now)
+            self.scheduler_state.load_jobs(loaded, now)
             self._committed = {job.id: job for job in loaded}
             log(
                 "owner:took-over",
@@ -112,7 +112,7 @@
 
     def set_catalog(self, catalog: Catalog) -> None:
         """Decide by this catalog from now on."""
-        self.book.catalog = catalog
+        self.scheduler_state.catalog = catalog
         self._wake.set()
 
     def set_fleet(self, machines: fleet.Fleet) -> None:
@@ -123,7 +123,9 @@
         listed = fleet.select_vms(machines, fleet.Role.WORKER, self.data_centre)
         for vm in listed:
             live = vm.state is fleet.VmState.LIVE
-            self.book.set_worker(vm.name, vm.rack, vm.accelerators, live)
+            self.scheduler_state.set_worker(
+                vm.name, vm.rack, vm.accelerators, live
+            )
             if vm.name not in self._links:
                 self._open_link(vm)
         for name in self._links.keys() - {vm.name for vm in listed}:
@@ -141,7 +143,7 @@
         refusal = self._check_store()
         if refusal is not None and job.id not in self._committed:
             return refusal
-        outcome = self.book.submit(job, self._read_wall_clock())
+        outcome = self.scheduler_state.submit(job, self._read_wall_clock())
         if isinstance(outcome, Refusal):
             return outcome
         self._apply(outcome)
@@ -155,7 +157,7 @@
         """Cancel a customer's job and wait until that is durable."""
         if self._find(customer, job_id) is None:
             return Refusal(RefusalReason.UNKNOWN_JOB, f"job {job_id}")
-        outcome = self.book.cancel(job_id, self._read_wall_clock())
+        outcome = self.scheduler_state.cancel(job_id, self._read_wall_clock())
         if isinstance(outcome, Refusal):
             return outcome
         self._apply(outcome)
@@ -183,7 +185,7 @@
         return tuple(map(self._view, mine))
 
     def _view(self, job: jobs.Job) -> mesh_messages.JobView:
-        explained = self.book.explain(job.id)
+        explained = self.scheduler_state.explain(job.id)
         if explained is None or job.is_final:
             phase, waiting_for = "", ""
         else:
@@ -267,8 +269,8 @@
         self._scopes.pop(name).cancel()
         del self._links[name]
         now = self._read_wall_clock()
-        self._apply(self.book.mark_worker_lost(name, now))
-        self.book.remove_worker(name)
+        self._apply(self.scheduler_state.mark_worker_lost(name, now))
+        self.scheduler_state.remove_worker(name)
 
     def _receive(self, worker: str, message: object) -> None:
         if isinstance(message, messages.Fenced):
@@ -277,7 +279,9 @@
             self._nursery.cancel_scope.cancel()
             return
         now = self._read_wall_clock()
-        self._apply(jobs.handle_message(self.book, worker, message, now))
+        self._apply(
+            jobs.handle_message(self.scheduler_state, worker, message, now)
+        )
         self._wake.set()
 
     async def _check_leases(self) -> None:
@@ -287,22 +291,26 @@
             await trio.sleep(_CHECK_INTERVAL_S)
             now = trio.current_time()
             wall = self._read_wall_clock()
-            self._apply(self.book.stop_overdue_checkpoints(wall))
+            self._apply(self.scheduler_state.stop_overdue_checkpoints(wall))
             if lease.has_lapsed(own, now):
-                for name in self.book.find_unlisted_workers():
-                    self._apply(self.book.mark_worker_lost(name, wall))
+                for name in self.scheduler_state.find_unlisted_workers():
+                    self._apply(
+                        self.scheduler_state.mark_worker_lost(name, wall)
+                    )
             for name, (_, opened) in self._links.items():
                 if not lease.is_suspect(opened.lease, now):
                     continue
-                if self.book.workers[name].inventory_known:
+                if self.scheduler_state.workers[name].inventory_known:
                     # After a pause of our own, answers may still come over
                     # this connection, but only a new one brings the
                     # inventory that makes the worker known again.
                     opened.retire()
                 if lease.has_lapsed(opened.lease, now):
-                    self._apply(self.book.mark_worker_lost(name, wall))
+                    self._apply(
+                        self.scheduler_state.mark_worker_lost(name, wall)
+                    )
                 else:
-                    self._apply(self.book.suspect_worker(name, wall))
+                    self._apply(self.scheduler_state.suspect_worker(name, wall))
             self._drop_old(wall)
 
     def _drop_old(self, now: float) -> None:
@@ -310,7 +318,7 @@
             if job.finished_at is None:
                 continue
             if now - job.finished_at > self._keep_jobs_s:
-                self.book.forget_job(job.id)
+                self.scheduler_state.forget_job(job.id)
                 del self._committed[job.id]
                 self._journal.drop(job.id)
 
@@ -322,7 +330,9 @@
             with trio.move_on_after(_CHECK_INTERVAL_S):
                 await self._wake.wait()
             self._wake = trio.Event()
-            effects = jobs.schedule(self.book, self._read_wall_clock())
+            effects = jobs.schedule(
+                self.scheduler_state, self._read_wall_clock()
+            )
             self._apply(effects)
             await trio.sleep(0)
 
@@ -339,8 +349,12 @@
 
 def describe_owner(owner: Owner) -> OwnerStatus:
     """Summarise an owner."""
-    unfinished = [j for j in owner.book.jobs.values() if not j.is_final]
-    known = [w for w in owner.book.workers.values() if w.inventory_known]
+    unfinished = [
+        j for j in owner.scheduler_state.jobs.values() if not j.is_final
+    ]
+    known = [
+        w for w in owner.scheduler_state.workers.values() if w.inventory_known
+    ]
     return OwnerStatus(
         owner.data_centre, owner.epoch, len(unfinished), len(known)
     )
--- a/crocusrouter/controllers/tests/test_entry.py
+++ b/crocusrouter/controllers/tests/test_entry.py
@@ -353,8 +353,8 @@
         def fail(*_):
             raise KeyError("w0")
 
-        monkeypatch.setattr(first.book, "submit", fail)
-        monkeypatch.setattr(first.book, "list_queued", fail)
+        monkeypatch.setattr(first.scheduler_state, "submit", fail)
+        monkeypatch.setattr(first.scheduler_state, "list_queued", fail)
         await world.wait_for(
             lambda: entry.metrics.counts["event:owner-failed"] == 1
         )
--- a/standins/world.py
+++ b/standins/world.py
@@ -225,8 +225,11 @@
         def is_owned() -> bool:
             return any(
                 held.is_ready
-                and set(held.book.workers) >= set(self.workers)
-                and all(w.inventory_known for w in held.book.workers.values())
+                and set(held.scheduler_state.workers) >= set(self.workers)
+                and all(
+                    w.inventory_known
+                    for w in held.scheduler_state.workers.values()
+                )
                 for served in self.entries.values()
                 for held in served.entry.owned.values()
             )
