--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -352,9 +352,9 @@
     reply = await _submit(world, run_time_s=60.0)
     owner = world.entries["e1"].entry.owned["dc"]
     job_id = reply.document["id"]
-    await world.wait_for(lambda: job_id in owner.book.gangs)
-    world.unlist_vm(owner.book.jobs[job_id].members[0].worker)
-    await world.wait_for(lambda: owner.book.jobs[job_id].losses == 1)
+    await world.wait_for(lambda: job_id in owner.scheduler_state.gangs)
+    world.unlist_vm(owner.scheduler_state.jobs[job_id].members[0].worker)
+    await world.wait_for(lambda: owner.scheduler_state.jobs[job_id].losses == 1)
 
 
 async def _worker_declined(world):
