--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -11,7 +11,7 @@
 from crocusrouter import jobs
 from crocusrouter import templates
 from crocusrouter.fleet import messages
-from crocusrouter.jobs import book as books
+from crocusrouter.jobs import scheduler_state as books
 from crocusrouter.templates import Level
 
 _SEED = 1
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -16,11 +16,11 @@
 from crocusrouter import jobs
 from crocusrouter import templates
 from crocusrouter.fleet import messages
-from crocusrouter.jobs import book as books
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import gang as gangs
 from crocusrouter.jobs import model
 from crocusrouter.jobs import scheduler
+from crocusrouter.jobs import scheduler_state as books
 from crocusrouter.templates import Level
 
 _WORKERS = 24
--- a/crocusrouter/jobs/__init__.py
+++ b/crocusrouter/jobs/__init__.py
@@ -2,7 +2,6 @@
 
 from crocusrouter.jobs.admission import UnsatisfiableGuarantee
 from crocusrouter.jobs.admission import check_guarantees
-from crocusrouter.jobs.book import SchedulerState
 from crocusrouter.jobs.effects import Effects
 from crocusrouter.jobs.effects import Explanation
 from crocusrouter.jobs.handlers import handle_message
@@ -22,6 +21,7 @@
 from crocusrouter.jobs.placement import PlacementRequest
 from crocusrouter.jobs.placement import place_job
 from crocusrouter.jobs.scheduler import schedule
+from crocusrouter.jobs.scheduler_state import SchedulerState
 
 __all__ = [
     "SchedulerState",
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -4,8 +4,8 @@
 
 from crocusrouter.fleet import messages
 from crocusrouter.jobs import gang as gangs
-from crocusrouter.jobs.book import SchedulerState
 from crocusrouter.jobs.effects import Effects
+from crocusrouter.jobs.scheduler_state import SchedulerState
 
 _RETRY_DELAY_AFTER_DECLINE_S = 0.5
 _HOLDING_PHASES = (messages.TaskPhase.RESERVED, messages.TaskPhase.RUNNING)
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -14,9 +14,9 @@
 from crocusrouter.jobs import placement
 from crocusrouter.jobs import quarantine
 from crocusrouter.jobs import queue
-from crocusrouter.jobs.book import SchedulerState
-from crocusrouter.jobs.book import build_placement_request
 from crocusrouter.jobs.effects import Effects
+from crocusrouter.jobs.scheduler_state import SchedulerState
+from crocusrouter.jobs.scheduler_state import build_placement_request
 
 _MAX_DECISIONS_PER_PASS = 8
 
--- a/crocusrouter/jobs/tests/build.py
+++ b/crocusrouter/jobs/tests/build.py
@@ -4,8 +4,8 @@
 
 from crocusrouter import jobs
 from crocusrouter import templates
-from crocusrouter.jobs import book as books
 from crocusrouter.jobs import cells
+from crocusrouter.jobs import scheduler_state as books
 from crocusrouter.templates import Level
 
 DATA_CENTRE = "dc"
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -14,9 +14,9 @@
 from crocusrouter import jobs
 from crocusrouter.fleet import lease
 from crocusrouter.fleet import messages
-from crocusrouter.jobs import book as books
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import scheduler
+from crocusrouter.jobs import scheduler_state as books
 from crocusrouter.jobs.tests import build
 from crocusrouter.outcomes import Refusal
 from standins import fuzzing
