--- a/crocusrouter/jobs/tests/build.py
+++ b/crocusrouter/jobs/tests/build.py
@@ -5,7 +5,7 @@
 from crocusrouter import jobs
 from crocusrouter import templates
 from crocusrouter.jobs import cells
-from crocusrouter.jobs import scheduler_state as books
+from crocusrouter.jobs import scheduler_state as scheduler_states
 from crocusrouter.templates import Level
 
 DATA_CENTRE = "dc"
@@ -53,7 +53,7 @@
     """Return a state whose workers have all reported an empty inventory."""
     from crocusrouter.fleet import messages
 
-    scheduler_state = books.SchedulerState(DATA_CENTRE)
+    scheduler_state = scheduler_states.SchedulerState(DATA_CENTRE)
     scheduler_state.catalog = catalog
     for i in range(workers):
         scheduler_state.set_worker(
