--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -16,7 +16,7 @@
 from crocusrouter.fleet import messages
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import scheduler
-from crocusrouter.jobs import scheduler_state as books
+from crocusrouter.jobs import scheduler_state as scheduler_states
 from crocusrouter.jobs.tests import build
 from crocusrouter.outcomes import Refusal
 from standins import fuzzing
@@ -97,7 +97,9 @@
         """Start a new owner, which knows only the journal."""
         self.epoch += 1
         self.owner_lease = lease.Lease(_LEASE_S, self.now)
-        self.scheduler_state = books.SchedulerState(build.DATA_CENTRE)
+        self.scheduler_state = scheduler_states.SchedulerState(
+            build.DATA_CENTRE
+        )
         self.scheduler_state.catalog = _CATALOG
         self.scheduler_state.load_jobs(self.durable_jobs.values(), self.now)
         self.outbox = jobs.Outbox()
