--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -11,7 +11,7 @@
 from crocusrouter import jobs
 from crocusrouter import templates
 from crocusrouter.fleet import messages
-from crocusrouter.jobs import scheduler_state as books
+from crocusrouter.jobs import scheduler_state as scheduler_states
 from crocusrouter.templates import Level
 
 _SEED = 1
@@ -52,7 +52,7 @@
 
 
 def _build_book(workers: int, teams: int) -> jobs.SchedulerState:
-    book = books.SchedulerState("dc")
+    book = scheduler_states.SchedulerState("dc")
     book.catalog = _build_catalog(teams, "dc")
     for number in range(workers):
         name = f"w{number}"
