--- a/bench/policy.py
+++ b/bench/policy.py
@@ -20,7 +20,7 @@
 from crocusrouter.jobs import gang as gangs
 from crocusrouter.jobs import model
 from crocusrouter.jobs import scheduler
-from crocusrouter.jobs import scheduler_state as books
+from crocusrouter.jobs import scheduler_state as scheduler_states
 from crocusrouter.templates import Level
 
 _WORKERS = 24
@@ -104,7 +104,7 @@
     return arrivals
 
 
-def build_book(load: Load) -> books.SchedulerState:
+def build_book(load: Load) -> scheduler_states.SchedulerState:
     """Return a book in which two customers hold a rack cell each."""
     catalog = templates.Catalog()
     rack = load.workers_per_rack * _ACCELERATORS
@@ -119,7 +119,7 @@
             weights=load.weights,
         )
         catalog = templates.replace_template(catalog, template)
-    book = books.SchedulerState("dc")
+    book = scheduler_states.SchedulerState("dc")
     book.catalog = catalog
     for number in range(_WORKERS):
         rack_name = f"r{number // load.workers_per_rack}"
@@ -128,7 +128,7 @@
     return book
 
 
-Schedule = Callable[[books.SchedulerState, float], jobs.Effects]
+Schedule = Callable[[scheduler_states.SchedulerState, float], jobs.Effects]
 
 
 @dataclasses.dataclass
@@ -254,7 +254,7 @@
     return 1 - usable / total
 
 
-def _list_fifo(book: books.SchedulerState) -> Iterator[model.Job]:
+def _list_fifo(book: scheduler_states.SchedulerState) -> Iterator[model.Job]:
     yield from sorted(book.list_queued(), key=lambda job: job.submitted_at)
 
 
@@ -279,7 +279,9 @@
     With `quota`, work within its customer's guaranteed count goes first.
     """
 
-    def schedule(book: books.SchedulerState, now: float) -> jobs.Effects:
+    def schedule(
+        book: scheduler_states.SchedulerState, now: float
+    ) -> jobs.Effects:
         effects = jobs.Effects()
         floor = {
             name: space._replace(reclaimable_mask=0)
@@ -306,7 +308,9 @@
     return schedule
 
 
-def _is_within_quota(book: books.SchedulerState, job: model.Job) -> bool:
+def _is_within_quota(
+    book: scheduler_states.SchedulerState, job: model.Job
+) -> bool:
     template = book.catalog.templates[job.customer].template
     quota = sum(c.accelerators * c.count for c in template.guarantee)
     used = sum(
