--- a/bench/policy.py
+++ b/bench/policy.py
@@ -16,11 +16,11 @@
 from crocusrouter import jobs
 from crocusrouter import templates
 from crocusrouter.fleet import messages
-from crocusrouter.jobs import book as books
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import gang as gangs
 from crocusrouter.jobs import model
 from crocusrouter.jobs import scheduler
+from crocusrouter.jobs import scheduler_state as scheduler_states
 from crocusrouter.templates import Level
 
 _WORKERS = 24
@@ -104,7 +104,7 @@
     return arrivals
 
 
-def build_book(load: Load) -> books.Book:
+def build_book(load: Load) -> scheduler_states.SchedulerState:
     """Return a book in which two customers hold a rack cell each."""
     catalog = templates.Catalog()
     rack = load.workers_per_rack * _ACCELERATORS
@@ -119,7 +119,7 @@
             weights=load.weights,
         )
         catalog = templates.replace_template(catalog, template)
-    book = books.Book("dc")
+    book = scheduler_states.SchedulerState("dc")
     book.catalog = catalog
     for number in range(_WORKERS):
         rack_name = f"r{number // load.workers_per_rack}"
@@ -128,7 +128,7 @@
     return book
 
 
-Schedule = Callable[[books.Book, float], jobs.Effects]
+Schedule = Callable[[scheduler_states.SchedulerState, float], jobs.Effects]
 
 
 @dataclasses.dataclass
@@ -176,7 +176,7 @@
     def _decide(self, now: float) -> None:
         while True:
             effects = self._schedule(self._book, now)
-            if not effects.changed:
+            if not effects.changed_jobs:
                 return
             self._obey(effects.commands, now)
 
@@ -216,52 +216,61 @@
             effects = jobs.handle_message(self._book, worker, finished, now)
             self._obey(effects.commands, now)
         self._took.append(now - self._book.jobs[job_id].submitted_at)
-        self._book.forget(job_id)
+        self._book.forget_job(job_id)
 
     def _sample(self, now: float) -> None:
-        state = scheduler.observe(self._book, now)
+        state = scheduler.build_snapshot(self._book, now)
         if not isinstance(
-            cells.embed(state.needs, state.floor), cells.Embedding
+            cells.embed(state.demands, state.capacities), cells.Embedding
         ):
             self._broken += 1
         shapes = [
-            cells.Need("", job.spec.level, job.spec.accelerators)
+            cells.CellDemand("", job.spec.level, job.spec.accelerators)
             for job in self._book.list_queued()
         ]
-        shapes += [need for need in state.needs if not need.pinned]
+        shapes += [need for need in state.demands if not need.claimed_members]
         if shapes:
             largest = max(shapes, key=lambda need: need.accelerators)
-            self._fragments.append(measure_fragmentation(largest, state.floor))
+            self._fragments.append(
+                measure_fragmentation(largest, state.capacities)
+            )
 
 
-def measure_fragmentation(need: cells.Need, floor: cells.Floor) -> float:
+def measure_fragmentation(
+    need: cells.CellDemand, floor: cells.Capacities
+) -> float:
     """Return the share of free accelerators that a shape can't use."""
-    free = {name: space._replace(lent=0) for name, space in floor.items()}
+    free = {
+        name: space._replace(reclaimable_mask=0)
+        for name, space in floor.items()
+    }
     total = cells.count_free(list(free.values()))
     if not total:
         return 0.0
     usable = 0
-    for unit in cells.group_spaces(free, need.level):
+    for unit in cells.group_by_level(free, need.level):
         count = cells.count_free(unit)
         usable += count - count % need.accelerators
     return 1 - usable / total
 
 
-def _list_fifo(book: books.Book) -> Iterator[model.Job]:
+def _list_fifo(book: scheduler_states.SchedulerState) -> Iterator[model.Job]:
     yield from sorted(book.list_queued(), key=lambda job: job.submitted_at)
 
 
 def _place_first(
-    need: cells.Need, floor: cells.Floor, *, tightest: bool
-) -> cells.Spot | None:
+    need: cells.CellDemand, floor: cells.Capacities, *, tightest: bool
+) -> cells.Allocation | None:
     units = [
         unit
-        for unit in cells.group_spaces(floor, need.level)
+        for unit in cells.group_by_level(floor, need.level)
         if cells.count_free(unit) >= need.accelerators
     ]
     if tightest:
         units.sort(key=cells.count_free)
-    return cells.fill_unit(units[0], need.accelerators) if units else None
+    return (
+        cells.allocate_in_unit(units[0], need.accelerators) if units else None
+    )
 
 
 def build_baseline(*, tightest: bool, quota: bool) -> Schedule:
@@ -270,11 +279,13 @@
     With `quota`, work within its customer's guaranteed count goes first.
     """
 
-    def schedule(book: books.Book, now: float) -> jobs.Effects:
+    def schedule(
+        book: scheduler_states.SchedulerState, now: float
+    ) -> jobs.Effects:
         effects = jobs.Effects()
         floor = {
-            name: space._replace(lent=0)
-            for name, space in scheduler.build_floor(book, now).items()
+            name: space._replace(reclaimable_mask=0)
+            for name, space in scheduler.build_capacities(book, now).items()
         }
         failed: set[tuple[Level, int]] = set()
         waiting = list(_list_fifo(book))
@@ -284,25 +295,27 @@
             shape = (job.spec.level, job.spec.accelerators)
             if shape in failed:
                 continue
-            need = cells.Need(job.customer, *shape)
+            need = cells.CellDemand(job.customer, *shape)
             spot = _place_first(need, floor, tightest=tightest)
             if spot is None:
                 failed.add(shape)
                 continue
-            floor = cells.remove_spot(floor, spot)
-            placed = jobs.Placed(spot)
-            scheduler.assign(book, job, placed, now, effects)
+            floor = cells.subtract_allocation(floor, spot)
+            placed = jobs.Placement(spot)
+            scheduler.assign_job(book, job, placed, now, effects)
         return effects
 
     return schedule
 
 
-def _is_within_quota(book: books.Book, job: model.Job) -> bool:
+def _is_within_quota(
+    book: scheduler_states.SchedulerState, job: model.Job
+) -> bool:
     template = book.catalog.templates[job.customer].template
     quota = sum(c.accelerators * c.count for c in template.guarantee)
     used = sum(
         held.size
-        for held in book.holdings.values()
+        for held in book.job_allocations.values()
         if held.customer == job.customer
     )
     return used + job.spec.accelerators <= quota
--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -57,7 +57,7 @@
     ) -> None:
         self.data_centre = data_centre
         self.epoch = epoch
-        self.book = jobs.Book(data_centre)
+        self.scheduler_state = jobs.SchedulerState(data_centre)
         self._store_client = store_client
         self._metrics = metrics
         self._keep_jobs_s = keep_jobs_s
@@ -81,7 +81,7 @@
         try:
             loaded_jobs = await self._journal.take_over()
             now = self._read_wall_clock()
-            self.book.load(loaded_jobs, now)
+            self.scheduler_state.load_jobs(loaded_jobs, now)
             self._committed_jobs = {job.id: job for job in loaded_jobs}
             log(
                 "owner:took-over",
@@ -121,7 +121,7 @@
 
     def set_catalog(self, catalog: Catalog) -> None:
         """Schedule by this catalog from now on."""
-        self.book.catalog = catalog
+        self.scheduler_state.catalog = catalog
         self._schedule_needed.set()
 
     def set_fleet(self, current_fleet: fleet.Fleet) -> None:
@@ -134,7 +134,8 @@
         )
         for vm in worker_vms:
             is_live = vm.state is fleet.VmState.LIVE
-            self.book.set_worker(vm.name, vm.rack, vm.accelerators, is_live)
+            self.scheduler_state.set_worker(
+                vm.name, vm.rack, vm.accelerators, is_live)
             if vm.name not in self._worker_links:
                 self._open_link(vm)
         for name in self._worker_links.keys() - {vm.name for vm in worker_vms}:
@@ -153,7 +154,7 @@
         refusal = self._refuse_if_store_fails()
         if refusal is not None and job.id not in self._committed_jobs:
             return refusal
-        outcome = self.book.submit(job, self._read_wall_clock())
+        outcome = self.scheduler_state.submit(job, self._read_wall_clock())
         if isinstance(outcome, Refusal):
             return outcome
         self._apply_effects(outcome)
@@ -171,7 +172,7 @@
         """Cancel a customer's job, and wait until the change is durable."""
         if self._find_committed(customer, job_id) is None:
             return Refusal(RefusalReason.UNKNOWN_JOB, f"job {job_id}")
-        outcome = self.book.cancel(job_id, self._read_wall_clock())
+        outcome = self.scheduler_state.cancel(job_id, self._read_wall_clock())
         if isinstance(outcome, Refusal):
             return outcome
         self._apply_effects(outcome)
@@ -205,7 +206,7 @@
         return tuple(map(self._build_view, customer_jobs))
 
     def _build_view(self, job: jobs.Job) -> mesh_messages.JobView:
-        explanation = self.book.explain(job.id)
+        explanation = self.scheduler_state.explain(job.id)
         if explanation is None or job.is_final:
             phase, waiting_for = "", ""
         else:
@@ -234,7 +235,7 @@
 
     def _apply_effects(self, effects: jobs.Effects) -> None:
         """Journal changed jobs; hold their commands until they are durable."""
-        for job in effects.changed:
+        for job in effects.changed_jobs:
             self._metrics.count_job(str(job.state))
             log(
                 "job:changed",
@@ -243,15 +244,15 @@
                 attempt=job.attempt,
                 epoch=self.epoch,
             )
-        for reason in effects.retries:
+        for reason in effects.retry_reasons:
             self._metrics.count_retry(reason)
-        self._journal.stage(effects.changed)
+        self._journal.stage(effects.changed_jobs)
         sendable_commands = self._command_outbox.admit(
             effects.commands, self._journal.is_pending
         )
         for command in sendable_commands:
             self._send_command(command)
-        if effects.changed:
+        if effects.changed_jobs:
             self._schedule_needed.set()
 
     def _send_command(self, command: gang.Command) -> None:
@@ -296,8 +297,8 @@
         self._link_scopes.pop(worker).cancel()
         del self._worker_links[worker]
         now = self._read_wall_clock()
-        self._apply_effects(self.book.lose_worker(worker, now))
-        self.book.remove_worker(worker)
+        self._apply_effects(self.scheduler_state.mark_worker_lost(worker, now))
+        self.scheduler_state.remove_worker(worker)
 
     def _handle_worker_message(self, worker: str, message: object) -> None:
         if isinstance(message, messages.Fenced):
@@ -307,7 +308,7 @@
             return
         now = self._read_wall_clock()
         self._apply_effects(
-            jobs.handle_message(self.book, worker, message, now)
+            jobs.handle_message(self.scheduler_state, worker, message, now)
         )
         self._schedule_needed.set()
 
@@ -319,23 +320,27 @@
             await trio.sleep(_CHECK_INTERVAL_S)
             now = trio.current_time()
             wall_now = self._read_wall_clock()
-            self._apply_effects(self.book.press_stops(wall_now))
+            self._apply_effects(self.scheduler_state.stop_overdue_checkpoints(wall_now))
             if lease.has_lapsed(takeover_lease, now):
-                for worker in self.book.find_missing():
-                    self._apply_effects(self.book.lose_worker(worker, wall_now))
+                for worker in self.scheduler_state.find_unlisted_workers():
+                    self._apply_effects(
+                        self.scheduler_state.mark_worker_lost(worker, wall_now)
+                    )
             for worker, (_, worker_link) in self._worker_links.items():
                 if not lease.is_suspect(worker_link.lease, now):
                     continue
-                if self.book.workers[worker].known:
+                if self.scheduler_state.workers[worker].inventory_known:
                     # If this process was suspended, answers may still arrive
                     # over the current connection. Only a new connection
                     # brings the inventory that makes the worker known again.
                     worker_link.reconnect()
                 if lease.has_lapsed(worker_link.lease, now):
-                    self._apply_effects(self.book.lose_worker(worker, wall_now))
+                    self._apply_effects(
+                        self.scheduler_state.mark_worker_lost(worker, wall_now)
+                    )
                 else:
                     self._apply_effects(
-                        self.book.suspect_worker(worker, wall_now)
+                        self.scheduler_state.suspect_worker(worker, wall_now)
                     )
             self._forget_old_jobs(wall_now)
 
@@ -345,7 +350,7 @@
             if job.finished_at is None:
                 continue
             if now - job.finished_at > self._keep_jobs_s:
-                self.book.forget(job.id)
+                self.scheduler_state.forget_job(job.id)
                 del self._committed_jobs[job.id]
                 self._journal.drop(job.id)
 
@@ -360,7 +365,9 @@
             with trio.move_on_after(_CHECK_INTERVAL_S):
                 await self._schedule_needed.wait()
             self._schedule_needed = trio.Event()
-            effects = jobs.schedule(self.book, self._read_wall_clock())
+            effects = jobs.schedule(
+                self.scheduler_state, self._read_wall_clock()
+            )
             self._apply_effects(effects)
             await trio.sleep(0)
 
@@ -378,10 +385,10 @@
 def describe_owner(owner: DataCentreOwner) -> OwnerStatus:
     """Return the status of an owner."""
     unfinished_jobs = [
-        job for job in owner.book.jobs.values() if not job.is_final
+        job for job in owner.scheduler_state.jobs.values() if not job.is_final
     ]
     known_workers = [
-        worker for worker in owner.book.workers.values() if worker.known
+        worker for worker in owner.scheduler_state.workers.values() if worker.inventory_known
     ]
     return OwnerStatus(
         owner.data_centre, owner.epoch, len(unfinished_jobs), len(known_workers)
--- a/crocusrouter/controllers/tests/test_entry.py
+++ b/crocusrouter/controllers/tests/test_entry.py
@@ -366,8 +366,8 @@
         def fail(*_):
             raise KeyError("w0")
 
-        monkeypatch.setattr(first_owner.book, "submit", fail)
-        monkeypatch.setattr(first_owner.book, "list_queued", fail)
+        monkeypatch.setattr(first_owner.scheduler_state, "submit", fail)
+        monkeypatch.setattr(first_owner.scheduler_state, "list_queued", fail)
         await world.wait_for(
             lambda: entry.metrics.counts["event:owner-failed"] == 1
         )
--- a/crocusrouter/jobs/__init__.py
+++ b/crocusrouter/jobs/__init__.py
@@ -2,7 +2,6 @@
 
 from crocusrouter.jobs.admission import UnsatisfiableGuarantee
 from crocusrouter.jobs.admission import check_guarantees
-from crocusrouter.jobs.book import Book
 from crocusrouter.jobs.effects import Effects
 from crocusrouter.jobs.effects import Explanation
 from crocusrouter.jobs.handlers import handle_message
@@ -17,14 +16,15 @@
 from crocusrouter.jobs.model import parse_data_centre
 from crocusrouter.jobs.outbox import Outbox
 from crocusrouter.jobs.placement import NoPlacement
-from crocusrouter.jobs.placement import Placed
+from crocusrouter.jobs.placement import Placement
 from crocusrouter.jobs.placement import PlacementContext
 from crocusrouter.jobs.placement import PlacementRequest
 from crocusrouter.jobs.placement import place_job
 from crocusrouter.jobs.scheduler import schedule
+from crocusrouter.jobs.scheduler_state import SchedulerState
 
 __all__ = [
-    "Book",
+    "SchedulerState",
     "Effects",
     "Explanation",
     "FencedError",
@@ -34,7 +34,7 @@
     "Member",
     "NoPlacement",
     "Outbox",
-    "Placed",
+    "Placement",
     "PlacementContext",
     "PlacementRequest",
     "Spec",
--- a/crocusrouter/jobs/admission.py
+++ b/crocusrouter/jobs/admission.py
@@ -23,13 +23,13 @@
     """
 
     data_centre: str
-    demand: cells.Need
+    demand: cells.CellDemand
     lost_part: str = ""
 
     def __str__(self) -> str:
         """Describe the cell.
 
-        >>> demand = cells.Need("a", Level.RACK, 16)
+        >>> demand = cells.CellDemand("a", Level.RACK, 16)
         >>> str(UnsatisfiableGuarantee("liege", demand, "rack r1"))
         "a's cell of 16 in one rack of liege, after the loss of rack r1"
         """
@@ -102,7 +102,7 @@
 
 
 def _iterate_losses(
-    catalog: Catalog, capacities: cells.Floor
+    catalog: Catalog, capacities: cells.Capacities
 ) -> Iterator[tuple[str, set[str], set[str]]]:
     """Yield the losses that guarantees must survive, "no loss" first.
 
@@ -129,6 +129,6 @@
         for name in capacities:
             yield f"worker {name}", {name}, worker_loss_customers
     if rack_loss_customers:
-        for unit in cells.group_spaces(capacities, Level.RACK):
+        for unit in cells.group_by_level(capacities, Level.RACK):
             lost_workers = {capacity.worker for capacity in unit}
             yield f"rack {unit[0].rack}", lost_workers, rack_loss_customers
--- a/crocusrouter/jobs/cell_bindings.py
+++ b/crocusrouter/jobs/cell_bindings.py
@@ -20,17 +20,17 @@
 
 # Customer and index of a cell.
 CellKey = tuple[str, int]
-CellBindings = dict[CellKey, cells.Spot]
+CellBindings = dict[CellKey, cells.Allocation]
 
 
-def get_cell_key(demand: cells.Need) -> CellKey:
+def get_cell_key(demand: cells.CellDemand) -> CellKey:
     """Return the key of a cell in `CellBindings`."""
     return (demand.customer, demand.index)
 
 
 def bind_cells(
-    demands: tuple[cells.Need, ...],
-    capacities: cells.Floor,
+    demands: tuple[cells.CellDemand, ...],
+    capacities: cells.Capacities,
     bindings: CellBindings,
 ) -> CellBindings:
     """Bind all cells; bindings that are intact stay.
@@ -61,14 +61,16 @@
 
 
 def is_binding_intact(
-    demand: cells.Need, capacities: cells.Floor, binding: cells.Spot | None
+    demand: cells.CellDemand,
+    capacities: cells.Capacities,
+    binding: cells.Allocation | None,
 ) -> bool:
     """Tell whether a binding still holds its whole cell."""
     if binding is None or _count_accelerators(binding) != demand.accelerators:
         return False
     claimed_masks = {
         member.worker: member.mask
-        for member in merge_allocations([demand.pinned])
+        for member in merge_allocations([demand.claimed_members])
     }
     for member in binding:
         claimed_mask = claimed_masks.pop(member.worker, 0)
@@ -81,17 +83,19 @@
     return not claimed_masks
 
 
-def find_unclaimed_part(demand: cells.Need, binding: cells.Spot) -> cells.Spot:
+def find_unclaimed_part(
+    demand: cells.CellDemand, binding: cells.Allocation
+) -> cells.Allocation:
     """Return the accelerators of a binding that are not claimed.
 
     >>> claimed = (model.Member("w", 0b01),)
-    >>> demand = cells.Need("a", cells.Level.RACK, 2, 0, claimed)
+    >>> demand = cells.CellDemand("a", cells.Level.RACK, 2, 0, claimed)
     >>> find_unclaimed_part(demand, (model.Member("w", 0b11),))
     (Member(worker='w', mask=2),)
     """
     claimed_masks = {
         member.worker: member.mask
-        for member in merge_allocations([demand.pinned])
+        for member in merge_allocations([demand.claimed_members])
     }
     unclaimed_members = (
         model.Member(
@@ -104,10 +108,10 @@
 
 
 def subtract_unclaimed(
-    capacities: cells.Floor,
-    demands: tuple[cells.Need, ...],
+    capacities: cells.Capacities,
+    demands: tuple[cells.CellDemand, ...],
     bindings: CellBindings,
-) -> cells.Floor:
+) -> cells.Capacities:
     """Return the capacities without the unclaimed parts of all bindings."""
     return cells.subtract_allocations(
         capacities,
@@ -120,8 +124,8 @@
 
 
 def merge_allocations(
-    allocations: "list[cells.Spot] | tuple[cells.Spot, ...]",
-) -> cells.Spot:
+    allocations: "list[cells.Allocation] | tuple[cells.Allocation, ...]",
+) -> cells.Allocation:
     """Merge allocations so that each worker has one member.
 
     >>> first, second = model.Member("w", 0b01), model.Member("w", 0b10)
@@ -138,8 +142,8 @@
 
 
 def _bind_remaining(
-    demands: tuple[cells.Need, ...],
-    capacities: cells.Floor,
+    demands: tuple[cells.CellDemand, ...],
+    capacities: cells.Capacities,
     bindings: CellBindings,
 ) -> CellBindings | None:
     """Bind all unbound cells around the given bindings, or return None."""
@@ -160,14 +164,14 @@
         result.demands, result.allocations, strict=True
     ):
         all_bindings[get_cell_key(demand)] = merge_allocations(
-            [demand.pinned, allocation]
+            [demand.claimed_members, allocation]
         )
     return all_bindings
 
 
 def _bind_as_many_as_possible(
-    demands: tuple[cells.Need, ...],
-    capacities: cells.Floor,
+    demands: tuple[cells.CellDemand, ...],
+    capacities: cells.Capacities,
     intact_bindings: CellBindings,
 ) -> CellBindings:
     """Bind cells in order while workers are missing."""
@@ -191,5 +195,5 @@
     return bindings
 
 
-def _count_accelerators(allocation: cells.Spot) -> int:
+def _count_accelerators(allocation: cells.Allocation) -> int:
     return sum(member.size for member in allocation)
--- a/crocusrouter/jobs/cells.py
+++ b/crocusrouter/jobs/cells.py
@@ -40,29 +40,29 @@
         worker: The worker's name.
         rack: The rack of the worker.
         free_mask: Accelerators that nobody uses.
-        lent: Accelerators used beyond a guarantee; claims can
+        reclaimable_mask: Accelerators used beyond a guarantee; claims can
             take them back.
     """
 
     worker: str
     rack: str
     free_mask: int
-    lent: int = 0
+    reclaimable_mask: int = 0
 
     @property
     def usable_mask(self) -> int:
         """Accelerators that a guarantee can count on: free or reclaimable."""
-        return self.free_mask | self.lent
+        return self.free_mask | self.reclaimable_mask
 
 
 # Capacities of the workers of one data centre, by worker name.
-Floor = dict[str, WorkerCapacity]
+Capacities = dict[str, WorkerCapacity]
 # Usable and free counts of each worker of a unit, sorted.
 _UnitShape = tuple[tuple[int, int], ...]
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
+class CellDemand:
     """One cell that must be embedded.
 
     Attributes:
@@ -70,22 +70,24 @@
         level: Kind of unit that must hold the whole cell.
         accelerators: Size of the whole cell.
         index: Index of the cell among the customer's cells.
-        pinned: Claimed part of the cell, which is not reclaimable.
+        claimed_members: Claimed part of the cell, which is not reclaimable.
     """
 
     customer: str
     level: Level
     accelerators: int
     index: int = 0
-    pinned: tuple[model.Member, ...] = ()
+    claimed_members: tuple[model.Member, ...] = ()
 
     @property
     def unclaimed_count(self) -> int:
         """The number of accelerators that are not claimed."""
-        return self.accelerators - sum(member.size for member in self.pinned)
+        return self.accelerators - sum(
+            member.size for member in self.claimed_members
+        )
 
 
-Spot = tuple[model.Member, ...]
+Allocation = tuple[model.Member, ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -97,8 +99,8 @@
         allocations: `allocations[i]` belongs to `demands[i]`.
     """
 
-    demands: tuple[Need, ...]
-    allocations: tuple[Spot, ...]
+    demands: tuple[CellDemand, ...]
+    allocations: tuple[Allocation, ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -109,11 +111,11 @@
         demand: The first cell for which no allocation was found.
     """
 
-    demand: Need
+    demand: CellDemand
 
 
 def embed(
-    demands: Iterable[Need], capacities: Floor
+    demands: Iterable[CellDemand], capacities: Capacities
 ) -> Embedding | EmbeddingFailure:
     """Find disjoint allocations for all cells in usable accelerators.
 
@@ -126,10 +128,10 @@
     >>> capacities = {
     ...     name: WorkerCapacity(name, "r1", 0b1111) for name in ("w1", "w2")
     ... }
-    >>> rack_cell = Need("a", Level.RACK, 6)
+    >>> rack_cell = CellDemand("a", Level.RACK, 6)
     >>> embed([rack_cell], capacities).allocations
     ((Member(worker='w1', mask=15), Member(worker='w2', mask=3)),)
-    >>> worker_cell = Need("b", Level.WORKER, 4)
+    >>> worker_cell = CellDemand("b", Level.WORKER, 4)
     >>> embed([rack_cell, worker_cell], capacities).demand.customer
     'a'
 
@@ -146,19 +148,23 @@
     return _EmbeddingSearch(ordered, capacities).run()
 
 
-def find_allocation(demand: Need, capacities: Floor) -> Spot | None:
+def find_allocation(
+    demand: CellDemand, capacities: Capacities
+) -> Allocation | None:
     """Return the best allocation of usable accelerators for one cell."""
     return next(_iterate_allocations(demand, capacities), None)
 
 
-def remove_spot(capacities: Floor, allocation: Spot) -> Floor:
+def subtract_allocation(
+    capacities: Capacities, allocation: Allocation
+) -> Capacities:
     """Return the capacities without the accelerators of an allocation."""
     return subtract_allocations(capacities, (allocation,))
 
 
 def subtract_allocations(
-    capacities: Floor, allocations: Iterable[Spot]
-) -> Floor:
+    capacities: Capacities, allocations: Iterable[Allocation]
+) -> Capacities:
     """Return the capacities without the accelerators of all allocations."""
     remaining = dict(capacities)
     for allocation in allocations:
@@ -171,10 +177,10 @@
     return remaining
 
 
-def _build_demand_sort_key(demand: Need) -> tuple[bool, int, int, str]:
+def _build_demand_sort_key(demand: CellDemand) -> tuple[bool, int, int, str]:
     """Build a sort key that puts the most constrained cells first."""
     return (
-        not demand.pinned,
+        not demand.claimed_members,
         _LEVEL_ORDER[demand.level],
         -demand.unclaimed_count,
         demand.customer,
@@ -184,7 +190,9 @@
 class _EmbeddingSearch:
     """Depth-first search for an embedding with a bounded number of nodes."""
 
-    def __init__(self, demands: tuple[Need, ...], capacities: Floor) -> None:
+    def __init__(
+        self, demands: tuple[CellDemand, ...], capacities: Capacities
+    ) -> None:
         self._demands = demands
         self._capacities = capacities
         self._visited_nodes = 0
@@ -197,8 +205,8 @@
         return Embedding(self._demands, spots)
 
     def _place_from(
-        self, index: int, capacities: Floor
-    ) -> tuple[Spot, ...] | None:
+        self, index: int, capacities: Capacities
+    ) -> tuple[Allocation, ...] | None:
         """Place the cells from `index` on, or return None."""
         if index == len(self._demands):
             return ()
@@ -208,7 +216,7 @@
         ):
             self._visited_nodes += 1
             rest = self._place_from(
-                index + 1, remove_spot(capacities, allocation)
+                index + 1, subtract_allocation(capacities, allocation)
             )
             if rest is not None:
                 return (allocation, *rest)
@@ -217,7 +225,9 @@
         return None
 
 
-def _iterate_allocations(demand: Need, capacities: Floor) -> Iterator[Spot]:
+def _iterate_allocations(
+    demand: CellDemand, capacities: Capacities
+) -> Iterator[Allocation]:
     """Yield allocations for a cell, tightest unit first.
 
     Of several units with the same shape, only the first is used.
@@ -247,17 +257,19 @@
         if shape in seen_shapes:
             continue
         seen_shapes.add(shape)
-        yield fill_unit(unit, size)
+        yield allocate_in_unit(unit, size)
         if len(seen_shapes) == _MAX_CANDIDATE_UNITS:
             return
 
 
-def _list_units(demand: Need, capacities: Floor) -> list[list[WorkerCapacity]]:
+def _list_units(
+    demand: CellDemand, capacities: Capacities
+) -> list[list[WorkerCapacity]]:
     """Return the units that contain all claimed workers of a cell."""
-    units = group_spaces(capacities, demand.level)
-    if not demand.pinned:
+    units = group_by_level(capacities, demand.level)
+    if not demand.claimed_members:
         return units
-    claimed_workers = {member.worker for member in demand.pinned}
+    claimed_workers = {member.worker for member in demand.claimed_members}
     return [
         unit
         for unit in units
@@ -265,7 +277,9 @@
     ]
 
 
-def group_spaces(capacities: Floor, level: Level) -> list[list[WorkerCapacity]]:
+def group_by_level(
+    capacities: Capacities, level: Level
+) -> list[list[WorkerCapacity]]:
     """Group the worker capacities into the units of one level."""
     if level is Level.WORKER:
         return [[capacity] for capacity in capacities.values()]
@@ -293,9 +307,11 @@
     return (broken, count_usable(unit) - size)
 
 
-def _describe_racks(capacities: Floor) -> dict[str, tuple[int, _UnitShape]]:
+def _describe_racks(
+    capacities: Capacities,
+) -> dict[str, tuple[int, _UnitShape]]:
     """Return the usable count and the shape of each rack."""
-    racks = group_spaces(capacities, Level.RACK)
+    racks = group_by_level(capacities, Level.RACK)
     return {
         unit[0].rack: (count_usable(unit), _describe_unit(unit))
         for unit in racks
@@ -314,7 +330,7 @@
     )
 
 
-def fill_unit(unit: Sequence[WorkerCapacity], size: int) -> Spot:
+def allocate_in_unit(unit: Sequence[WorkerCapacity], size: int) -> Allocation:
     """Allocate `size` accelerators of a unit on as few workers as possible.
 
     Workers that are used completely come first, the largest first. The rest
@@ -323,7 +339,7 @@
 
     >>> small_worker = WorkerCapacity("w1", "r", 0b11)
     >>> large_worker = WorkerCapacity("w2", "r", 0b1111)
-    >>> fill_unit([small_worker, large_worker], 5)
+    >>> allocate_in_unit([small_worker, large_worker], 5)
     (Member(worker='w2', mask=15), Member(worker='w1', mask=1))
     """
     members = []
@@ -375,7 +391,7 @@
     '0b101'
     """
     selected_mask = 0
-    for available_mask in (capacity.free_mask, capacity.lent):
+    for available_mask in (capacity.free_mask, capacity.reclaimable_mask):
         while available_mask and selected_mask.bit_count() < size:
             lowest_bit = available_mask & -available_mask
             selected_mask |= lowest_bit
--- a/crocusrouter/jobs/claims.py
+++ b/crocusrouter/jobs/claims.py
@@ -11,7 +11,7 @@
 
 _LEVEL_WIDTH = {Level.WORKER: 0, Level.RACK: 1, Level.DATA_CENTRE: 2}
 
-CellDemands = tuple[cells.Need, ...]
+CellDemands = tuple[cells.CellDemand, ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -20,7 +20,7 @@
 
     job_id: str
     customer: str
-    allocation: cells.Spot
+    allocation: cells.Allocation
     claims: tuple[model.CellClaim, ...] = ()
 
     @property
@@ -40,13 +40,15 @@
 
 def _iterate_customer_cells(
     catalog: Catalog, customer: str, data_centre: str
-) -> Iterator[cells.Need]:
+) -> Iterator[cells.CellDemand]:
     index = 0
     for cell in catalog.templates[customer].template.guarantee:
         if cell.data_centre != data_centre:
             continue
         for _ in range(cell.count):
-            yield cells.Need(customer, cell.level, cell.accelerators, index)
+            yield cells.CellDemand(
+                customer, cell.level, cell.accelerators, index
+            )
             index += 1
 
 
@@ -58,7 +60,7 @@
     An edit of a template can remove or shrink a cell that is claimed. The
     claim then no longer counts, and its job runs on a loan.
 
-    >>> demand = cells.Need("a", Level.RACK, 4)
+    >>> demand = cells.CellDemand("a", Level.RACK, 4)
     >>> claim = model.CellClaim(0, (model.Member("w", 0b1),))
     >>> job_allocation = JobAllocation("dc.1", "a", claim.spot, (claim,))
     >>> claimed_demands, loans = assign_claims((demand,), [job_allocation])
@@ -77,7 +79,7 @@
         (demand.customer, demand.index): demand.accelerators
         for demand in demands
     }
-    claimed_parts: dict[tuple[str, int], cells.Spot] = {}
+    claimed_parts: dict[tuple[str, int], cells.Allocation] = {}
     loans = []
     for job_allocation in job_allocations:
         if not job_allocation.claims or not _is_covered(
@@ -90,7 +92,7 @@
             unclaimed_counts[key] -= claim.size
             claimed_parts[key] = claimed_parts.get(key, ()) + claim.spot
     claimed_demands = tuple(
-        dataclasses.replace(demand, pinned=claimed_parts[key])
+        dataclasses.replace(demand, claimed_members=claimed_parts[key])
         if key in claimed_parts
         else demand
         for demand in demands
@@ -115,7 +117,9 @@
 ) -> CellDemands:
     """Return the cells with one more claim on one of them."""
     return tuple(
-        dataclasses.replace(demand, pinned=demand.pinned + claim.spot)
+        dataclasses.replace(
+            demand, claimed_members=demand.claimed_members + claim.spot
+        )
         if (demand.customer, demand.index) == (customer, claim.cell)
         else demand
         for demand in demands
@@ -124,7 +128,7 @@
 
 def list_claimable_cells(
     demands: CellDemands, customer: str, level: Level, size: int
-) -> list[cells.Need]:
+) -> list[cells.CellDemand]:
     """Return the cells that have room for a whole job, the tightest first.
 
     A cell guarantees adjacency at its own level, so it serves jobs that ask
--- a/crocusrouter/jobs/effects.py
+++ b/crocusrouter/jobs/effects.py
@@ -12,20 +12,20 @@
     """What an event changes and which commands it causes.
 
     Attributes:
-        changed: Jobs whose new state must be journaled.
+        changed_jobs: Jobs whose new state must be journaled.
         commands: Commands for workers, to be sent once that is done.
-        retries: Why attempts ended whose jobs run again.
+        retry_reasons: Why attempts ended whose jobs run again.
     """
 
-    changed: list[model.Job] = dataclasses.field(default_factory=list)
+    changed_jobs: list[model.Job] = dataclasses.field(default_factory=list)
     commands: list[gangs.Command] = dataclasses.field(default_factory=list)
-    retries: list[RetryReason] = dataclasses.field(default_factory=list)
+    retry_reasons: list[RetryReason] = dataclasses.field(default_factory=list)
 
     def add(self, other: "Effects") -> None:
         """Append the effects of another event."""
-        self.changed += other.changed
+        self.changed_jobs += other.changed_jobs
         self.commands += other.commands
-        self.retries += other.retries
+        self.retry_reasons += other.retry_reasons
 
 
 @dataclasses.dataclass(frozen=True)
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -4,15 +4,18 @@
 
 from crocusrouter.fleet import messages
 from crocusrouter.jobs import gang as gangs
-from crocusrouter.jobs.book import Book
 from crocusrouter.jobs.effects import Effects
+from crocusrouter.jobs.scheduler_state import SchedulerState
 
 _RETRY_DELAY_AFTER_DECLINE_S = 0.5
 _HOLDING_PHASES = (messages.TaskPhase.RESERVED, messages.TaskPhase.RUNNING)
 
 
 def handle_message(
-    scheduler_state: Book, worker_name: str, message: object, now: float
+    scheduler_state: SchedulerState,
+    worker_name: str,
+    message: object,
+    now: float,
 ) -> Effects:
     """Apply a worker's message; ignore messages of unknown workers.
 
@@ -37,7 +40,7 @@
 @functools.singledispatch
 def _handle(
     message: object,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -48,7 +51,7 @@
 @_handle.register
 def _(
     message: messages.Inventory,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -57,7 +60,7 @@
         (task.job_id, task.attempt): task for task in message.tasks
     }
     worker = scheduler_state.workers[worker_name]
-    worker.known = True
+    worker.inventory_known = True
     worker.stray_masks = {}
     scheduler_state.invalidate_snapshot()
     for key, task in reported_tasks.items():
@@ -73,7 +76,7 @@
 @_handle.register
 def _(
     message: messages.Reserved,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -90,7 +93,7 @@
 @_handle.register
 def _(
     message: messages.Started,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -107,7 +110,7 @@
 @_handle.register
 def _(
     message: messages.Declined,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -127,7 +130,7 @@
 @_handle.register
 def _(
     message: messages.Stopped,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -139,7 +142,7 @@
     ):
         scheduler_state.invalidate_snapshot()
     gang = scheduler_state.find_gang(*key)
-    if gang is not None and worker_name in gang.held:
+    if gang is not None and worker_name in gang.holding_workers:
         transition = gangs.record_released(
             gang,
             worker_name,
@@ -152,7 +155,7 @@
 @_handle.register
 def _(
     message: messages.Finished,
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     now: float,
     effects: Effects,
@@ -170,18 +173,18 @@
 
 
 def _is_expected(
-    scheduler_state: Book, key: tuple[str, int], worker_name: str
+    scheduler_state: SchedulerState, key: tuple[str, int], worker_name: str
 ) -> bool:
     """Tell whether a gang accounts for a worker's task."""
     gang = scheduler_state.find_gang(*key)
     if gang is None:
         return False
     has_result = any(name == worker_name for name, _ in gang.results)
-    return worker_name in gang.held or has_result
+    return worker_name in gang.holding_workers or has_result
 
 
 def _remove_stray_task(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     worker_name: str,
     task: messages.TaskReport,
     effects: Effects,
--- a/crocusrouter/jobs/placement.py
+++ b/crocusrouter/jobs/placement.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Placed:
+class Placement:
     """An allocation on which the job starts.
 
     Attributes:
@@ -51,10 +51,10 @@
             another place.
     """
 
-    allocation: cells.Spot
+    allocation: cells.Allocation
     claims: tuple[model.CellClaim, ...] = ()
     victims: tuple[str, ...] = ()
-    new_binding: tuple[cell_bindings.CellKey, cells.Spot] | None = None
+    new_binding: tuple[cell_bindings.CellKey, cells.Allocation] | None = None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -76,7 +76,7 @@
         loans: Allocations of jobs that run beyond a guarantee.
     """
 
-    capacities: cells.Floor
+    capacities: cells.Capacities
     demands: claims.CellDemands = ()
     bindings: cell_bindings.CellBindings = dataclasses.field(
         default_factory=dict
@@ -86,7 +86,7 @@
 
 def place_job(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Choose where a job starts, or say why it has to wait.
 
     A job within its customer's guarantee uses a part of the accelerators to
@@ -115,7 +115,7 @@
 
 
 def fits_in_capacity(
-    request: PlacementRequest, total_capacities: cells.Floor
+    request: PlacementRequest, total_capacities: cells.Capacities
 ) -> bool:
     """Tell whether the job would fit if nothing else ran.
 
@@ -124,13 +124,15 @@
     >>> fits_in_capacity(request, capacities)
     False
     """
-    demand = cells.Need(request.customer, request.level, request.accelerators)
+    demand = cells.CellDemand(
+        request.customer, request.level, request.accelerators
+    )
     return cells.find_allocation(demand, total_capacities) is not None
 
 
 def _borrow(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Allocate free accelerators, outside all cell bindings if possible.
 
     A loan inside a binding would have to stop when the cell is claimed.
@@ -142,7 +144,7 @@
     for capacities in (unbound_capacities, free_capacities):
         allocation = next(_iterate_allocations(request, capacities), None)
         if allocation is not None:
-            return Placed(allocation)
+            return Placement(allocation)
     return NoPlacement(
         WaitReason.NO_FREE_SPOT, _describe_shortage(request, free_capacities)
     )
@@ -150,7 +152,7 @@
 
 def _claim(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Start a job within its customer's guarantee."""
     bound_cells = [
         demand
@@ -178,23 +180,27 @@
 
 
 def _claim_free_part(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
-) -> Placed | None:
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
+) -> Placement | None:
     """Claim free accelerators to which the cell is bound."""
     unit = _list_unclaimed_capacities(
         context, demand, include_reclaimable=False
     )
     if cells.count_free(unit) < request.accelerators:
         return None
-    allocation = cells.fill_unit(unit, request.accelerators)
-    return Placed(allocation, (model.CellClaim(demand.index, allocation),))
+    allocation = cells.allocate_in_unit(unit, request.accelerators)
+    return Placement(allocation, (model.CellClaim(demand.index, allocation),))
 
 
 def _rebind_and_claim(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
-) -> Placed | None:
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
+) -> Placement | None:
     """Bind an unclaimed cell to a free place outside all bindings."""
-    if demand.pinned:
+    if demand.claimed_members:
         return None
     free_capacities = _exclude_reclaimable(context.capacities)
     unbound_capacities = cell_bindings.subtract_unclaimed(
@@ -203,11 +209,11 @@
     binding = cells.find_allocation(demand, unbound_capacities)
     if binding is None:
         return None
-    allocation = cells.fill_unit(
+    allocation = cells.allocate_in_unit(
         _restrict_to_allocation(binding, free_capacities), request.accelerators
     )
     claim = model.CellClaim(demand.index, allocation)
-    return Placed(
+    return Placement(
         allocation,
         (claim,),
         new_binding=(cell_bindings.get_cell_key(demand), binding),
@@ -215,8 +221,10 @@
 
 
 def _borrow_instead(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
-) -> Placed | None:
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
+) -> Placement | None:
     """Borrow free accelerators instead of stopping another job's loan.
 
     The cell stays unclaimed and the guarantee stays whole. An urgent job never
@@ -225,26 +233,28 @@
     if request.urgent:
         return None
     result = _borrow(request, context)
-    return result if isinstance(result, Placed) else None
+    return result if isinstance(result, Placement) else None
 
 
 def _claim_lent_part(
-    request: PlacementRequest, context: PlacementContext, demand: cells.Need
-) -> Placed | None:
+    request: PlacementRequest,
+    context: PlacementContext,
+    demand: cells.CellDemand,
+) -> Placement | None:
     """Claim accelerators of the cell's binding and reclaim loans on them."""
     unit = _list_unclaimed_capacities(context, demand, include_reclaimable=True)
     if cells.count_usable(unit) < request.accelerators:
         return None
-    allocation = cells.fill_unit(unit, request.accelerators)
+    allocation = cells.allocate_in_unit(unit, request.accelerators)
     victims = find_victims(allocation, context.loans)
-    return Placed(
+    return Placement(
         allocation, (model.CellClaim(demand.index, allocation),), victims
     )
 
 
 def _claim_several_cells(
     request: PlacementRequest, context: PlacementContext
-) -> Placed | NoPlacement:
+) -> Placement | NoPlacement:
     """Claim parts of several cells for a job without adjacency needs."""
     sizes_by_cell = claims.split_over_cells(
         context.demands, request.customer, request.accelerators
@@ -262,12 +272,14 @@
         unit = _list_unclaimed_capacities(
             context, demand, include_reclaimable=True
         )
-        new_claims.append(model.CellClaim(index, cells.fill_unit(unit, size)))
+        new_claims.append(
+            model.CellClaim(index, cells.allocate_in_unit(unit, size))
+        )
     allocation = cell_bindings.merge_allocations(
         [claim.spot for claim in new_claims]
     )
     victims = find_victims(allocation, context.loans)
-    return Placed(allocation, tuple(new_claims), victims)
+    return Placement(allocation, tuple(new_claims), victims)
 
 
 def _report_unbound_cell(request: PlacementRequest) -> NoPlacement:
@@ -279,7 +291,10 @@
 
 
 def _list_unclaimed_capacities(
-    context: PlacementContext, demand: cells.Need, *, include_reclaimable: bool
+    context: PlacementContext,
+    demand: cells.CellDemand,
+    *,
+    include_reclaimable: bool,
 ) -> list[cells.WorkerCapacity]:
     """Return the capacity of the unclaimed part of a cell's binding."""
     binding = context.bindings[cell_bindings.get_cell_key(demand)]
@@ -294,7 +309,7 @@
 
 
 def _restrict_to_allocation(
-    allocation: cells.Spot, capacities: cells.Floor
+    allocation: cells.Allocation, capacities: cells.Capacities
 ) -> list[cells.WorkerCapacity]:
     """Return the capacities of the accelerators of an allocation."""
     return [
@@ -302,14 +317,14 @@
             member.worker,
             capacities[member.worker].rack,
             capacities[member.worker].free_mask & member.mask,
-            capacities[member.worker].lent & member.mask,
+            capacities[member.worker].reclaimable_mask & member.mask,
         )
         for member in allocation
     ]
 
 
 def find_victims(
-    allocation: cells.Spot, loans: Iterable[claims.JobAllocation]
+    allocation: cells.Allocation, loans: Iterable[claims.JobAllocation]
 ) -> tuple[str, ...]:
     """Return the ids of the jobs whose loans overlap an allocation."""
     masks = {member.worker: member.mask for member in allocation}
@@ -323,7 +338,7 @@
     )
 
 
-def _exclude_reclaimable(capacities: cells.Floor) -> cells.Floor:
+def _exclude_reclaimable(capacities: cells.Capacities) -> cells.Capacities:
     """Return the capacities with their free accelerators only."""
     return {
         name: cells.WorkerCapacity(name, capacity.rack, capacity.free_mask)
@@ -332,17 +347,17 @@
 
 
 def _iterate_allocations(
-    request: PlacementRequest, capacities: cells.Floor
-) -> Iterator[cells.Spot]:
+    request: PlacementRequest, capacities: cells.Capacities
+) -> Iterator[cells.Allocation]:
     """Yield allocations for a job, those that fragment least first."""
     units = [
         unit
-        for unit in cells.group_spaces(capacities, request.level)
+        for unit in cells.group_by_level(capacities, request.level)
         if cells.count_usable(unit) >= request.accelerators
     ]
     if request.level is not Level.WORKER:
         # A job that one worker can hold should not span several.
-        worker_units = cells.group_spaces(capacities, Level.WORKER)
+        worker_units = cells.group_by_level(capacities, Level.WORKER)
         units += [
             unit
             for unit in worker_units
@@ -355,11 +370,11 @@
         )
     )
     for unit in units[:_MAX_CANDIDATE_UNITS]:
-        yield cells.fill_unit(unit, request.accelerators)
+        yield cells.allocate_in_unit(unit, request.accelerators)
 
 
-def _count_usable_by_rack(capacities: cells.Floor) -> dict[str, int]:
-    racks = cells.group_spaces(capacities, Level.RACK)
+def _count_usable_by_rack(capacities: cells.Capacities) -> dict[str, int]:
+    racks = cells.group_by_level(capacities, Level.RACK)
     return {unit[0].rack: cells.count_usable(unit) for unit in racks}
 
 
@@ -380,9 +395,9 @@
 
 
 def _describe_shortage(
-    request: PlacementRequest, free_capacities: cells.Floor
+    request: PlacementRequest, free_capacities: cells.Capacities
 ) -> str:
-    units = cells.group_spaces(free_capacities, request.level)
+    units = cells.group_by_level(free_capacities, request.level)
     largest = max(map(cells.count_usable, units), default=0)
     return (
         f"needs {request.accelerators} free accelerators in one"
--- a/crocusrouter/jobs/scheduler.py
+++ b/crocusrouter/jobs/scheduler.py
@@ -14,9 +14,9 @@
 from crocusrouter.jobs import placement
 from crocusrouter.jobs import quarantine
 from crocusrouter.jobs import queue
-from crocusrouter.jobs.book import Book
-from crocusrouter.jobs.book import build_placement_request
 from crocusrouter.jobs.effects import Effects
+from crocusrouter.jobs.scheduler_state import SchedulerState
+from crocusrouter.jobs.scheduler_state import build_placement_request
 
 _MAX_DECISIONS_PER_PASS = 8
 
@@ -26,21 +26,21 @@
     """The state of a data centre on which the next decision depends.
 
     Attributes:
-        floor: Capacities of the workers that can be used now.
-        needs: Every guaranteed cell, with its claimed part.
+        capacities: Capacities of the workers that can be used now.
+        demands: Every guaranteed cell, with its claimed part.
         bindings: The allocation to which each cell is bound.
         loans: Allocations of jobs that run beyond a guarantee.
         valid_until: When the next worker leaves quarantine, as Unix time.
     """
 
-    floor: cells.Floor
-    needs: claims.CellDemands
+    capacities: cells.Capacities
+    demands: claims.CellDemands
     bindings: cell_bindings.CellBindings
     loans: tuple[claims.JobAllocation, ...]
     valid_until: float = math.inf
 
 
-def schedule(scheduler_state: Book, now: float) -> Effects:
+def schedule(scheduler_state: SchedulerState, now: float) -> Effects:
     """Start jobs that can start, a few at most so that the call stays short.
 
     Once a job of some shape finds no place, other jobs of this shape are
@@ -63,7 +63,7 @@
     reservation: backfill.Reservation | None = None
     ordered_jobs = queue.order_queue(
         ready_jobs,
-        snapshot.needs,
+        snapshot.demands,
         _compute_borrowed_shares(scheduler_state, snapshot),
         scheduler_state.catalog,
         scheduler_state.run_time_history,
@@ -86,12 +86,12 @@
             if reservation is None:
                 reservation = backfill.reserve_unit(
                     build_placement_request(job),
-                    snapshot.floor,
+                    snapshot.capacities,
                     _list_expected_ends(scheduler_state, now),
                     now,
                 )
             continue
-        assign(scheduler_state, job, decision, now, effects)
+        assign_job(scheduler_state, job, decision, now, effects)
         snapshot = _update_snapshot(
             scheduler_state, job, decision, snapshot, now
         )
@@ -105,7 +105,7 @@
     return effects
 
 
-def get_snapshot(scheduler_state: Book, now: float) -> Snapshot:
+def get_snapshot(scheduler_state: SchedulerState, now: float) -> Snapshot:
     """Return the cached snapshot, or a new one if the cache is out of date."""
     cache_entry = scheduler_state.cached_snapshot
     if isinstance(cache_entry, tuple) and cache_entry[0] == (
@@ -114,7 +114,7 @@
         snapshot: Snapshot = cache_entry[1]
         if now < snapshot.valid_until:
             return snapshot
-    snapshot = observe(scheduler_state, now)
+    snapshot = build_snapshot(scheduler_state, now)
     scheduler_state.cached_snapshot = (
         scheduler_state.snapshot_version,
         snapshot,
@@ -122,15 +122,15 @@
     return snapshot
 
 
-def observe(scheduler_state: Book, now: float) -> Snapshot:
+def build_snapshot(scheduler_state: SchedulerState, now: float) -> Snapshot:
     """Build a snapshot and bind all cells that lost their binding."""
     demands, loans = claims.assign_claims(
         claims.list_demands(
             scheduler_state.catalog, scheduler_state.data_centre
         ),
-        scheduler_state.holdings.values(),
+        scheduler_state.job_allocations.values(),
     )
-    capacities = build_floor(scheduler_state, now, loans)
+    capacities = build_capacities(scheduler_state, now, loans)
     scheduler_state.bindings = cell_bindings.bind_cells(
         demands, capacities, scheduler_state.bindings
     )
@@ -146,43 +146,45 @@
 
 
 def _update_snapshot(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     job: model.Job,
-    decision: placement.Placed,
+    decision: placement.Placement,
     snapshot: Snapshot,
     now: float,
 ) -> Snapshot:
     """Return the snapshot after a decision without a scan of all gangs."""
-    capacities = cells.remove_spot(snapshot.floor, decision.allocation)
+    capacities = cells.subtract_allocation(
+        snapshot.capacities, decision.allocation
+    )
     if decision.new_binding is not None:
         key, binding = decision.new_binding
         scheduler_state.bindings = scheduler_state.bindings | {key: binding}
     if decision.victims:
         # The victims release their accelerators one after the other.
-        return observe(scheduler_state, now)
+        return build_snapshot(scheduler_state, now)
     if decision.claims:
-        demands = snapshot.needs
+        demands = snapshot.demands
         for claim in decision.claims:
             demands = claims.add_claim(demands, job.customer, claim)
         return dataclasses.replace(
             snapshot,
-            floor=capacities,
-            needs=demands,
+            capacities=capacities,
+            demands=demands,
             bindings=scheduler_state.bindings,
         )
     for member in decision.allocation:
         capacity = capacities[member.worker]
         capacities[member.worker] = capacity._replace(
-            lent=capacity.lent | member.mask
+            reclaimable_mask=capacity.reclaimable_mask | member.mask
         )
     loan = claims.JobAllocation(job.id, job.customer, decision.allocation)
     return dataclasses.replace(
-        snapshot, floor=capacities, loans=(*snapshot.loans, loan)
+        snapshot, capacities=capacities, loans=(*snapshot.loans, loan)
     )
 
 
 def _compute_borrowed_shares(
-    scheduler_state: Book, snapshot: Snapshot
+    scheduler_state: SchedulerState, snapshot: Snapshot
 ) -> dict[str, float]:
     """Return the share of the data centre that each customer borrows."""
     total_count = sum(
@@ -197,11 +199,11 @@
     }
 
 
-def build_floor(
-    scheduler_state: Book,
+def build_capacities(
+    scheduler_state: SchedulerState,
     now: float,
     loans: Iterable[claims.JobAllocation] = (),
-) -> cells.Floor:
+) -> cells.Capacities:
     """Return the capacities of the workers that can be used now.
 
     Accelerators that only ending attempts hold count as reclaimable: a claim
@@ -222,7 +224,7 @@
             lent_masks[member.worker] |= member.mask
     capacities = {}
     for worker in scheduler_state.workers.values():
-        if not (worker.known and worker.live):
+        if not (worker.inventory_known and worker.live):
             continue
         if quarantine.is_quarantined(worker.failure_history, now):
             continue
@@ -240,7 +242,9 @@
     return capacities
 
 
-def _list_ready_jobs(scheduler_state: Book, now: float) -> list[model.Job]:
+def _list_ready_jobs(
+    scheduler_state: SchedulerState, now: float
+) -> list[model.Job]:
     """Return the queued jobs whose retry delay is over."""
     return [
         job
@@ -250,7 +254,7 @@
 
 
 def _list_expected_ends(
-    scheduler_state: Book, now: float
+    scheduler_state: SchedulerState, now: float
 ) -> backfill.ExpectedEnds:
     """Return the expected end of each task, by worker name.
 
@@ -274,36 +278,36 @@
 
 
 def _decide_placement(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     job: model.Job,
     snapshot: Snapshot,
     reservation: backfill.Reservation | None,
     now: float,
-) -> placement.Placed | placement.NoPlacement:
+) -> placement.Placement | placement.NoPlacement:
     """Place a job outside the backfill reservation and its failed workers."""
     expected_s = queue.estimate_job_run_time(
         scheduler_state.run_time_history, job
     )
     capacities = backfill.exclude_reserved_unit(
-        reservation, snapshot.floor, now + expected_s
+        reservation, snapshot.capacities, now + expected_s
     )
     if job.failed_on:
         # Workers on which the job failed offer no accelerators to it. They
         # stay in the mapping, because cells may be bound there.
         capacities = {
-            name: capacity._replace(free_mask=0, lent=0)
+            name: capacity._replace(free_mask=0, reclaimable_mask=0)
             if name in job.failed_on
             else capacity
             for name, capacity in capacities.items()
         }
     context = placement.PlacementContext(
-        capacities, snapshot.needs, snapshot.bindings, snapshot.loans
+        capacities, snapshot.demands, snapshot.bindings, snapshot.loans
     )
     return placement.place_job(build_placement_request(job), context)
 
 
 def _record_wait(
-    scheduler_state: Book,
+    scheduler_state: SchedulerState,
     job: model.Job,
     no_placement: placement.NoPlacement,
     now: float,
@@ -317,10 +321,10 @@
         )
 
 
-def assign(
-    scheduler_state: Book,
+def assign_job(
+    scheduler_state: SchedulerState,
     job: model.Job,
-    decision: placement.Placed,
+    decision: placement.Placement,
     now: float,
     effects: Effects,
 ) -> None:
@@ -338,7 +342,7 @@
     scheduler_state.record_event(
         job.id, now, _describe_placement(job, decision)
     )
-    effects.changed.append(job)
+    effects.changed_jobs.append(job)
     blocking_job_ids = frozenset(decision.victims) | _find_ending_jobs(
         scheduler_state, job
     )
@@ -354,7 +358,9 @@
         scheduler_state.apply(gangs.reserve_members(gang), now, effects)
 
 
-def _find_ending_jobs(scheduler_state: Book, job: model.Job) -> frozenset[str]:
+def _find_ending_jobs(
+    scheduler_state: SchedulerState, job: model.Job
+) -> frozenset[str]:
     """Return jobs whose ending attempts still hold the job's accelerators."""
     masks = {member.worker: member.mask for member in job.members}
     return frozenset(
@@ -367,7 +373,7 @@
     )
 
 
-def _describe_placement(job: model.Job, decision: placement.Placed) -> str:
+def _describe_placement(job: model.Job, decision: placement.Placement) -> str:
     where = ", ".join(
         f"{member.worker} x{member.size}" for member in decision.allocation
     )
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/scheduler_state.py
@@ -45,7 +45,7 @@
 }
 
 
-class Book:
+class SchedulerState:
     """Jobs, gangs and workers of one data centre.
 
     Attributes:
@@ -54,7 +54,7 @@
         gangs: Gangs of the attempts that have not ended, by job id.
         run_time_history: Run times of recent jobs.
         run_started_at: Unix time at which a job's attempt began to run.
-        holdings: Allocations of attempts that are not ending, by
+        job_allocations: Allocations of attempts that are not ending, by
             job id.
         workers: Workers of the VM list, by name.
         snapshot_version: Rises whenever a cached snapshot becomes invalid.
@@ -72,7 +72,7 @@
         self.run_time_history = run_times.RunTimeHistory()
         self.run_started_at: dict[str, float] = {}
         self._stop_requested_at: dict[str, float] = {}
-        self.holdings: dict[str, claims.JobAllocation] = {}
+        self.job_allocations: dict[str, claims.JobAllocation] = {}
         self.workers: dict[str, workers.Worker] = {}
         self._catalog = Catalog()
         self.snapshot_version = 0
@@ -101,7 +101,7 @@
 
     # Jobs.
 
-    def load(self, jobs: Iterable[model.Job], now: float) -> None:
+    def load_jobs(self, jobs: Iterable[model.Job], now: float) -> None:
         """Load the jobs that an earlier owner journaled."""
         self.invalidate_snapshot()
         for job in jobs:
@@ -124,7 +124,7 @@
             return refusal
         self.store_job(job)
         self.record_event(job.id, now, "accepted")
-        return Effects(changed=[job])
+        return Effects(changed_jobs=[job])
 
     def cancel(self, job_id: str, now: float) -> Effects | Refusal:
         """Cancel a job.
@@ -144,7 +144,7 @@
             self.apply(transition, now, effects)
         return effects
 
-    def forget(self, job_id: str) -> None:
+    def forget_job(self, job_id: str) -> None:
         """Remove a final job whose retention time is over."""
         self.jobs.pop(job_id, None)
         self._queued_jobs.pop(job_id, None)
@@ -194,7 +194,7 @@
             build_placement_request(job), total_capacities
         ):
             return None
-        units = cells.group_spaces(total_capacities, job.spec.level)
+        units = cells.group_by_level(total_capacities, job.spec.level)
         largest = max(map(cells.count_usable, units), default=0)
         detail = (
             f"{job.spec.accelerators} accelerators in one {job.spec.level} of "
@@ -240,7 +240,7 @@
         """
         effects = Effects()
         if name in self.workers:
-            self.workers[name].known = False
+            self.workers[name].inventory_known = False
             self.invalidate_snapshot()
         for gang in self.list_gangs_on(name):
             if len(gang.members) > 1:
@@ -250,11 +250,11 @@
                 self.apply(transition, now, effects)
         return effects
 
-    def lose_worker(self, name: str, now: float) -> Effects:
+    def mark_worker_lost(self, name: str, now: float) -> Effects:
         """Record that a worker certainly runs no task of this owner."""
         effects = Effects()
         if name in self.workers:
-            self.workers[name].known = False
+            self.workers[name].inventory_known = False
             self.workers[name].stray_masks.clear()
             self.invalidate_snapshot()
         for gang in list(self.gangs.values()):
@@ -266,7 +266,7 @@
             self.apply(transition, now, effects)
         return effects
 
-    def find_missing(self) -> frozenset[str]:
+    def find_unlisted_workers(self) -> frozenset[str]:
         """Return workers of gangs that are not in the VM list.
 
         If a worker disappeared while the data centre had no owner, only the
@@ -289,7 +289,7 @@
     def add_gang(self, job: model.Job, gang: gangs.Gang) -> None:
         """Add the gang of a job's attempt and its allocation."""
         self.gangs[job.id] = gang
-        self.holdings[job.id] = claims.JobAllocation(
+        self.job_allocations[job.id] = claims.JobAllocation(
             job.id, job.customer, job.members, job.claims
         )
 
@@ -301,7 +301,9 @@
     def list_gangs_on(self, worker_name: str) -> list[gangs.Gang]:
         """Return the gangs of which a worker may hold a task."""
         return [
-            gang for gang in self.gangs.values() if worker_name in gang.held
+            gang
+            for gang in self.gangs.values()
+            if worker_name in gang.holding_workers
         ]
 
     def apply(
@@ -310,7 +312,7 @@
         """Store a changed gang; update its job if the attempt has ended."""
         gang, commands = transition
         if gang.phase in (gangs.Phase.ENDING, gangs.Phase.ENDED):
-            self.holdings.pop(gang.job_id, None)
+            self.job_allocations.pop(gang.job_id, None)
             self._stop_requested_at.setdefault(gang.job_id, now)
             self.invalidate_snapshot()
         elif gang.phase is gangs.Phase.RUNNING:
@@ -320,7 +322,7 @@
         if gang.phase is gangs.Phase.ENDED:
             self._remove_ended_gang(gang, now, effects)
 
-    def press_stops(self, now: float) -> Effects:
+    def stop_overdue_checkpoints(self, now: float) -> Effects:
         """Stop reclaimed attempts whose checkpoints take too long.
 
         A claim waits until the loans that it reclaims have stopped. Their
@@ -341,7 +343,7 @@
                 gangs.Command(
                     name, messages.Stop(gang.job_id, gang.attempt, False)
                 )
-                for name in sorted(gang.held)
+                for name in sorted(gang.holding_workers)
             ]
         return effects
 
@@ -400,9 +402,9 @@
             job, state=model.JobState.QUEUED, members=(), claims=()
         )
         self.store_job(job)
-        effects.changed.append(job)
+        effects.changed_jobs.append(job)
         if end_reason in _RETRY_REASONS:
-            effects.retries.append(_RETRY_REASONS[end_reason])
+            effects.retry_reasons.append(_RETRY_REASONS[end_reason])
 
     def _record_run_time(self, job: model.Job, run_time_s: float) -> None:
         key = (job.customer, job.spec.kind)
@@ -464,7 +466,7 @@
         self.failed_placements.pop(job.id, None)
         self.earliest_retry_at.pop(job.id, None)
         self.record_event(job.id, now, str(state))
-        effects.changed.append(job)
+        effects.changed_jobs.append(job)
 
     def _unblock_gangs(self, job_id: str, now: float, effects: Effects) -> None:
         """Tell the gangs that wait for a job that its attempt has ended."""
--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -14,9 +14,9 @@
 from crocusrouter import jobs
 from crocusrouter.fleet import lease
 from crocusrouter.fleet import messages
-from crocusrouter.jobs import book as books
 from crocusrouter.jobs import cells
 from crocusrouter.jobs import scheduler
+from crocusrouter.jobs import scheduler_state as scheduler_states
 from crocusrouter.jobs.tests import build
 from crocusrouter.outcomes import Refusal
 from standins import fuzzing
@@ -97,9 +97,11 @@
         """Start a new owner, which knows only the journal."""
         self.epoch += 1
         self.owner_lease = lease.Lease(_LEASE_S, self.now)
-        self.scheduler_state = books.Book(build.DATA_CENTRE)
+        self.scheduler_state = scheduler_states.SchedulerState(
+            build.DATA_CENTRE
+        )
         self.scheduler_state.catalog = _CATALOG
-        self.scheduler_state.load(self.durable_jobs.values(), self.now)
+        self.scheduler_state.load_jobs(self.durable_jobs.values(), self.now)
         self.outbox = jobs.Outbox()
         self.pending = {}
         self.links = {}
@@ -119,7 +121,7 @@
         link.to_worker.append(messages.Hello("e", self.epoch, _LEASE_S))
 
     def _apply_effects(self, effects):
-        for job in effects.changed:
+        for job in effects.changed_jobs:
             self.pending[job.id] = job
         for command in self.outbox.admit(
             effects.commands, self.pending.__contains__
@@ -269,7 +271,9 @@
                 self._send_renewal(link)
                 self._check_lease(name, link)
             self._mark_missing_workers_lost()
-            self._apply_effects(self.scheduler_state.press_stops(self.now))
+            self._apply_effects(
+                self.scheduler_state.stop_overdue_checkpoints(self.now)
+            )
             self.check_no_attempt_overlaps()
 
     def _advance_worker(self, name, worker):
@@ -283,9 +287,9 @@
 
     def _mark_missing_workers_lost(self):
         if lease.has_lapsed(self.owner_lease, self.now):
-            for name in self.scheduler_state.find_missing():
+            for name in self.scheduler_state.find_unlisted_workers():
                 self._apply_effects(
-                    self.scheduler_state.lose_worker(name, self.now)
+                    self.scheduler_state.mark_worker_lost(name, self.now)
                 )
 
     def _send_renewal(self, link):
@@ -296,12 +300,12 @@
     def _check_lease(self, name, link):
         if not lease.is_suspect(link.lease, self.now):
             return
-        if self.scheduler_state.workers[name].known and link.up:
+        if self.scheduler_state.workers[name].inventory_known and link.up:
             self._cut_connection(name)
             self._connect(name)
         if lease.has_lapsed(link.lease, self.now):
             self._apply_effects(
-                self.scheduler_state.lose_worker(name, self.now)
+                self.scheduler_state.mark_worker_lost(name, self.now)
             )
         else:
             self._apply_effects(
@@ -353,7 +357,9 @@
         old_worker = self.workers.pop(name)
         self.old_records = [*self.old_records, *old_worker.records]
         del self.links[name]
-        self._apply_effects(self.scheduler_state.lose_worker(name, self.now))
+        self._apply_effects(
+            self.scheduler_state.mark_worker_lost(name, self.now)
+        )
         self.scheduler_state.remove_worker(name)
         new_name = f"{name.split('-')[0]}-{len(self.replaced_at)}"
         self.racks[new_name] = self.racks[name]
@@ -412,18 +418,21 @@
         """Check that all cells embed, unless a worker is missing."""
         workers = self.scheduler_state.workers.values()
         if not all(
-            worker.known and not worker.stray_masks for worker in workers
+            worker.inventory_known and not worker.stray_masks
+            for worker in workers
         ):
             return
-        if self.scheduler_state.find_missing():
+        if self.scheduler_state.find_unlisted_workers():
             return
         kept = scheduler.get_snapshot(self.scheduler_state, self.now)
-        snapshot = scheduler.observe(self.scheduler_state, self.now)
-        assert kept.floor == snapshot.floor
+        snapshot = scheduler.build_snapshot(self.scheduler_state, self.now)
+        assert kept.capacities == snapshot.capacities
         assert set(kept.loans) == set(snapshot.loans)
-        result = cells.embed(snapshot.needs, snapshot.floor)
+        result = cells.embed(snapshot.demands, snapshot.capacities)
         assert isinstance(result, cells.Embedding), (result, snapshot)
-        assert len(snapshot.bindings) == len(snapshot.needs), snapshot.bindings
+        assert len(snapshot.bindings) == len(snapshot.demands), (
+            snapshot.bindings
+        )
 
     @stateful.invariant()
     def check_attempts_hold_disjoint_accelerators(self):
--- a/crocusrouter/jobs/workers.py
+++ b/crocusrouter/jobs/workers.py
@@ -13,7 +13,7 @@
         name: Name of the worker.
         rack: Rack of the worker.
         accelerators: Number of its accelerators.
-        known: Whether it has sent this owner its inventory of
+        inventory_known: Whether it has sent this owner its inventory of
             tasks. Until then nothing is placed on it, because tasks of an
             earlier owner may still run there.
         live: Whether the VM list shows it as live, so it isn't leaving.
@@ -25,7 +25,7 @@
     name: str
     rack: str
     accelerators: int
-    known: bool = False
+    inventory_known: bool = False
     live: bool = True
     stray_masks: dict[tuple[str, int], int] = dataclasses.field(
         default_factory=dict
