--- a/crocusrouter/controllers/peers.py
+++ b/crocusrouter/controllers/peers.py
@@ -97,7 +97,7 @@
         self, heartbeat: messages.Heartbeat, now: float
     ) -> None:
         """Record a peer's heartbeat; fetch its catalog if that is newer."""
-        self.peers = mesh.note_heartbeat(self.peers, heartbeat, now)
+        self.peers = mesh.record_heartbeat(self.peers, heartbeat, now)
         self._on_heartbeat(heartbeat)
         link = self._links.get(heartbeat.name)
         if link is None or self._nursery is None:
--- a/crocusrouter/mesh/__init__.py
+++ b/crocusrouter/mesh/__init__.py
@@ -6,7 +6,7 @@
 from crocusrouter.mesh.membership import Peers
 from crocusrouter.mesh.membership import is_suspected
 from crocusrouter.mesh.membership import list_live
-from crocusrouter.mesh.membership import note_heartbeat
+from crocusrouter.mesh.membership import record_heartbeat
 from crocusrouter.mesh.membership import update_peers
 from crocusrouter.mesh.server import serve_mesh
 
@@ -17,7 +17,7 @@
     "Peers",
     "is_suspected",
     "list_live",
-    "note_heartbeat",
+    "record_heartbeat",
     "serve_mesh",
     "update_peers",
 ]
--- a/crocusrouter/mesh/membership.py
+++ b/crocusrouter/mesh/membership.py
@@ -47,7 +47,7 @@
     return updated_peers
 
 
-def note_heartbeat(
+def record_heartbeat(
     peers: Peers, heartbeat: messages.Heartbeat, now: float
 ) -> Peers:
     """Return the peers with a heartbeat recorded, if its sender is a peer."""
