--- a/crocusrouter/controllers/peers.py
+++ b/crocusrouter/controllers/peers.py
@@ -91,7 +91,7 @@
 
     def list_live(self, now: float) -> list[mesh.Peer]:
         """Return the peers that sent a heartbeat recently."""
-        return mesh.list_live(self.peers, self._heartbeat_interval_s, now)
+        return mesh.list_live_peers(self.peers, self._heartbeat_interval_s, now)
 
     def record_heartbeat(
         self, heartbeat: messages.Heartbeat, now: float
--- a/crocusrouter/mesh/__init__.py
+++ b/crocusrouter/mesh/__init__.py
@@ -5,7 +5,7 @@
 from crocusrouter.mesh.membership import Peer
 from crocusrouter.mesh.membership import Peers
 from crocusrouter.mesh.membership import is_suspected
-from crocusrouter.mesh.membership import list_live
+from crocusrouter.mesh.membership import list_live_peers
 from crocusrouter.mesh.membership import record_heartbeat
 from crocusrouter.mesh.membership import update_peers
 from crocusrouter.mesh.server import serve_mesh
@@ -16,7 +16,7 @@
     "PeerUnreachableError",
     "Peers",
     "is_suspected",
-    "list_live",
+    "list_live_peers",
     "record_heartbeat",
     "serve_mesh",
     "update_peers",
--- a/crocusrouter/mesh/membership.py
+++ b/crocusrouter/mesh/membership.py
@@ -75,7 +75,7 @@
     return now - peer.heard_at > _SUSPECT_AFTER_HEARTBEATS * interval_s
 
 
-def list_live(peers: Peers, interval_s: float, now: float) -> list[Peer]:
+def list_live_peers(peers: Peers, interval_s: float, now: float) -> list[Peer]:
     """Return the peers that aren't suspected, ordered by name."""
     return [
         peers[name]
