--- a/crocusrouter/controllers/peers.py
+++ b/crocusrouter/controllers/peers.py
@@ -109,7 +109,7 @@
         own_revision = self._configuration.catalog.revision
         is_vouched = self._configuration.is_vouched
         return heartbeat.ready and (
-            heartbeat.revision > own_revision or not is_vouched
+            heartbeat.catalog_revision > own_revision or not is_vouched
         )
 
     def _open_link(self, peer: mesh.Peer) -> None:
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -120,7 +120,7 @@
         entry = self._entry
         now = trio.current_time()
         live = {
-            peer.name: peer.heartbeat.revision
+            peer.name: peer.heartbeat.catalog_revision
             for peer in entry.peers.list_live(now)
             if peer.heartbeat is not None
         }
--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -19,7 +19,7 @@
     """
 
     name: str
-    revision: int
+    catalog_revision: int
     ready: bool
     owned: tuple[tuple[str, int], ...]
 
