--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -20,7 +20,7 @@
 
     name: str
     catalog_revision: int
-    ready: bool
+    is_ready: bool
     owned: tuple[tuple[str, int], ...]
 
 
