--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -207,7 +207,7 @@
         has been replaced. It would go on renewing the leases of tasks that
         its successor counts as lost.
         """
-        for data_centre, epoch in heartbeat.owned:
+        for data_centre, epoch in heartbeat.owned_epochs:
             owner = self.owned.get(data_centre)
             if owner is not None and owner.epoch < epoch:
                 self.metrics.count_event("owner-fenced")
--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -21,7 +21,7 @@
     name: str
     catalog_revision: int
     is_ready: bool
-    owned: tuple[tuple[str, int], ...]
+    owned_epochs: tuple[tuple[str, int], ...]
 
 
 @dataclasses.dataclass(frozen=True)
