--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -40,7 +40,7 @@
 class SubmitJob:
     """Submits a packed job to the owner of its data centre."""
 
-    job: bytes
+    packed_job: bytes
 
 
 @dataclasses.dataclass(frozen=True)
