--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -104,7 +104,7 @@
 class AskAnswer:
     """Asks for the answer to the request whose claim the peer holds."""
 
-    claim: str
+    claim_name: str
 
 
 @dataclasses.dataclass(frozen=True)
