--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -140,7 +140,7 @@
     """
 
     name: str
-    version: int
+    config_version: int
     vouched_age_s: float | None
     owners: tuple[tuple[str, int, str], ...]
     is_served: bool
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -233,7 +233,7 @@
         """
         if (
             beat.vouched_age_s is not None
-            and beat.version == self.configuration.version
+            and beat.config_version == self.configuration.version
         ):
             self.configuration.vouch(asked_at - beat.vouched_age_s)
         self._take_beat(beat)
@@ -241,7 +241,7 @@
     def _take_beat(self, beat: messages.Beat) -> None:
         """Take what only moves forward, however old the heartbeat is."""
         self._system_watch.compare(beat.last_event)
-        is_behind = beat.version > self.configuration.version
+        is_behind = beat.config_version > self.configuration.version
         if is_behind and self._nursery is not None:
             self._nursery.start_soon(self._fetch_config, beat.name)
         self._ownership.take_rows(beat.owners)
