--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -141,7 +141,7 @@
 
     name: str
     config_version: int
-    vouched_age_s: float | None
+    confirmed_age_s: float | None
     owners: tuple[tuple[str, int, str], ...]
     is_served: bool
     last_event: int = 0
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -232,10 +232,10 @@
         unasked may have been on its way for seconds.
         """
         if (
-            beat.vouched_age_s is not None
+            beat.confirmed_age_s is not None
             and beat.config_version == self.configuration.version
         ):
-            self.configuration.vouch(asked_at - beat.vouched_age_s)
+            self.configuration.vouch(asked_at - beat.confirmed_age_s)
         self._take_beat(beat)
 
     def _take_beat(self, beat: messages.Beat) -> None:
