--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -131,7 +131,7 @@
     Attributes:
         name: The sender's name.
         config_version: Version of the configuration in force at the sender.
-        vouched_age_s: Seconds since the key-value service or a peer
+        confirmed_age_s: Seconds since the key-value service or a peer
             confirmed that this is the newest one; None if never.
         owners: Pool, epoch and owner's name, as the sender knows them.
         is_served: Whether the key-value service answers the sender.
