--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -143,7 +143,7 @@
     config_version: int
     confirmed_age_s: float | None
     owners: tuple[tuple[str, int, str], ...]
-    is_served: bool
+    has_store_access: bool
     last_event: int = 0
 
 
--- a/crocusrouter/pools/peers.py
+++ b/crocusrouter/pools/peers.py
@@ -122,7 +122,7 @@
         """Note a peer's answer, which is no older than its question."""
         self._heard_at = max(asked_at, self._heard_at or asked_at)
         self._heard_from[beat.name] = asked_at
-        if beat.is_served:
+        if beat.has_store_access:
             self._served_at[beat.name] = asked_at
         else:
             self._served_at.pop(beat.name, None)
@@ -134,7 +134,7 @@
         that the peer is in reach. That the peer is served may be out of date
         as well, which only sends callers back sooner than need be.
         """
-        if beat.is_served:
+        if beat.has_store_access:
             self._served_at[beat.name] = now
 
     async def call(self, name: str, message: object) -> object | None:
