--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -134,7 +134,7 @@
         confirmed_age_s: Seconds since the key-value service or a peer
             confirmed that this is the newest one; None if never.
         owners: Pool, epoch and owner's name, as the sender knows them.
-        is_served: Whether the key-value service answers the sender.
+        has_store_access: Whether the key-value service answers the sender.
         last_event: Revision of the latest change of members or
             owners that the sender has seen.
     """
