--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -144,7 +144,7 @@
     confirmed_age_s: float | None
     owners: tuple[tuple[str, int, str], ...]
     has_store_access: bool
-    last_event: int = 0
+    last_change_revision: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -240,7 +240,7 @@
 
     def _take_beat(self, beat: messages.Beat) -> None:
         """Take what only moves forward, however old the heartbeat is."""
-        self._system_watch.compare(beat.last_event)
+        self._system_watch.compare(beat.last_change_revision)
         is_behind = beat.config_version > self.configuration.version
         if is_behind and self._nursery is not None:
             self._nursery.start_soon(self._fetch_config, beat.name)
