--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -135,7 +135,7 @@
             confirmed that this is the newest one; None if never.
         owners: Pool, epoch and owner's name, as the sender knows them.
         has_store_access: Whether the key-value service answers the sender.
-        last_event: Revision of the latest change of members or
+        last_change_revision: Revision of the latest change of members or
             owners that the sender has seen.
     """
 
