--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -164,7 +164,7 @@
     """Asks a pool's owner for a job's state."""
 
     pool: str
-    job: str
+    job_id: str
 
 
 @dataclasses.dataclass(frozen=True)
