--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -209,7 +209,7 @@
         revision: The record's revision; 0 if the key doesn't exist.
     """
 
-    known: bool
+    store_answered: bool
     value: bytes = b""
     revision: int = 0
 
--- a/crocusrouter/pools/relay.py
+++ b/crocusrouter/pools/relay.py
@@ -50,7 +50,7 @@
         """
         for helper in self._peers.choose_helpers()[:_MAX_HELPERS]:
             reply = await self._peers.call(helper, messages.RelayRead(key))
-            if isinstance(reply, messages.RelayRecord) and reply.known:
+            if isinstance(reply, messages.RelayRecord) and reply.store_answered:
                 if reply.revision == 0:
                     return None
                 return records.Record(key, reply.value, reply.revision)
@@ -105,13 +105,13 @@
     ) -> messages.RelayRecord:
         """Read for a peer, by our own path only."""
         if self._store.is_down():
-            return messages.RelayRecord(known=False)
+            return messages.RelayRecord(store_answered=False)
         try:
             found = await self._store.read(request.key)
         except client.StoreUnavailableError:
-            return messages.RelayRecord(known=False)
+            return messages.RelayRecord(store_answered=False)
         if found is None:
-            return messages.RelayRecord(known=True)
+            return messages.RelayRecord(store_answered=True)
         return messages.RelayRecord(True, found.value, found.revision)
 
     async def answer_write(
