--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -204,7 +204,7 @@
     """The record that a peer read for the sender of `RelayRead`.
 
     Attributes:
-        known: Whether the key-value service answered the peer.
+        store_answered: Whether the key-value service answered the peer.
         value: The record's body.
         revision: The record's revision; 0 if the key doesn't exist.
     """
