--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -222,7 +222,7 @@
     """
 
     key: str
-    revision: int
+    expected_revision: int
     value: bytes
 
 
--- a/crocusrouter/pools/relay.py
+++ b/crocusrouter/pools/relay.py
@@ -119,7 +119,7 @@
     ) -> messages.RelayOutcome:
         """Write for a peer, by our own path only."""
         outcome = await self._write_here(
-            port.Guard(request.key, request.revision),
+            port.Guard(request.key, request.expected_revision),
             port.Write(request.key, request.value),
         )
         match outcome:
