--- a/crocusrouter/fleet/messages.py
+++ b/crocusrouter/fleet/messages.py
@@ -92,7 +92,7 @@
 
     job_id: str
     attempt: int
-    why: str
+    reason: str
 
 
 @dataclasses.dataclass(frozen=True)
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -104,7 +104,7 @@
     if held is None:
         return
     book.not_before[held.job_id] = now + _PAUSE_AFTER_DECLINE_S
-    step = gangs.note_gone(held, worker, gangs.End.DECLINED, message.why)
+    step = gangs.note_gone(held, worker, gangs.End.DECLINED, message.reason)
     book.apply(step, now, effects)
 
 
