--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -78,7 +78,7 @@
         self.history_prefix = f"{prefix}history/"
         self.catalog = Catalog()
         self.catalog_record: store.Record | None = None
-        self.is_vouched = False
+        self.is_confirmed = False
         self.alarm = ""
         self.owners: dict[str, OwnerObservation] = {}
         self.listeners: list[Callable[[], None]] = []
@@ -99,7 +99,7 @@
             )
             log("configuration:older-revision", alarm=self.alarm)
             return False
-        self.is_vouched = True
+        self.is_confirmed = True
         if catalog.revision > self.catalog.revision:
             self.alarm = ""
             self.catalog = catalog
@@ -113,7 +113,7 @@
         for record in snapshot.records:
             self.apply_record(record, now)
         # A missing catalog is confirmed as well, since the store was read.
-        self.is_vouched = True
+        self.is_confirmed = True
 
     def apply_record(self, record: store.Record, now: float) -> None:
         """Apply one control record that was read or watched."""
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -144,7 +144,7 @@
     def is_ready(self) -> bool:
         """Whether this entry may accept jobs and requests."""
         return (
-            self.configuration.is_vouched
+            self.configuration.is_confirmed
             and self.machines.fleet.read_at is not None
             and not self.is_stopping
         )
--- a/crocusrouter/controllers/peers.py
+++ b/crocusrouter/controllers/peers.py
@@ -107,7 +107,7 @@
 
     def _has_newer_catalog(self, heartbeat: messages.Heartbeat) -> bool:
         own_revision = self._configuration.catalog.revision
-        is_vouched = self._configuration.is_vouched
+        is_vouched = self._configuration.is_confirmed
         return heartbeat.is_ready and (
             heartbeat.catalog_revision > own_revision or not is_vouched
         )
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -164,7 +164,7 @@
         entry = self._entry
         document = {
             "ready": entry.is_ready,
-            "configuration_vouched": entry.configuration.is_vouched,
+            "configuration_vouched": entry.configuration.is_confirmed,
             "vms_read": entry.machines.fleet.read_at is not None,
             "stopping": entry.is_stopping,
         }
--- a/crocusrouter/http/small.py
+++ b/crocusrouter/http/small.py
@@ -59,7 +59,7 @@
     ) -> Answer:
         key = request.headers.get("Idempotency-Key")
         try:
-            if not self._entry.configuration.is_vouched:
+            if not self._entry.configuration.is_confirmed:
                 raise RefusedError(_refuse_not_ready())
             body = await reading.read_body(
                 request, self._entry.settings.max_body
