--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -57,7 +57,7 @@
     Attributes:
         catalog: The catalog in force.
         catalog_record: The stored record of the latest catalog read.
-        is_vouched: Whether the key-value service or a ready peer has told
+        is_confirmed: Whether the key-value service or a ready peer has told
             this entry the catalog in force.
         alarm: What is wrong with the stored catalog; empty if nothing is.
         listeners: Called after each change of the catalog.
