--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -80,7 +80,7 @@
         self.catalog_record: store.Record | None = None
         self.is_confirmed = False
         self.alarm = ""
-        self.owners: dict[str, OwnerObservation] = {}
+        self.owner_observations: dict[str, OwnerObservation] = {}
         self.listeners: list[Callable[[], None]] = []
         self._metrics = metrics
 
@@ -140,18 +140,20 @@
     def _apply_owner_record(self, record: store.Record, now: float) -> None:
         """Apply an owner record, unless a version as recent is known."""
         data_centre = record.key.removeprefix(self.owners_prefix)
-        observation = self.owners.get(data_centre)
+        observation = self.owner_observations.get(data_centre)
         if (
             observation is not None
             and record.revision <= observation.record.revision
         ):
             return
         owner_record = codec.unpack(OwnerRecord, record.value)
-        self.owners[data_centre] = OwnerObservation(record, owner_record, now)
+        self.owner_observations[data_centre] = OwnerObservation(
+            record, owner_record, now
+        )
 
     def find_owner(self, data_centre: str) -> str:
         """Return the name of the owning entry, or "" if none is known."""
-        observation = self.owners.get(data_centre)
+        observation = self.owner_observations.get(data_centre)
         return observation.owner.owner if observation is not None else ""
 
 
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -296,7 +296,7 @@
             else len(ranked_names)
         )
         takeover_time = ownership.find_takeover_time(
-            self.configuration.owners.get(data_centre),
+            self.configuration.owner_observations.get(data_centre),
             rank,
             self.settings.owner_ttl_s,
             watch_started_at,
--- a/crocusrouter/controllers/ownership.py
+++ b/crocusrouter/controllers/ownership.py
@@ -117,7 +117,7 @@
             The new term, or None if the record has changed or the write was
             not confirmed.
         """
-        observation = self._configuration.owners.get(data_centre)
+        observation = self._configuration.owner_observations.get(data_centre)
         epoch = observation.owner.epoch + 1 if observation is not None else 1
         new_owner_record = configurations.OwnerRecord(
             self._entry_name, epoch, 0
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -128,7 +128,9 @@
         suspected = sorted(entry.peers.peers.keys() - live.keys())
         owners = {
             name: {"owner": seen.owner.owner, "epoch": seen.owner.epoch}
-            for name, seen in sorted(entry.configuration.owners.items())
+            for name, seen in sorted(
+                entry.configuration.owner_observations.items()
+            )
         }
         owned = [
             dataclasses.asdict(controllers.describe_owner(held))
