--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -151,7 +151,7 @@
             record, owner_record, now
         )
 
-    def find_owner(self, data_centre: str) -> str:
+    def find_owner_name(self, data_centre: str) -> str:
         """Return the name of the owning entry, or "" if none is known."""
         observation = self.owner_observations.get(data_centre)
         return observation.owner.owner if observation is not None else ""
--- a/crocusrouter/controllers/desk.py
+++ b/crocusrouter/controllers/desk.py
@@ -61,7 +61,7 @@
         owner = self._local_owners.get(data_centre)
         if owner is not None and owner.is_ready:
             return await self.answer_as_owner(owner, message)
-        owner_name = self._configuration.find_owner(data_centre)
+        owner_name = self._configuration.find_owner_name(data_centre)
         link = self._find_link(owner_name)
         if link is None:
             detail = f"data centre {data_centre}"
