--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -174,7 +174,9 @@
 async def _owner_unavailable(world):
     _write(world, "crocusrouter/control/owners/dc", OwnerRecord("e9", 9, 0))
     entry = world.entries["e1"].entry
-    await world.wait_for(lambda: entry.configuration.find_owner("dc") == "e9")
+    await world.wait_for(
+        lambda: entry.configuration.find_owner_name("dc") == "e9"
+    )
     await world.wait_for(lambda: not entry.owned)
     return await _submit(world)
 
