--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -47,7 +47,7 @@
     """
 
     record: store.Record
-    owner: OwnerRecord
+    owner_record: OwnerRecord
     seen_at: float
 
 
@@ -154,7 +154,7 @@
     def find_owner_name(self, data_centre: str) -> str:
         """Return the name of the owning entry, or "" if none is known."""
         observation = self.owner_observations.get(data_centre)
-        return observation.owner.owner if observation is not None else ""
+        return observation.owner_record.owner if observation is not None else ""
 
 
 async def watch_configuration(
--- a/crocusrouter/controllers/ownership.py
+++ b/crocusrouter/controllers/ownership.py
@@ -69,7 +69,7 @@
     stagger_s = rank * ttl_s * _RANK_STAGGER_TTLS
     if observation is None:
         return watch_started_at + stagger_s
-    if not observation.owner.owner:
+    if not observation.owner_record.owner:
         return observation.seen_at + rank * _RELEASED_RANK_STAGGER_S
     return observation.seen_at + ttl_s + stagger_s
 
@@ -118,7 +118,9 @@
             not confirmed.
         """
         observation = self._configuration.owner_observations.get(data_centre)
-        epoch = observation.owner.epoch + 1 if observation is not None else 1
+        epoch = (
+            observation.owner_record.epoch + 1 if observation is not None else 1
+        )
         new_owner_record = configurations.OwnerRecord(
             self._entry_name, epoch, 0
         )
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -127,7 +127,10 @@
         revisions = {entry.settings.name: entry.configuration.catalog.revision}
         suspected = sorted(entry.peers.peers.keys() - live.keys())
         owners = {
-            name: {"owner": seen.owner.owner, "epoch": seen.owner.epoch}
+            name: {
+                "owner": seen.owner_record.owner,
+                "epoch": seen.owner_record.epoch,
+            }
             for name, seen in sorted(
                 entry.configuration.owner_observations.items()
             )
