--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -48,7 +48,7 @@
 
     record: store.Record
     owner_record: OwnerRecord
-    seen_at: float
+    first_seen_at: float
 
 
 class Configuration:
--- a/crocusrouter/controllers/ownership.py
+++ b/crocusrouter/controllers/ownership.py
@@ -70,8 +70,8 @@
     if observation is None:
         return watch_started_at + stagger_s
     if not observation.owner_record.owner:
-        return observation.seen_at + rank * _RELEASED_RANK_STAGGER_S
-    return observation.seen_at + ttl_s + stagger_s
+        return observation.first_seen_at + rank * _RELEASED_RANK_STAGGER_S
+    return observation.first_seen_at + ttl_s + stagger_s
 
 
 @dataclasses.dataclass(frozen=True)
