--- a/crocusrouter/controllers/peers.py
+++ b/crocusrouter/controllers/peers.py
@@ -89,7 +89,7 @@
         """Return the link to a peer, or None if there is no such peer."""
         return self._links.get(name)
 
-    def list_live(self, now: float) -> list[mesh.Peer]:
+    def list_live_peers(self, now: float) -> list[mesh.Peer]:
         """Return the peers that sent a heartbeat recently."""
         return mesh.list_live_peers(self.peers, self._heartbeat_interval_s, now)
 
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -121,7 +121,7 @@
         now = trio.current_time()
         live = {
             peer.name: peer.heartbeat.catalog_revision
-            for peer in entry.peers.list_live(now)
+            for peer in entry.peers.list_live_peers(now)
             if peer.heartbeat is not None
         }
         revisions = {entry.settings.name: entry.configuration.catalog.revision}
