--- a/crocusrouter/controllers/peers.py
+++ b/crocusrouter/controllers/peers.py
@@ -107,9 +107,9 @@
 
     def _has_newer_catalog(self, heartbeat: messages.Heartbeat) -> bool:
         own_revision = self._configuration.catalog.revision
-        is_vouched = self._configuration.is_confirmed
+        is_confirmed = self._configuration.is_confirmed
         return heartbeat.is_ready and (
-            heartbeat.catalog_revision > own_revision or not is_vouched
+            heartbeat.catalog_revision > own_revision or not is_confirmed
         )
 
     def _open_link(self, peer: mesh.Peer) -> None:
