--- a/crocusrouter/controllers/desk.py
+++ b/crocusrouter/controllers/desk.py
@@ -56,7 +56,9 @@
             return None
         return jobs.choose_data_centre(data_centres, customer, key)
 
-    async def ask(self, data_centre: str, message: object) -> Any | Refusal:
+    async def call_owner(
+        self, data_centre: str, message: object
+    ) -> Any | Refusal:
         """Return the answer of a data centre's owner, local or at a peer."""
         owner = self._local_owners.get(data_centre)
         if owner is not None and owner.is_ready:
--- a/crocusrouter/http/jobs.py
+++ b/crocusrouter/http/jobs.py
@@ -134,7 +134,7 @@
             raise refuse(
                 RefusalReason.UNKNOWN_JOB, f"data centre {data_centre}"
             )
-        answer = await self._entry.desk.ask(data_centre, message)
+        answer = await self._entry.desk.call_owner(data_centre, message)
         if isinstance(answer, Refusal):
             raise RefusedError(answer)
         return answer
