--- a/crocusrouter/controllers/desk.py
+++ b/crocusrouter/controllers/desk.py
@@ -22,7 +22,7 @@
 _OWNER_RETRY_AFTER_S = 1.0
 
 
-class JobDesk:
+class JobRouter:
     """Passes job calls to the owner of their data centre."""
 
     def __init__(
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -86,7 +86,7 @@
             self._fetch_peer_answer,
             self._get_claim_lease,
         )
-        self.desk = desk.JobDesk(
+        self.desk = desk.JobRouter(
             self.configuration,
             self.owned,
             self.peers.find_link,
