--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -86,7 +86,7 @@
             self._fetch_peer_answer,
             self._get_claim_lease,
         )
-        self.desk = desk.JobRouter(
+        self.job_router = desk.JobRouter(
             self.configuration,
             self.owned,
             self.peers.find_link,
@@ -189,12 +189,14 @@
                 return self.claims.recall(claim_name)
             case messages.SubmitJob(packed_job):
                 job = codec.unpack(jobs.Job, packed_job)
-                return await self.desk.answer_peer(job.data_centre, message)
+                return await self.job_router.answer_peer(
+                    job.data_centre, message
+                )
             case messages.CancelJob(_, job_id) | messages.FindJob(_, job_id):
                 data_centre = jobs.parse_data_centre(job_id)
-                return await self.desk.answer_peer(data_centre, message)
+                return await self.job_router.answer_peer(data_centre, message)
             case messages.ListJobs(_, data_centre):
-                return await self.desk.answer_peer(data_centre, message)
+                return await self.job_router.answer_peer(data_centre, message)
             case _:
                 raise TypeError(
                     f"no handler for message {type(message).__name__}"
--- a/crocusrouter/http/jobs.py
+++ b/crocusrouter/http/jobs.py
@@ -122,7 +122,9 @@
                 )
             chosen = asked.data_centre
         else:
-            found = self._entry.desk.choose_data_centre(template.customer, key)
+            found = self._entry.job_router.choose_data_centre(
+                template.customer, key
+            )
             if found is None:
                 raise refuse(RefusalReason.NEVER_FITS, "no workers at all")
             chosen = found
@@ -134,7 +136,7 @@
             raise refuse(
                 RefusalReason.UNKNOWN_JOB, f"data centre {data_centre}"
             )
-        answer = await self._entry.desk.call_owner(data_centre, message)
+        answer = await self._entry.job_router.call_owner(data_centre, message)
         if isinstance(answer, Refusal):
             raise RefusedError(answer)
         return answer
