--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -66,7 +66,7 @@
         self.configuration = configurations.Configuration(
             settings.store_prefix, metrics
         )
-        self.machines = machines.VmListReader(
+        self.vm_list = machines.VmListReader(
             settings.vms_url, settings.vms_poll_s, metrics, self.random
         )
         self.owned: dict[str, owners.DataCentreOwner] = {}
@@ -90,7 +90,7 @@
             self.configuration,
             self.owned,
             self.peers.find_link,
-            lambda: self.machines.fleet,
+            lambda: self.vm_list.fleet,
         )
         self._ownership_records = ownership.OwnershipRecords(
             settings.name,
@@ -113,7 +113,7 @@
         self._owner_cancel_scopes: dict[str, trio.CancelScope] = {}
         self._register_gauges()
         self.configuration.listeners.append(self._distribute_catalog)
-        self.machines.listeners.append(self._distribute_fleet)
+        self.vm_list.listeners.append(self._distribute_fleet)
 
     def _register_gauges(self) -> None:
         gauges: dict[str, Callable[[], float]] = {
@@ -130,7 +130,7 @@
         """Run all controllers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.peers.run)
-            nursery.start_soon(self.machines.run)
+            nursery.start_soon(self.vm_list.run)
             nursery.start_soon(
                 configurations.watch_configuration,
                 self.configuration,
@@ -145,7 +145,7 @@
         """Whether this entry may accept jobs and requests."""
         return (
             self.configuration.is_confirmed
-            and self.machines.fleet.read_at is not None
+            and self.vm_list.fleet.read_at is not None
             and not self.is_stopping
         )
 
@@ -274,7 +274,7 @@
                 await trio.sleep(_OWNERSHIP_CHECK_INTERVAL_S)
                 if not self.is_ready:
                     continue
-                data_centres = fleet.list_data_centres(self.machines.fleet)
+                data_centres = fleet.list_data_centres(self.vm_list.fleet)
                 for data_centre in data_centres:
                     if self._may_take_over(data_centre, watch_started_at):
                         self._data_centres_with_task.add(data_centre)
@@ -288,7 +288,7 @@
             return False
         candidates = tuple(
             ownership.Candidate(vm.name, vm.data_centre)
-            for vm in fleet.select_vms(self.machines.fleet, fleet.Role.ENTRY)
+            for vm in fleet.select_vms(self.vm_list.fleet, fleet.Role.ENTRY)
         )
         ranked_names = ownership.rank_candidates(candidates, data_centre)
         own_name = self.settings.name
@@ -339,7 +339,7 @@
             self._read_wall_clock,
         )
         owner.set_catalog(self.configuration.catalog)
-        owner.set_fleet(self.machines.fleet)
+        owner.set_fleet(self.vm_list.fleet)
         self.owned[term.data_centre] = owner
         self.metrics.count_event("owner-took-over")
         scope = trio.CancelScope()
--- a/crocusrouter/http/jobs.py
+++ b/crocusrouter/http/jobs.py
@@ -84,7 +84,7 @@
         """List the customer's jobs in all data centres."""
         template = self._find_customer(request)
         shown: list[dict[str, Any]] = []
-        for data_centre in fleet.list_data_centres(self._entry.machines.fleet):
+        for data_centre in fleet.list_data_centres(self._entry.vm_list.fleet):
             views = await self._ask(
                 data_centre, messages.ListJobs(template.customer, data_centre)
             )
@@ -113,7 +113,7 @@
     def _name_job(
         self, template: Template, asked: models.JobRequest, key: str
     ) -> str:
-        known = fleet.list_data_centres(self._entry.machines.fleet)
+        known = fleet.list_data_centres(self._entry.vm_list.fleet)
         if asked.data_centre is not None:
             if asked.data_centre not in known:
                 raise refuse(
@@ -131,7 +131,7 @@
         return jobs.build_job_id(chosen, template.customer, key)
 
     async def _ask(self, data_centre: str, message: object) -> Any:
-        known = fleet.list_data_centres(self._entry.machines.fleet)
+        known = fleet.list_data_centres(self._entry.vm_list.fleet)
         if data_centre not in known:
             raise refuse(
                 RefusalReason.UNKNOWN_JOB, f"data centre {data_centre}"
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -84,7 +84,7 @@
             self._entry.store,
             template,
             expected,
-            self._entry.machines.fleet,
+            self._entry.vm_list.fleet,
             time.time(),
         )
         if isinstance(outcome, Refusal):
@@ -170,7 +170,7 @@
         document = {
             "ready": entry.is_ready,
             "configuration_vouched": entry.configuration.is_confirmed,
-            "vms_read": entry.machines.fleet.read_at is not None,
+            "vms_read": entry.vm_list.fleet.read_at is not None,
             "stopping": entry.is_stopping,
         }
         return _render(document, _OK if entry.is_ready else _UNAVAILABLE)
@@ -181,7 +181,7 @@
     def _check_only(self, template: Template, expected: int | None) -> Rendered:
         catalog = self._entry.configuration.catalog
         refusal = controllers.check_edit(
-            catalog, template, expected, self._entry.machines.fleet
+            catalog, template, expected, self._entry.vm_list.fleet
         )
         if refusal is not None:
             raise RefusedError(refusal)
