--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -69,7 +69,7 @@
         self.vm_list = machines.VmListReader(
             settings.vms_url, settings.vms_poll_s, metrics, self.random
         )
-        self.owned: dict[str, owners.DataCentreOwner] = {}
+        self.local_owners: dict[str, owners.DataCentreOwner] = {}
         self.peers = peers.PeerController(
             settings.name,
             settings.mesh_secret,
@@ -88,7 +88,7 @@
         )
         self.job_router = desk.JobRouter(
             self.configuration,
-            self.owned,
+            self.local_owners,
             self.peers.find_link,
             lambda: self.vm_list.fleet,
         )
@@ -120,7 +120,7 @@
             "crocusrouter_catalog_revision": lambda: (
                 self.configuration.catalog.revision
             ),
-            "crocusrouter_owned_data_centres": lambda: len(self.owned),
+            "crocusrouter_owned_data_centres": lambda: len(self.local_owners),
             "crocusrouter_ready": lambda: float(self.is_ready),
         }
         for name, read_gauge in gauges.items():
@@ -155,7 +155,9 @@
             self.settings.name,
             self.configuration.catalog.revision,
             self.is_ready,
-            tuple((name, owner.epoch) for name, owner in self.owned.items()),
+            tuple(
+                (name, owner.epoch) for name, owner in self.local_owners.items()
+            ),
         )
 
     async def answer(self, call: requests.Call) -> Answer:
@@ -210,7 +212,7 @@
         its successor counts as lost.
         """
         for data_centre, epoch in heartbeat.owned_epochs:
-            owner = self.owned.get(data_centre)
+            owner = self.local_owners.get(data_centre)
             if owner is not None and owner.epoch < epoch:
                 self.metrics.count_event("owner-fenced")
                 log("owner:fenced", data_centre=data_centre, by=heartbeat.name)
@@ -220,7 +222,7 @@
         """Give up the ownership of every data centre, in a planned stop."""
         self.is_stopping = True
         async with trio.open_nursery() as nursery:
-            for owner in list(self.owned.values()):
+            for owner in list(self.local_owners.values()):
                 nursery.start_soon(owner.drain)
         for scope in list(self._owner_cancel_scopes.values()):
             scope.cancel()
@@ -228,7 +230,7 @@
             await trio.sleep(_OWNERSHIP_CHECK_INTERVAL_S / 10)
 
     def _distribute_catalog(self) -> None:
-        for owner in self.owned.values():
+        for owner in self.local_owners.values():
             owner.set_catalog(self.configuration.catalog)
 
     def _distribute_fleet(self, current_fleet: fleet.Fleet) -> None:
@@ -236,7 +238,7 @@
         self.runners.set_runners(
             fleet.select_vms(current_fleet, fleet.Role.RUNNER)
         )
-        for owner in self.owned.values():
+        for owner in self.local_owners.values():
             owner.set_fleet(current_fleet)
 
     # Claims on idempotency keys.
@@ -340,7 +342,7 @@
         )
         owner.set_catalog(self.configuration.catalog)
         owner.set_fleet(self.vm_list.fleet)
-        self.owned[term.data_centre] = owner
+        self.local_owners[term.data_centre] = owner
         self.metrics.count_event("owner-took-over")
         scope = trio.CancelScope()
         self._owner_cancel_scopes[term.data_centre] = scope
@@ -352,7 +354,7 @@
                     await owner.run()
                     scope.cancel()
         finally:
-            del self.owned[term.data_centre]
+            del self.local_owners[term.data_centre]
             with trio.move_on_after(1.0, shield=True):
                 if self.is_stopping and renewal.term is not None:
                     await self._ownership_records.release(renewal.term)
--- a/crocusrouter/controllers/tests/test_entry.py
+++ b/crocusrouter/controllers/tests/test_entry.py
@@ -361,7 +361,7 @@
         await world.put_template()
         await world.wait_owned()
         entry = world.entries["e1"].entry
-        first_owner = entry.owned["dc"]
+        first_owner = entry.local_owners["dc"]
 
         def fail(*_):
             raise KeyError("w0")
@@ -374,7 +374,7 @@
         reply = await world.ask("POST", "/v1/requests/match", {"item": 1})
         assert reply.status == 200
         await world.wait_for(
-            lambda: entry.owned.get("dc") not in (None, first_owner)
+            lambda: entry.local_owners.get("dc") not in (None, first_owner)
         )
         await world.wait_owned()
         accepted_reply = await _submit_job(world, "k1")
@@ -389,15 +389,15 @@
         await world.put_template()
         await world.wait_owned()
         entries = [served.entry for served in world.entries.values()]
-        [owner_entry] = [entry for entry in entries if entry.owned]
-        [other_entry] = [entry for entry in entries if not entry.owned]
+        [owner_entry] = [entry for entry in entries if entry.local_owners]
+        [other_entry] = [entry for entry in entries if not entry.local_owners]
 
         async def fail(*_):
             raise httpcore.ConnectError("cut off")
 
         owner_entry.store._pool.request = lambda *a, **k: fail()
-        await world.wait_for(lambda: "dc" in other_entry.owned)
-        await world.wait_for(lambda: "dc" not in owner_entry.owned)
+        await world.wait_for(lambda: "dc" in other_entry.local_owners)
+        await world.wait_for(lambda: "dc" not in owner_entry.local_owners)
         assert owner_entry.metrics.counts["event:owner-fenced"] >= 1
 
 
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -137,7 +137,7 @@
         }
         owned = [
             dataclasses.asdict(controllers.describe_owner(held))
-            for held in entry.owned.values()
+            for held in entry.local_owners.values()
         ]
         return _render(
             {
--- a/standins/world.py
+++ b/standins/world.py
@@ -228,7 +228,7 @@
                 and set(held.book.workers) >= set(self.workers)
                 and all(w.known for w in held.book.workers.values())
                 for served in self.entries.values()
-                for held in served.entry.owned.values()
+                for held in served.entry.local_owners.values()
             )
 
         await self.wait_for(is_owned)
