--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -41,7 +41,7 @@
 
     Attributes:
         is_stopping: Whether a planned stop has begun.
-        owned: The owners that run in this process, by data centre.
+        local_owners: The owners that run in this process, by data centre.
     """
 
     def __init__(
