--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -177,7 +177,7 @@
     await world.wait_for(
         lambda: entry.configuration.find_owner_name("dc") == "e9"
     )
-    await world.wait_for(lambda: not entry.owned)
+    await world.wait_for(lambda: not entry.local_owners)
     return await _submit(world)
 
 
@@ -352,7 +352,7 @@
 async def _worker_lost(world):
     await world.wait_owned()
     reply = await _submit(world, run_time_s=60.0)
-    owner = world.entries["e1"].entry.owned["dc"]
+    owner = world.entries["e1"].entry.local_owners["dc"]
     job_id = reply.document["id"]
     await world.wait_for(lambda: job_id in owner.book.gangs)
     world.unlist_vm(owner.book.jobs[job_id].members[0].worker)
