--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -70,7 +70,7 @@
             settings.vms_url, settings.vms_poll_s, metrics, self.random
         )
         self.local_owners: dict[str, owners.DataCentreOwner] = {}
-        self.peers = peers.PeerController(
+        self.peer_controller = peers.PeerController(
             settings.name,
             settings.mesh_secret,
             settings.heartbeat_s,
@@ -89,7 +89,7 @@
         self.job_router = desk.JobRouter(
             self.configuration,
             self.local_owners,
-            self.peers.find_link,
+            self.peer_controller.find_link,
             lambda: self.vm_list.fleet,
         )
         self._ownership_records = ownership.OwnershipRecords(
@@ -129,7 +129,7 @@
     async def run(self) -> None:
         """Run all controllers until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.peers.run)
+            nursery.start_soon(self.peer_controller.run)
             nursery.start_soon(self.vm_list.run)
             nursery.start_soon(
                 configurations.watch_configuration,
@@ -181,7 +181,9 @@
         """Return the answer to a message from another entry."""
         match message:
             case messages.Heartbeat():
-                self.peers.record_heartbeat(message, trio.current_time())
+                self.peer_controller.record_heartbeat(
+                    message, trio.current_time()
+                )
                 return self.build_heartbeat()
             case messages.AskCatalog():
                 return messages.CatalogReply(
@@ -234,7 +236,7 @@
             owner.set_catalog(self.configuration.catalog)
 
     def _distribute_fleet(self, current_fleet: fleet.Fleet) -> None:
-        self.peers.set_fleet(current_fleet)
+        self.peer_controller.set_fleet(current_fleet)
         self.runners.set_runners(
             fleet.select_vms(current_fleet, fleet.Role.RUNNER)
         )
@@ -247,7 +249,7 @@
         self, entry_name: str, claim_name: str
     ) -> messages.AnswerReply | None:
         """Ask a peer what it answered under a claim; None if unreachable."""
-        link = self.peers.find_link(entry_name)
+        link = self.peer_controller.find_link(entry_name)
         if link is None:
             return None
         try:
--- a/crocusrouter/controllers/tests/test_entry.py
+++ b/crocusrouter/controllers/tests/test_entry.py
@@ -246,7 +246,7 @@
         await world.put_template(retry_share=0.0)
         # An entry that has not yet read of the other one in the VM list can't
         # ask it and correctly answers "unknown".
-        peers = world.entries["e1"].entry.peers
+        peers = world.entries["e1"].entry.peer_controller
         await world.wait_for(lambda: peers.find_link("e2") is not None)
         path = "/v1/requests/reserve"
         for runner_standin in world.runners.values():
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -121,11 +121,11 @@
         now = trio.current_time()
         live = {
             peer.name: peer.heartbeat.catalog_revision
-            for peer in entry.peers.list_live_peers(now)
+            for peer in entry.peer_controller.list_live_peers(now)
             if peer.heartbeat is not None
         }
         revisions = {entry.settings.name: entry.configuration.catalog.revision}
-        suspected = sorted(entry.peers.peers.keys() - live.keys())
+        suspected = sorted(entry.peer_controller.peers.keys() - live.keys())
         owners = {
             name: {
                 "owner": seen.owner_record.owner,
