--- a/crocusrouter/cli/service.py
+++ b/crocusrouter/cli/service.py
@@ -65,7 +65,7 @@
             # one promised to finish; trio would deliver one that nobody took
             # to the default handler, which ends the process.
             nursery.start_soon(_take_signals, signals)
-            await entry.release_all()
+            await entry.release_data_centres()
             await trio.sleep(_LAME_DUCK_S)
             stopped.set()
 
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -220,7 +220,7 @@
                 log("owner:fenced", data_centre=data_centre, by=heartbeat.name)
                 self._owner_cancel_scopes[data_centre].cancel()
 
-    async def release_all(self) -> None:
+    async def release_data_centres(self) -> None:
         """Give up the ownership of every data centre, in a planned stop."""
         self.is_stopping = True
         async with trio.open_nursery() as nursery:
