--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -16,7 +16,7 @@
 from crocusrouter import requests
 from crocusrouter import store
 from crocusrouter.controllers import configuration as configurations
-from crocusrouter.controllers import desk
+from crocusrouter.controllers import job_router
 from crocusrouter.controllers import machines
 from crocusrouter.controllers import owner as owners
 from crocusrouter.controllers import ownership
@@ -86,7 +86,7 @@
             self._fetch_peer_answer,
             self._get_claim_lease,
         )
-        self.job_router = desk.JobRouter(
+        self.job_router = job_router.JobRouter(
             self.configuration,
             self.local_owners,
             self.peer_controller.find_link,
