--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -17,10 +17,10 @@
 from crocusrouter import store
 from crocusrouter.controllers import configuration as configurations
 from crocusrouter.controllers import job_router
-from crocusrouter.controllers import machines
 from crocusrouter.controllers import owner as owners
 from crocusrouter.controllers import ownership
 from crocusrouter.controllers import peers
+from crocusrouter.controllers import vm_list
 from crocusrouter.mesh import messages
 from crocusrouter.outcomes import Answer
 from crocusrouter.requests import pool
@@ -66,7 +66,7 @@
         self.configuration = configurations.Configuration(
             settings.store_prefix, metrics
         )
-        self.vm_list = machines.VmListReader(
+        self.vm_list = vm_list.VmListReader(
             settings.vms_url, settings.vms_poll_s, metrics, self.random
         )
         self.local_owners: dict[str, owners.DataCentreOwner] = {}
