--- a/crocusrouter/controllers/__init__.py
+++ b/crocusrouter/controllers/__init__.py
@@ -5,12 +5,12 @@
 """
 
 from crocusrouter.controllers.configuration import Configuration
-from crocusrouter.controllers.edits import AppliedEdit
-from crocusrouter.controllers.edits import apply_edit
-from crocusrouter.controllers.edits import check_edit
-from crocusrouter.controllers.edits import list_versions
 from crocusrouter.controllers.entry import Entry
 from crocusrouter.controllers.owner import describe_owner
+from crocusrouter.controllers.template_edits import AppliedEdit
+from crocusrouter.controllers.template_edits import apply_edit
+from crocusrouter.controllers.template_edits import check_edit
+from crocusrouter.controllers.template_edits import list_versions
 
 __all__ = [
     "Configuration",
