--- a/crocusrouter/controllers/configuration.py
+++ b/crocusrouter/controllers/configuration.py
@@ -47,8 +47,8 @@
     """
 
     record: store.Record
-    owner: OwnerRecord
-    seen_at: float
+    owner_record: OwnerRecord
+    first_seen_at: float
 
 
 class Configuration:
@@ -57,7 +57,7 @@
     Attributes:
         catalog: The catalog in force.
         catalog_record: The stored record of the latest catalog read.
-        is_vouched: Whether the key-value service or a ready peer has told
+        is_confirmed: Whether the key-value service or a ready peer has told
             this entry the catalog in force.
         alarm: What is wrong with the stored catalog; empty if nothing is.
         listeners: Called after each change of the catalog.
@@ -78,9 +78,9 @@
         self.history_prefix = f"{prefix}history/"
         self.catalog = Catalog()
         self.catalog_record: store.Record | None = None
-        self.is_vouched = False
+        self.is_confirmed = False
         self.alarm = ""
-        self.owners: dict[str, OwnerObservation] = {}
+        self.owner_observations: dict[str, OwnerObservation] = {}
         self.listeners: list[Callable[[], None]] = []
         self._metrics = metrics
 
@@ -99,7 +99,7 @@
             )
             log("configuration:older-revision", alarm=self.alarm)
             return False
-        self.is_vouched = True
+        self.is_confirmed = True
         if catalog.revision > self.catalog.revision:
             self.alarm = ""
             self.catalog = catalog
@@ -113,7 +113,7 @@
         for record in snapshot.records:
             self.apply_record(record, now)
         # A missing catalog is confirmed as well, since the store was read.
-        self.is_vouched = True
+        self.is_confirmed = True
 
     def apply_record(self, record: store.Record, now: float) -> None:
         """Apply one control record that was read or watched."""
@@ -140,19 +140,21 @@
     def _apply_owner_record(self, record: store.Record, now: float) -> None:
         """Apply an owner record, unless a version as recent is known."""
         data_centre = record.key.removeprefix(self.owners_prefix)
-        observation = self.owners.get(data_centre)
+        observation = self.owner_observations.get(data_centre)
         if (
             observation is not None
             and record.revision <= observation.record.revision
         ):
             return
         owner_record = codec.unpack(OwnerRecord, record.value)
-        self.owners[data_centre] = OwnerObservation(record, owner_record, now)
+        self.owner_observations[data_centre] = OwnerObservation(
+            record, owner_record, now
+        )
 
-    def find_owner(self, data_centre: str) -> str:
+    def find_owner_name(self, data_centre: str) -> str:
         """Return the name of the owning entry, or "" if none is known."""
-        observation = self.owners.get(data_centre)
-        return observation.owner.owner if observation is not None else ""
+        observation = self.owner_observations.get(data_centre)
+        return observation.owner_record.owner if observation is not None else ""
 
 
 async def watch_configuration(
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -16,11 +16,11 @@
 from crocusrouter import requests
 from crocusrouter import store
 from crocusrouter.controllers import configuration as configurations
-from crocusrouter.controllers import desk
-from crocusrouter.controllers import machines
+from crocusrouter.controllers import job_router
 from crocusrouter.controllers import owner as owners
 from crocusrouter.controllers import ownership
 from crocusrouter.controllers import peers
+from crocusrouter.controllers import vm_list
 from crocusrouter.mesh import messages
 from crocusrouter.outcomes import Answer
 from crocusrouter.requests import pool
@@ -41,7 +41,7 @@
 
     Attributes:
         is_stopping: Whether a planned stop has begun.
-        owned: The owners that run in this process, by data centre.
+        local_owners: The owners that run in this process, by data centre.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
         self.configuration = configurations.Configuration(
             settings.store_prefix, metrics
         )
-        self.machines = machines.VmListReader(
+        self.vm_list = vm_list.VmListReader(
             settings.vms_url, settings.vms_poll_s, metrics, self.random
         )
-        self.owned: dict[str, owners.DataCentreOwner] = {}
-        self.peers = peers.PeerController(
+        self.local_owners: dict[str, owners.DataCentreOwner] = {}
+        self.peer_controller = peers.PeerController(
             settings.name,
             settings.mesh_secret,
             settings.heartbeat_s,
@@ -86,11 +86,11 @@
             self._fetch_peer_answer,
             self._get_claim_lease,
         )
-        self.desk = desk.JobDesk(
+        self.job_router = job_router.JobRouter(
             self.configuration,
-            self.owned,
-            self.peers.find_link,
-            lambda: self.machines.fleet,
+            self.local_owners,
+            self.peer_controller.find_link,
+            lambda: self.vm_list.fleet,
         )
         self._ownership_records = ownership.OwnershipRecords(
             settings.name,
@@ -113,14 +113,14 @@
         self._owner_cancel_scopes: dict[str, trio.CancelScope] = {}
         self._register_gauges()
         self.configuration.listeners.append(self._distribute_catalog)
-        self.machines.listeners.append(self._distribute_fleet)
+        self.vm_list.listeners.append(self._distribute_fleet)
 
     def _register_gauges(self) -> None:
         gauges: dict[str, Callable[[], float]] = {
             "crocusrouter_catalog_revision": lambda: (
                 self.configuration.catalog.revision
             ),
-            "crocusrouter_owned_data_centres": lambda: len(self.owned),
+            "crocusrouter_owned_data_centres": lambda: len(self.local_owners),
             "crocusrouter_ready": lambda: float(self.is_ready),
         }
         for name, read_gauge in gauges.items():
@@ -129,8 +129,8 @@
     async def run(self) -> None:
         """Run all controllers until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.peers.run)
-            nursery.start_soon(self.machines.run)
+            nursery.start_soon(self.peer_controller.run)
+            nursery.start_soon(self.vm_list.run)
             nursery.start_soon(
                 configurations.watch_configuration,
                 self.configuration,
@@ -144,8 +144,8 @@
     def is_ready(self) -> bool:
         """Whether this entry may accept jobs and requests."""
         return (
-            self.configuration.is_vouched
-            and self.machines.fleet.read_at is not None
+            self.configuration.is_confirmed
+            and self.vm_list.fleet.read_at is not None
             and not self.is_stopping
         )
 
@@ -155,7 +155,9 @@
             self.settings.name,
             self.configuration.catalog.revision,
             self.is_ready,
-            tuple((name, owner.epoch) for name, owner in self.owned.items()),
+            tuple(
+                (name, owner.epoch) for name, owner in self.local_owners.items()
+            ),
         )
 
     async def answer(self, call: requests.Call) -> Answer:
@@ -179,7 +181,9 @@
         """Return the answer to a message from another entry."""
         match message:
             case messages.Heartbeat():
-                self.peers.record_heartbeat(message, trio.current_time())
+                self.peer_controller.record_heartbeat(
+                    message, trio.current_time()
+                )
                 return self.build_heartbeat()
             case messages.AskCatalog():
                 return messages.CatalogReply(
@@ -189,12 +193,14 @@
                 return self.claims.recall(claim_name)
             case messages.SubmitJob(packed_job):
                 job = codec.unpack(jobs.Job, packed_job)
-                return await self.desk.answer_peer(job.data_centre, message)
+                return await self.job_router.answer_peer(
+                    job.data_centre, message
+                )
             case messages.CancelJob(_, job_id) | messages.FindJob(_, job_id):
                 data_centre = jobs.parse_data_centre(job_id)
-                return await self.desk.answer_peer(data_centre, message)
+                return await self.job_router.answer_peer(data_centre, message)
             case messages.ListJobs(_, data_centre):
-                return await self.desk.answer_peer(data_centre, message)
+                return await self.job_router.answer_peer(data_centre, message)
             case _:
                 raise TypeError(
                     f"no handler for message {type(message).__name__}"
@@ -207,18 +213,18 @@
         has been replaced. It would go on renewing the leases of tasks that
         its successor counts as lost.
         """
-        for data_centre, epoch in heartbeat.owned:
-            owner = self.owned.get(data_centre)
+        for data_centre, epoch in heartbeat.owned_epochs:
+            owner = self.local_owners.get(data_centre)
             if owner is not None and owner.epoch < epoch:
                 self.metrics.count_event("owner-fenced")
                 log("owner:fenced", data_centre=data_centre, by=heartbeat.name)
                 self._owner_cancel_scopes[data_centre].cancel()
 
-    async def release_all(self) -> None:
+    async def release_data_centres(self) -> None:
         """Give up the ownership of every data centre, in a planned stop."""
         self.is_stopping = True
         async with trio.open_nursery() as nursery:
-            for owner in list(self.owned.values()):
+            for owner in list(self.local_owners.values()):
                 nursery.start_soon(owner.drain)
         for scope in list(self._owner_cancel_scopes.values()):
             scope.cancel()
@@ -226,15 +232,15 @@
             await trio.sleep(_OWNERSHIP_CHECK_INTERVAL_S / 10)
 
     def _distribute_catalog(self) -> None:
-        for owner in self.owned.values():
+        for owner in self.local_owners.values():
             owner.set_catalog(self.configuration.catalog)
 
     def _distribute_fleet(self, current_fleet: fleet.Fleet) -> None:
-        self.peers.set_fleet(current_fleet)
+        self.peer_controller.set_fleet(current_fleet)
         self.runners.set_runners(
             fleet.select_vms(current_fleet, fleet.Role.RUNNER)
         )
-        for owner in self.owned.values():
+        for owner in self.local_owners.values():
             owner.set_fleet(current_fleet)
 
     # Claims on idempotency keys.
@@ -243,7 +249,7 @@
         self, entry_name: str, claim_name: str
     ) -> messages.AnswerReply | None:
         """Ask a peer what it answered under a claim; None if unreachable."""
-        link = self.peers.find_link(entry_name)
+        link = self.peer_controller.find_link(entry_name)
         if link is None:
             return None
         try:
@@ -272,7 +278,7 @@
                 await trio.sleep(_OWNERSHIP_CHECK_INTERVAL_S)
                 if not self.is_ready:
                     continue
-                data_centres = fleet.list_data_centres(self.machines.fleet)
+                data_centres = fleet.list_data_centres(self.vm_list.fleet)
                 for data_centre in data_centres:
                     if self._may_take_over(data_centre, watch_started_at):
                         self._data_centres_with_task.add(data_centre)
@@ -286,7 +292,7 @@
             return False
         candidates = tuple(
             ownership.Candidate(vm.name, vm.data_centre)
-            for vm in fleet.select_vms(self.machines.fleet, fleet.Role.ENTRY)
+            for vm in fleet.select_vms(self.vm_list.fleet, fleet.Role.ENTRY)
         )
         ranked_names = ownership.rank_candidates(candidates, data_centre)
         own_name = self.settings.name
@@ -296,7 +302,7 @@
             else len(ranked_names)
         )
         takeover_time = ownership.find_takeover_time(
-            self.configuration.owners.get(data_centre),
+            self.configuration.owner_observations.get(data_centre),
             rank,
             self.settings.owner_ttl_s,
             watch_started_at,
@@ -337,8 +343,8 @@
             self._read_wall_clock,
         )
         owner.set_catalog(self.configuration.catalog)
-        owner.set_fleet(self.machines.fleet)
-        self.owned[term.data_centre] = owner
+        owner.set_fleet(self.vm_list.fleet)
+        self.local_owners[term.data_centre] = owner
         self.metrics.count_event("owner-took-over")
         scope = trio.CancelScope()
         self._owner_cancel_scopes[term.data_centre] = scope
@@ -350,7 +356,7 @@
                     await owner.run()
                     scope.cancel()
         finally:
-            del self.owned[term.data_centre]
+            del self.local_owners[term.data_centre]
             with trio.move_on_after(1.0, shield=True):
                 if self.is_stopping and renewal.term is not None:
                     await self._ownership_records.release(renewal.term)
--- a/crocusrouter/controllers/desk.py
+++ b/crocusrouter/controllers/job_router.py
@@ -22,7 +22,7 @@
 _OWNER_RETRY_AFTER_S = 1.0
 
 
-class JobDesk:
+class JobRouter:
     """Passes job calls to the owner of their data centre."""
 
     def __init__(
@@ -56,12 +56,14 @@
             return None
         return jobs.choose_data_centre(data_centres, customer, key)
 
-    async def ask(self, data_centre: str, message: object) -> Any | Refusal:
+    async def call_owner(
+        self, data_centre: str, message: object
+    ) -> Any | Refusal:
         """Return the answer of a data centre's owner, local or at a peer."""
         owner = self._local_owners.get(data_centre)
         if owner is not None and owner.is_ready:
             return await self.answer_as_owner(owner, message)
-        owner_name = self._configuration.find_owner(data_centre)
+        owner_name = self._configuration.find_owner_name(data_centre)
         link = self._find_link(owner_name)
         if link is None:
             detail = f"data centre {data_centre}"
--- a/crocusrouter/controllers/peers.py
+++ b/crocusrouter/controllers/peers.py
@@ -89,15 +89,15 @@
         """Return the link to a peer, or None if there is no such peer."""
         return self._links.get(name)
 
-    def list_live(self, now: float) -> list[mesh.Peer]:
+    def list_live_peers(self, now: float) -> list[mesh.Peer]:
         """Return the peers that sent a heartbeat recently."""
-        return mesh.list_live(self.peers, self._heartbeat_interval_s, now)
+        return mesh.list_live_peers(self.peers, self._heartbeat_interval_s, now)
 
     def record_heartbeat(
         self, heartbeat: messages.Heartbeat, now: float
     ) -> None:
         """Record a peer's heartbeat; fetch its catalog if that is newer."""
-        self.peers = mesh.note_heartbeat(self.peers, heartbeat, now)
+        self.peers = mesh.record_heartbeat(self.peers, heartbeat, now)
         self._on_heartbeat(heartbeat)
         link = self._links.get(heartbeat.name)
         if link is None or self._nursery is None:
@@ -107,9 +107,9 @@
 
     def _has_newer_catalog(self, heartbeat: messages.Heartbeat) -> bool:
         own_revision = self._configuration.catalog.revision
-        is_vouched = self._configuration.is_vouched
-        return heartbeat.ready and (
-            heartbeat.revision > own_revision or not is_vouched
+        is_confirmed = self._configuration.is_confirmed
+        return heartbeat.is_ready and (
+            heartbeat.catalog_revision > own_revision or not is_confirmed
         )
 
     def _open_link(self, peer: mesh.Peer) -> None:
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operators.py
@@ -84,7 +84,7 @@
             self._entry.store,
             template,
             expected,
-            self._entry.machines.fleet,
+            self._entry.vm_list.fleet,
             time.time(),
         )
         if isinstance(outcome, Refusal):
@@ -120,19 +120,24 @@
         entry = self._entry
         now = trio.current_time()
         live = {
-            peer.name: peer.heartbeat.revision
-            for peer in entry.peers.list_live(now)
+            peer.name: peer.heartbeat.catalog_revision
+            for peer in entry.peer_controller.list_live_peers(now)
             if peer.heartbeat is not None
         }
         revisions = {entry.settings.name: entry.configuration.catalog.revision}
-        suspected = sorted(entry.peers.peers.keys() - live.keys())
+        suspected = sorted(entry.peer_controller.peers.keys() - live.keys())
         owners = {
-            name: {"owner": seen.owner.owner, "epoch": seen.owner.epoch}
-            for name, seen in sorted(entry.configuration.owners.items())
+            name: {
+                "owner": seen.owner_record.owner,
+                "epoch": seen.owner_record.epoch,
+            }
+            for name, seen in sorted(
+                entry.configuration.owner_observations.items()
+            )
         }
         owned = [
             dataclasses.asdict(controllers.describe_owner(held))
-            for held in entry.owned.values()
+            for held in entry.local_owners.values()
         ]
         return _render(
             {
@@ -164,8 +169,8 @@
         entry = self._entry
         document = {
             "ready": entry.is_ready,
-            "configuration_vouched": entry.configuration.is_vouched,
-            "vms_read": entry.machines.fleet.read_at is not None,
+            "configuration_vouched": entry.configuration.is_confirmed,
+            "vms_read": entry.vm_list.fleet.read_at is not None,
             "stopping": entry.is_stopping,
         }
         return _render(document, _OK if entry.is_ready else _UNAVAILABLE)
@@ -176,7 +181,7 @@
     def _check_only(self, template: Template, expected: int | None) -> Rendered:
         catalog = self._entry.configuration.catalog
         refusal = controllers.check_edit(
-            catalog, template, expected, self._entry.machines.fleet
+            catalog, template, expected, self._entry.vm_list.fleet
         )
         if refusal is not None:
             raise RefusedError(refusal)
--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -174,8 +174,10 @@
 async def _owner_unavailable(world):
     _write(world, "crocusrouter/control/owners/dc", OwnerRecord("e9", 9, 0))
     entry = world.entries["e1"].entry
-    await world.wait_for(lambda: entry.configuration.find_owner("dc") == "e9")
-    await world.wait_for(lambda: not entry.owned)
+    await world.wait_for(
+        lambda: entry.configuration.find_owner_name("dc") == "e9"
+    )
+    await world.wait_for(lambda: not entry.local_owners)
     return await _submit(world)
 
 
@@ -350,7 +352,7 @@
 async def _worker_lost(world):
     await world.wait_owned()
     reply = await _submit(world, run_time_s=60.0)
-    owner = world.entries["e1"].entry.owned["dc"]
+    owner = world.entries["e1"].entry.local_owners["dc"]
     job_id = reply.document["id"]
     await world.wait_for(lambda: job_id in owner.scheduler_state.gangs)
     world.unlist_vm(owner.scheduler_state.jobs[job_id].members[0].worker)
--- a/crocusrouter/jobs/handlers.py
+++ b/crocusrouter/jobs/handlers.py
@@ -122,7 +122,7 @@
         now + _RETRY_DELAY_AFTER_DECLINE_S
     )
     transition = gangs.record_released(
-        gang, worker_name, gangs.EndReason.DECLINED, message.why
+        gang, worker_name, gangs.EndReason.DECLINED, message.reason
     )
     scheduler_state.apply(transition, now, effects)
 
--- a/crocusrouter/mesh/messages.py
+++ b/crocusrouter/mesh/messages.py
@@ -19,9 +19,9 @@
     """
 
     name: str
-    revision: int
-    ready: bool
-    owned: tuple[tuple[str, int], ...]
+    catalog_revision: int
+    is_ready: bool
+    owned_epochs: tuple[tuple[str, int], ...]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -40,7 +40,7 @@
 class SubmitJob:
     """Submits a packed job to the owner of its data centre."""
 
-    job: bytes
+    packed_job: bytes
 
 
 @dataclasses.dataclass(frozen=True)
@@ -104,7 +104,7 @@
 class AskAnswer:
     """Asks for the answer to the request whose claim the peer holds."""
 
-    claim: str
+    claim_name: str
 
 
 @dataclasses.dataclass(frozen=True)
@@ -130,21 +130,21 @@
 
     Attributes:
         name: The sender's name.
-        version: Version of the configuration in force at the sender.
-        vouched_age_s: Seconds since the key-value service or a peer
+        config_version: Version of the configuration in force at the sender.
+        confirmed_age_s: Seconds since the key-value service or a peer
             confirmed that this is the newest one; None if never.
         owners: Pool, epoch and owner's name, as the sender knows them.
-        is_served: Whether the key-value service answers the sender.
-        last_event: Revision of the latest change of members or
+        has_store_access: Whether the key-value service answers the sender.
+        last_change_revision: Revision of the latest change of members or
             owners that the sender has seen.
     """
 
     name: str
-    version: int
-    vouched_age_s: float | None
+    config_version: int
+    confirmed_age_s: float | None
     owners: tuple[tuple[str, int, str], ...]
-    is_served: bool
-    last_event: int = 0
+    has_store_access: bool
+    last_change_revision: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -164,7 +164,7 @@
     """Asks a pool's owner for a job's state."""
 
     pool: str
-    job: str
+    job_id: str
 
 
 @dataclasses.dataclass(frozen=True)
@@ -204,12 +204,12 @@
     """The record that a peer read for the sender of `RelayRead`.
 
     Attributes:
-        known: Whether the key-value service answered the peer.
+        store_answered: Whether the key-value service answered the peer.
         value: The record's body.
         revision: The record's revision; 0 if the key doesn't exist.
     """
 
-    known: bool
+    store_answered: bool
     value: bytes = b""
     revision: int = 0
 
@@ -222,7 +222,7 @@
     """
 
     key: str
-    revision: int
+    expected_revision: int
     value: bytes
 
 
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -246,11 +246,11 @@
         requested. An unrequested heartbeat may have been in flight for seconds.
         """
         if (
-            heartbeat.vouched_age_s is not None
-            and heartbeat.version == self.configuration.version
+            heartbeat.confirmed_age_s is not None
+            and heartbeat.config_version == self.configuration.version
         ):
             self.configuration.confirm_newest(
-                asked_at - heartbeat.vouched_age_s
+                asked_at - heartbeat.confirmed_age_s
             )
         self._handle_heartbeat(heartbeat)
 
@@ -260,8 +260,8 @@
         They only move forward: the configuration version, the latest event and
         the owners' epochs.
         """
-        self._system_watch.check_for_missed(heartbeat.last_event)
-        is_behind = heartbeat.version > self.configuration.version
+        self._system_watch.check_for_missed(heartbeat.last_change_revision)
+        is_behind = heartbeat.config_version > self.configuration.version
         if is_behind and self._nursery is not None:
             self._nursery.start_soon(self._fetch_config_from, heartbeat.name)
         self._ownership.apply_heartbeat_rows(heartbeat.owners)
--- a/crocusrouter/pools/peers.py
+++ b/crocusrouter/pools/peers.py
@@ -131,7 +131,7 @@
         """Record a peer's answer, which is no older than its request."""
         self._last_answer_at = max(asked_at, self._last_answer_at or asked_at)
         self._answered_at[heartbeat.name] = asked_at
-        if heartbeat.is_served:
+        if heartbeat.has_store_access:
             self._served_at[heartbeat.name] = asked_at
         else:
             self._served_at.pop(heartbeat.name, None)
@@ -143,7 +143,7 @@
         peer is reachable now. Its claim that the store serves the peer may be
         outdated too; that only makes callers retry sooner than necessary.
         """
-        if heartbeat.is_served:
+        if heartbeat.has_store_access:
             self._served_at[heartbeat.name] = now
 
     async def call(self, name: str, message: object) -> object | None:
--- a/crocusrouter/pools/relay.py
+++ b/crocusrouter/pools/relay.py
@@ -50,7 +50,7 @@
         """
         for peer in self._peers.choose_helpers()[:_MAX_PEER_TRIES]:
             reply = await self._peers.call(peer, messages.RelayRead(key))
-            if isinstance(reply, messages.RelayRecord) and reply.known:
+            if isinstance(reply, messages.RelayRecord) and reply.store_answered:
                 if reply.revision == 0:
                     return None
                 return records.Record(key, reply.value, reply.revision)
@@ -110,13 +110,13 @@
     ) -> messages.RelayRecord:
         """Read for a peer, directly only."""
         if self._store.is_down():
-            return messages.RelayRecord(known=False)
+            return messages.RelayRecord(store_answered=False)
         try:
             record = await self._store.read(request.key)
         except client.StoreUnavailableError:
-            return messages.RelayRecord(known=False)
+            return messages.RelayRecord(store_answered=False)
         if record is None:
-            return messages.RelayRecord(known=True)
+            return messages.RelayRecord(store_answered=True)
         return messages.RelayRecord(True, record.value, record.revision)
 
     async def answer_write(
@@ -124,7 +124,7 @@
     ) -> messages.RelayOutcome:
         """Write for a peer, directly only."""
         outcome = await self._write_directly(
-            port.Guard(request.key, request.revision),
+            port.Guard(request.key, request.expected_revision),
             port.Write(request.key, request.value),
         )
         match outcome:
--- a/standins/world.py
+++ b/standins/world.py
@@ -231,7 +231,7 @@
                     for w in held.scheduler_state.workers.values()
                 )
                 for served in self.entries.values()
-                for held in served.entry.owned.values()
+                for held in served.entry.local_owners.values()
             )
 
         await self.wait_for(is_owned)
