--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -155,7 +155,7 @@
         """Pass a small request through the filter chain."""
         return await self._chain(call)
 
-    def identify(self, incoming: requests.Incoming) -> requests.Call:
+    def identify(self, incoming: requests.IncomingRequest) -> requests.Call:
         """Check a small request; raises RefusedError."""
         return requests.identify(
             incoming,
--- a/crocusrouter/http/small.py
+++ b/crocusrouter/http/small.py
@@ -65,7 +65,7 @@
                 request, self._entry.settings.max_body
             )
             call = self._entry.identify(
-                requests.Incoming(
+                requests.IncomingRequest(
                     kind,
                     request.headers.get("Authorization"),
                     request.headers.get("Request-Timeout"),
--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -228,10 +228,10 @@
 
 
 def _incoming(world, body, key):
-    from crocusrouter.requests import Incoming
+    from crocusrouter.requests import IncomingRequest
 
     bearer = f"Bearer {worlds.CUSTOMER_KEY}"
-    return Incoming("reserve", bearer, None, key, body)
+    return IncomingRequest("reserve", bearer, None, key, body)
 
 
 async def _commit_unknown(world):
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -11,7 +11,7 @@
 from crocusrouter.requests.identify import find_customer
 from crocusrouter.requests.identify import identify
 from crocusrouter.requests.model import Call
-from crocusrouter.requests.model import Incoming
+from crocusrouter.requests.model import IncomingRequest
 from crocusrouter.requests.pool import RunnerPool
 
 __all__ = [
@@ -19,7 +19,7 @@
     "ClaimFilter",
     "Claims",
     "Dispatcher",
-    "Incoming",
+    "IncomingRequest",
     "LimitFilter",
     "Retrier",
     "RunnerPool",
--- a/crocusrouter/requests/identify.py
+++ b/crocusrouter/requests/identify.py
@@ -40,7 +40,10 @@
 
 
 def identify(
-    incoming: model.Incoming, catalog: Catalog, request_id: str, now: float
+    incoming: model.IncomingRequest,
+    catalog: Catalog,
+    request_id: str,
+    now: float,
 ) -> model.Call:
     """Authenticate a request and check its kind, key, deadline and body.
 
--- a/crocusrouter/requests/model.py
+++ b/crocusrouter/requests/model.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Incoming:
+class IncomingRequest:
     """A request as the HTTP server receives it, before any check.
 
     Attributes:
