--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -151,11 +151,13 @@
             tuple((name, held.epoch) for name, held in self.owned.items()),
         )
 
-    async def answer(self, call: requests.Call) -> Answer:
+    async def answer(self, call: requests.ValidatedRequest) -> Answer:
         """Pass a small request through the filter chain."""
         return await self._chain(call)
 
-    def identify(self, incoming: requests.IncomingRequest) -> requests.Call:
+    def identify(
+        self, incoming: requests.IncomingRequest
+    ) -> requests.ValidatedRequest:
         """Check a small request; raises RefusedError."""
         return requests.identify(
             incoming,
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -10,12 +10,12 @@
 from crocusrouter.requests.identify import check_key
 from crocusrouter.requests.identify import find_customer
 from crocusrouter.requests.identify import identify
-from crocusrouter.requests.model import Call
 from crocusrouter.requests.model import IncomingRequest
+from crocusrouter.requests.model import ValidatedRequest
 from crocusrouter.requests.pool import RunnerPool
 
 __all__ = [
-    "Call",
+    "ValidatedRequest",
     "ClaimFilter",
     "Claims",
     "Dispatcher",
--- a/crocusrouter/requests/chain.py
+++ b/crocusrouter/requests/chain.py
@@ -23,7 +23,7 @@
 from crocusrouter.requests import retry_budget
 from crocusrouter.telemetry import Metrics
 
-Handler = Callable[[model.Call], Awaitable[Answer]]
+Handler = Callable[[model.ValidatedRequest], Awaitable[Answer]]
 
 _INITIAL_BACKOFF_S = 0.01
 _MAX_BACKOFF_S = 0.5
@@ -43,7 +43,7 @@
     """One step of the chain: answers or passes the request on."""
 
     async def __call__(
-        self, request: model.Call, next_handler: Handler
+        self, request: model.ValidatedRequest, next_handler: Handler
     ) -> Answer:
         """Handle a request."""
         ...
@@ -64,7 +64,7 @@
         self._in_flight: collections.Counter[str] = collections.Counter()
 
     async def __call__(
-        self, request: model.Call, next_handler: Handler
+        self, request: model.ValidatedRequest, next_handler: Handler
     ) -> Answer:
         """Refuse a request at once if the customer is at its limit."""
         customer = request.customer
@@ -90,7 +90,7 @@
         self._claims = claim_registry
 
     async def __call__(
-        self, request: model.Call, next_handler: Handler
+        self, request: model.ValidatedRequest, next_handler: Handler
     ) -> Answer:
         """Claim the key, run the request and record its outcome."""
         if request.request_kind.idempotent or request.idempotency_key is None:
@@ -126,7 +126,7 @@
         self._rng = rng
         self._budgets: dict[str, retry_budget.RetryBudget] = {}
 
-    async def run(self, request: model.Call) -> Answer:
+    async def run(self, request: model.ValidatedRequest) -> Answer:
         """Dispatch a request, with retries, until there is a final answer."""
         self._deposit(request)
         tried_runners: frozenset[str] = frozenset()
@@ -151,7 +151,7 @@
             tried_runners |= {attempt.endpoint}
             await trio.sleep(delay_s)
 
-    def _deposit(self, request: model.Call) -> None:
+    def _deposit(self, request: model.ValidatedRequest) -> None:
         """Credit a request to its customer's retry budget."""
         retry_share = request.template.retry_share
         budget = self._budgets.get(
@@ -161,7 +161,7 @@
             budget, retry_share
         )
 
-    def _withdraw(self, request: model.Call) -> bool:
+    def _withdraw(self, request: model.ValidatedRequest) -> bool:
         """Pay for a retry; return False if the customer's budget is spent."""
         budget = retry_budget.withdraw(self._budgets[request.customer])
         if budget is not None:
@@ -169,7 +169,7 @@
         return budget is not None
 
 
-def _may_retry(request: model.Call, reason: RetryReason) -> bool:
+def _may_retry(request: model.ValidatedRequest, reason: RetryReason) -> bool:
     return request.request_kind.idempotent or reason in _NOT_RUN_REASONS
 
 
--- a/crocusrouter/requests/claims.py
+++ b/crocusrouter/requests/claims.py
@@ -120,7 +120,9 @@
         self._pending_names: set[str] = set()
         self._uncertain_write_ids: dict[str, bytes] = {}
 
-    async def acquire(self, request: model.Call) -> ClaimGrant | Answer:
+    async def acquire(
+        self, request: model.ValidatedRequest
+    ) -> ClaimGrant | Answer:
         """Claim the key of a request, or return an earlier attempt's outcome.
 
         Returns:
@@ -167,7 +169,7 @@
     async def _write_claim(
         self,
         claim_name: str,
-        request: model.Call,
+        request: model.ValidatedRequest,
         expected: store.Record | None,
     ) -> ClaimGrant | Answer:
         """Replace the record `expected` by a claim of this entry."""
@@ -192,7 +194,10 @@
         return await self._resolve_conflict(claim_name, request, current)
 
     async def _resolve_conflict(
-        self, claim_name: str, request: model.Call, current: store.Record
+        self,
+        claim_name: str,
+        request: model.ValidatedRequest,
+        current: store.Record,
     ) -> ClaimGrant | Answer:
         """Return the outcome of the attempt that holds the current claim.
 
@@ -217,7 +222,10 @@
         return await self._write_claim(claim_name, request, current)
 
     async def _resolve_own_claim(
-        self, claim_name: str, request: model.Call, current: store.Record
+        self,
+        claim_name: str,
+        request: model.ValidatedRequest,
+        current: store.Record,
     ) -> ClaimGrant | Answer:
         """Resolve a claim of this entry that it doesn't remember.
 
@@ -240,7 +248,7 @@
             self._local_claims.popitem(last=False)
 
     def _repeat_answer(
-        self, local_claim: _LocalClaim, request: model.Call
+        self, local_claim: _LocalClaim, request: model.ValidatedRequest
     ) -> Answer:
         """Answer a repeated request from the claim of its earlier attempt."""
         if local_claim.digest != request.digest:
@@ -268,7 +276,7 @@
     )
 
 
-def _answer_key_reused(request: model.Call) -> NotRun:
+def _answer_key_reused(request: model.ValidatedRequest) -> NotRun:
     return NotRun(
         Refusal(RefusalReason.KEY_REUSED, f"key {request.idempotency_key!r}")
     )
--- a/crocusrouter/requests/dispatch.py
+++ b/crocusrouter/requests/dispatch.py
@@ -44,7 +44,7 @@
         self._runners = runners
 
     async def dispatch(
-        self, request: model.Call, tried_runners: frozenset[str]
+        self, request: model.ValidatedRequest, tried_runners: frozenset[str]
     ) -> model.AttemptResult:
         """Make one attempt to run a request.
 
@@ -72,7 +72,7 @@
         return attempt
 
     async def _send(
-        self, request: model.Call, runner: pool.Runner
+        self, request: model.ValidatedRequest, runner: pool.Runner
     ) -> model.AttemptResult:
         started_at = trio.current_time()
         attempt_id = f"{request.id}-{uuid.uuid4().hex[:8]}"
@@ -101,7 +101,7 @@
 
     async def _post(
         self,
-        request: model.Call,
+        request: model.ValidatedRequest,
         runner: pool.Runner,
         attempt_id: str,
         remaining_s: float,
--- a/crocusrouter/requests/identify.py
+++ b/crocusrouter/requests/identify.py
@@ -44,7 +44,7 @@
     catalog: Catalog,
     request_id: str,
     now: float,
-) -> model.Call:
+) -> model.ValidatedRequest:
     """Authenticate a request and check its kind, key, deadline and body.
 
     Args:
@@ -68,7 +68,7 @@
     check_json(incoming.body)
     digest = hashlib.blake2b(incoming.body, digest_size=16)
     digest.update(incoming.kind.encode())
-    return model.Call(
+    return model.ValidatedRequest(
         id=request_id,
         template=template,
         kind=incoming.kind,
--- a/crocusrouter/requests/model.py
+++ b/crocusrouter/requests/model.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Call:
+class ValidatedRequest:
     """An authenticated and validated request.
 
     Attributes:
--- a/crocusrouter/requests/tests/test_chain.py
+++ b/crocusrouter/requests/tests/test_chain.py
@@ -66,7 +66,7 @@
     request_kind = RequestKind(service="s", idempotent=True)
     template = Template("c", "0" * 64)
     deadline = trio.current_time() + 60.0
-    request = model.Call(
+    request = model.ValidatedRequest(
         "id", template, "k", request_kind, b"", "", None, deadline
     )
     answer = await retrier.run(request)
--- a/crocusrouter/requests/tests/test_claims_machine.py
+++ b/crocusrouter/requests/tests/test_claims_machine.py
@@ -118,7 +118,7 @@
     async def run_attempt(self, attempt):
         entry_claims = self.entries[attempt.entry]
         body = attempt.key.encode()
-        request = model.Call(
+        request = model.ValidatedRequest(
             "id",
             _TEMPLATE,
             "reserve",
