--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -159,7 +159,7 @@
         self, incoming: requests.IncomingRequest
     ) -> requests.ValidatedRequest:
         """Check a small request; raises RefusedError."""
-        return requests.identify(
+        return requests.validate_request(
             incoming,
             self.configuration.catalog,
             uuid.uuid4().hex,
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -9,7 +9,7 @@
 from crocusrouter.requests.identify import check_json
 from crocusrouter.requests.identify import check_key
 from crocusrouter.requests.identify import find_customer
-from crocusrouter.requests.identify import identify
+from crocusrouter.requests.identify import validate_request
 from crocusrouter.requests.model import IncomingRequest
 from crocusrouter.requests.model import ValidatedRequest
 from crocusrouter.requests.pool import RunnerPool
@@ -27,5 +27,5 @@
     "check_json",
     "check_key",
     "find_customer",
-    "identify",
+    "validate_request",
 ]
--- a/crocusrouter/requests/identify.py
+++ b/crocusrouter/requests/identify.py
@@ -39,7 +39,7 @@
     raise refuse(RefusalReason.UNAUTHENTICATED, "wrong bearer key")
 
 
-def identify(
+def validate_request(
     incoming: model.IncomingRequest,
     catalog: Catalog,
     request_id: str,
