--- a/crocusrouter/http/jobs.py
+++ b/crocusrouter/http/jobs.py
@@ -105,7 +105,7 @@
     def _find_customer(self, request: starlette_requests.Request) -> Template:
         if not self._entry.is_ready:
             raise refuse(RefusalReason.NOT_READY, "", _NOT_READY_RETRY_S)
-        return requests.find_customer(
+        return requests.authenticate_customer(
             self._entry.configuration.catalog,
             request.headers.get("Authorization"),
         )
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -6,9 +6,9 @@
 from crocusrouter.requests.chain import build_chain
 from crocusrouter.requests.claims import Claims
 from crocusrouter.requests.dispatch import Dispatcher
+from crocusrouter.requests.identify import authenticate_customer
 from crocusrouter.requests.identify import check_json
 from crocusrouter.requests.identify import check_key
-from crocusrouter.requests.identify import find_customer
 from crocusrouter.requests.identify import validate_request
 from crocusrouter.requests.model import IncomingRequest
 from crocusrouter.requests.model import ValidatedRequest
@@ -26,6 +26,6 @@
     "build_chain",
     "check_json",
     "check_key",
-    "find_customer",
+    "authenticate_customer",
     "validate_request",
 ]
--- a/crocusrouter/requests/identify.py
+++ b/crocusrouter/requests/identify.py
@@ -18,7 +18,9 @@
 _IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,255}")
 
 
-def find_customer(catalog: Catalog, authorization: str | None) -> Template:
+def authenticate_customer(
+    catalog: Catalog, authorization: str | None
+) -> Template:
     """Return the template of the customer with the given bearer key.
 
     Args:
@@ -57,7 +59,7 @@
         RefusedError: A check failed; the refusal says which and how to
             correct the request.
     """
-    template = find_customer(catalog, incoming.authorization)
+    template = authenticate_customer(catalog, incoming.authorization)
     request_kind = template.request_kinds.get(incoming.kind)
     if request_kind is None:
         detail = f"kind {incoming.kind!r} of customer {template.customer}"
