--- a/crocusrouter/http/jobs.py
+++ b/crocusrouter/http/jobs.py
@@ -40,7 +40,9 @@
     async def submit(self, request: starlette_requests.Request) -> Rendered:
         """Accept a job: durable before it is answered."""
         template = self._find_customer(request)
-        key = requests.check_key(request.headers.get("Idempotency-Key"))
+        key = requests.check_idempotency_key(
+            request.headers.get("Idempotency-Key")
+        )
         body = await reading.read_body(request, _MAX_BODY)
         asked = _parse(body)
         kind = template.job_kinds.get(asked.kind)
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -7,8 +7,8 @@
 from crocusrouter.requests.claims import Claims
 from crocusrouter.requests.dispatch import Dispatcher
 from crocusrouter.requests.identify import authenticate_customer
+from crocusrouter.requests.identify import check_idempotency_key
 from crocusrouter.requests.identify import check_json
-from crocusrouter.requests.identify import check_key
 from crocusrouter.requests.identify import validate_request
 from crocusrouter.requests.model import IncomingRequest
 from crocusrouter.requests.model import ValidatedRequest
@@ -25,7 +25,7 @@
     "RunnerPool",
     "build_chain",
     "check_json",
-    "check_key",
+    "check_idempotency_key",
     "authenticate_customer",
     "validate_request",
 ]
--- a/crocusrouter/requests/identify.py
+++ b/crocusrouter/requests/identify.py
@@ -77,7 +77,7 @@
         request_kind=request_kind,
         body=incoming.body,
         digest=digest.hexdigest(),
-        idempotency_key=check_key(incoming.idempotency_key),
+        idempotency_key=check_idempotency_key(incoming.idempotency_key),
         deadline=now + parse_timeout(incoming.timeout, request_kind.timeout_s),
     )
 
@@ -94,7 +94,7 @@
         raise refuse(RefusalReason.MALFORMED_JSON, str(error)) from error
 
 
-def check_key(key: str | None) -> str | None:
+def check_idempotency_key(key: str | None) -> str | None:
     """Check that an idempotency key is printable and not too long.
 
     Raises:
