--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -177,7 +177,7 @@
                     dump_catalog(self.configuration.catalog)
                 )
             case messages.AskAnswer(claim):
-                return self.claims.recall(claim)
+                return self.claims.get_outcome(claim)
             case messages.SubmitJob(data):
                 job = codec.unpack(jobs.Job, data)
                 return await self.desk.answer_peer(job.data_centre, message)
--- a/crocusrouter/requests/claims.py
+++ b/crocusrouter/requests/claims.py
@@ -153,7 +153,7 @@
         else:
             local_claim.state = UNKNOWN
 
-    def recall(self, claim_name: str) -> messages.AnswerReply:
+    def get_outcome(self, claim_name: str) -> messages.AnswerReply:
         """Return the outcome of a claim to the peer that asks for it."""
         local_claim = self._local_claims.get(claim_name)
         if local_claim is None:
