--- a/crocusrouter/requests/tests/test_claims_machine.py
+++ b/crocusrouter/requests/tests/test_claims_machine.py
@@ -99,7 +99,7 @@
         return (
             None
             if self.peers_unreachable
-            else self.entries[entry].recall(claim_name)
+            else self.entries[entry].get_outcome(claim_name)
         )
 
     async def run(self, operations):
