--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -74,7 +74,7 @@
             self._take_heartbeat,
         )
         self.runners = pool.RunnerPool(self.random)
-        self.claims = requests.Claims(
+        self.claims = requests.ClaimRegistry(
             settings.name,
             self.store,
             f"{settings.store_prefix}claims/",
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -4,7 +4,7 @@
 from crocusrouter.requests.chain import LimitFilter
 from crocusrouter.requests.chain import Retrier
 from crocusrouter.requests.chain import build_chain
-from crocusrouter.requests.claims import Claims
+from crocusrouter.requests.claims import ClaimRegistry
 from crocusrouter.requests.dispatch import Dispatcher
 from crocusrouter.requests.identify import authenticate_customer
 from crocusrouter.requests.identify import check_idempotency_key
@@ -17,7 +17,7 @@
 __all__ = [
     "ValidatedRequest",
     "ClaimFilter",
-    "Claims",
+    "ClaimRegistry",
     "Dispatcher",
     "IncomingRequest",
     "LimitFilter",
--- a/crocusrouter/requests/chain.py
+++ b/crocusrouter/requests/chain.py
@@ -86,7 +86,7 @@
 class ClaimFilter:
     """Runs a non-idempotent request with a key at most once."""
 
-    def __init__(self, claim_registry: claims.Claims) -> None:
+    def __init__(self, claim_registry: claims.ClaimRegistry) -> None:
         self._claims = claim_registry
 
     async def __call__(
--- a/crocusrouter/requests/claims.py
+++ b/crocusrouter/requests/claims.py
@@ -85,7 +85,7 @@
     claim_name: str
 
 
-class Claims:
+class ClaimRegistry:
     """Acquires claims and remembers the outcomes of their requests."""
 
     def __init__(
--- a/crocusrouter/requests/tests/test_claims_machine.py
+++ b/crocusrouter/requests/tests/test_claims_machine.py
@@ -81,7 +81,7 @@
             self.restart(name)
 
     def restart(self, name):
-        entry_claims = claims.Claims(
+        entry_claims = claims.ClaimRegistry(
             name,
             self.service.open_client(call_timeout_s=0.2),
             "claims/",
