--- a/crocusrouter/controllers/edits.py
+++ b/crocusrouter/controllers/edits.py
@@ -97,7 +97,7 @@
         if isinstance(version, Refusal):
             return version
         after = replace_template(catalog, template, version)
-        outcome = await client.swap(
+        outcome = await client.compare_and_swap(
             configuration.catalog_key, record, dump_catalog(after)
         )
         if isinstance(outcome, store.Committed):
@@ -124,7 +124,7 @@
     previous = held.version if held is not None else ""
     version = Version(catalog.revision + 1, now, previous, template)
     name = name_version(version)
-    outcome = await client.swap(
+    outcome = await client.compare_and_swap(
         configuration.history_prefix + name, None, dump_version(version)
     )
     if isinstance(outcome, store.Unavailable):
--- a/crocusrouter/controllers/ownership.py
+++ b/crocusrouter/controllers/ownership.py
@@ -114,7 +114,7 @@
         """
         current = codec.unpack(configurations.OwnerRecord, held.record.value)
         renewed = dataclasses.replace(current, renewals=current.renewals + 1)
-        outcome = await self._client.swap(
+        outcome = await self._client.compare_and_swap(
             self._key(held.data_centre),
             held.record,
             codec.pack(renewed),
@@ -131,12 +131,16 @@
         """Give a data centre up, so that nobody has to wait for the TTL."""
         released = codec.pack(configurations.OwnerRecord("", held.epoch, 0))
         key = self._key(held.data_centre)
-        outcome = await self._client.swap(key, held.record, released)
+        outcome = await self._client.compare_and_swap(
+            key, held.record, released
+        )
         if isinstance(outcome, store.Conflict):
             # A renewal was cut off by the stop after it took effect.
             latest = self._find_own(held, outcome.current)
             if latest is not None:
-                await self._client.swap(key, latest.record, released)
+                await self._client.compare_and_swap(
+                    key, latest.record, released
+                )
 
     def _find_own(
         self, held: Held, current: store.Record | None
@@ -156,7 +160,7 @@
         record: store.Record | None,
         owner: configurations.OwnerRecord,
     ) -> Held | None:
-        outcome = await self._client.swap(
+        outcome = await self._client.compare_and_swap(
             self._key(data_centre), record, codec.pack(owner)
         )
         if isinstance(outcome, store.Committed):
--- a/crocusrouter/jobs/journal.py
+++ b/crocusrouter/jobs/journal.py
@@ -196,7 +196,7 @@
         self, bucket: _Bucket, jobs: dict[str, bytes]
     ) -> store.SwapOutcome:
         value = cbor2.dumps([self._epoch, list(jobs.items())])
-        return await self._client.swap(
+        return await self._client.compare_and_swap(
             bucket.key, bucket.record, value, patience_s=_PATIENCE_S
         )
 
--- a/crocusrouter/requests/claims.py
+++ b/crocusrouter/requests/claims.py
@@ -178,7 +178,7 @@
             lease = await self._get_lease()
         except store.StoreUnavailableError as error:
             return _answer_store_unavailable(str(error))
-        outcome = await self._client.swap(
+        outcome = await self._client.compare_and_swap(
             self._prefix + claim_name, expected, codec.pack(claim), lease=lease
         )
         if isinstance(outcome, store.Committed):
--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -106,7 +106,7 @@
             await self._read("grant", wire.GRANT_PATH, request)
         )
 
-    async def swap(
+    async def compare_and_swap(
         self,
         key: str,
         expected: records.Record | None,
--- a/crocusrouter/store/tests/test_client.py
+++ b/crocusrouter/store/tests/test_client.py
@@ -8,11 +8,11 @@
 
 async def test_swap_creates_replaces_and_conflicts(autojump_clock):
     client = fakes.FakeService().open_client()
-    created = await client.swap("k", None, b"1")
+    created = await client.compare_and_swap("k", None, b"1")
     assert isinstance(created, store.Committed)
-    replaced = await client.swap("k", created.record, b"2")
+    replaced = await client.compare_and_swap("k", created.record, b"2")
     assert isinstance(replaced, store.Committed)
-    late = await client.swap("k", created.record, b"3")
+    late = await client.compare_and_swap("k", created.record, b"3")
     assert isinstance(late, store.Conflict)
     assert late.current.value == b"2"
     assert (await client.read("k")).value == b"2"
@@ -29,7 +29,7 @@
     service = fakes.FakeService()
     client = service.open_client()
     service.failures = list(failures)
-    outcome = await client.swap("k", None, b"1")
+    outcome = await client.compare_and_swap("k", None, b"1")
     assert isinstance(outcome, store.Committed)
     assert (await client.read("k")).revision == outcome.record.revision
 
@@ -50,11 +50,11 @@
         if service.calls == 1 and not race_done:
             race_done.append(True)
             record = await other_client.read("k")
-            await other_client.swap("k", record, b"theirs")
+            await other_client.compare_and_swap("k", record, b"theirs")
         return await real_request(*args, **kwargs)
 
     client._pool.request = race
-    outcome = await client.swap("k", None, b"mine")
+    outcome = await client.compare_and_swap("k", None, b"mine")
     assert isinstance(outcome, store.Superseded)
     assert outcome.current.value == b"theirs"
 
@@ -68,7 +68,7 @@
     service = fakes.FakeService()
     client = service.open_client()
     service.failures = [failure] * 1000
-    outcome = await client.swap("k", None, b"1", patience_s=1.0)
+    outcome = await client.compare_and_swap("k", None, b"1", patience_s=1.0)
     assert isinstance(outcome, store.Unavailable)
     assert outcome.maybe_written is maybe_written
     assert client.failing_since is not None
