--- a/crocusrouter/controllers/ownership.py
+++ b/crocusrouter/controllers/ownership.py
@@ -118,7 +118,7 @@
             self._key(held.data_centre),
             held.record,
             codec.pack(renewed),
-            patience_s=self._ttl_s / RENEWALS_PER_TTL,
+            timeout_s=self._ttl_s / RENEWALS_PER_TTL,
         )
         if isinstance(outcome, store.Committed):
             self._configuration.take_record(outcome.record, self._read_clock())
--- a/crocusrouter/jobs/journal.py
+++ b/crocusrouter/jobs/journal.py
@@ -197,7 +197,7 @@
     ) -> store.SwapOutcome:
         value = cbor2.dumps([self._epoch, list(jobs.items())])
         return await self._client.compare_and_swap(
-            bucket.key, bucket.record, value, patience_s=_PATIENCE_S
+            bucket.key, bucket.record, value, timeout_s=_PATIENCE_S
         )
 
     def _take_failure(
--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -112,7 +112,7 @@
         expected: records.Record | None,
         value: bytes,
         *,
-        patience_s: float = 2.0,
+        timeout_s: float = 2.0,
         lease: int = 0,
     ) -> records.SwapOutcome:
         """Replace the record `expected` by `value`, or create the key.
@@ -140,7 +140,7 @@
         maybe_written = False
         cause = "timed out before the first call ended"
         backoff = self._start_backoff()
-        with trio.move_on_after(patience_s):
+        with trio.move_on_after(timeout_s):
             while True:
                 try:
                     answer = wire.parse_swap(
--- a/crocusrouter/store/tests/test_client.py
+++ b/crocusrouter/store/tests/test_client.py
@@ -68,7 +68,7 @@
     service = fakes.FakeService()
     client = service.open_client()
     service.failures = [failure] * 1000
-    outcome = await client.compare_and_swap("k", None, b"1", patience_s=1.0)
+    outcome = await client.compare_and_swap("k", None, b"1", timeout_s=1.0)
     assert isinstance(outcome, store.Unavailable)
     assert outcome.maybe_written is maybe_written
     assert client.failing_since is not None
