--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -125,7 +125,7 @@
             key: The whole key.
             expected: The record to replace; None if the key must not exist.
             value: The new value.
-            patience_s: How long to retry before giving up.
+            timeout_s: How long to retry before giving up.
             lease: Lease to which the key is attached, or 0.
 
         Returns:
