--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -244,7 +244,7 @@
         """Return a lease for claims; a fresh one every hour."""
         now = trio.current_time()
         if self._claim_lease is None or self._claim_lease[1] < now:
-            lease = await self.store.grant(_CLAIM_LEASE_S)
+            lease = await self.store.grant_lease(_CLAIM_LEASE_S)
             self._claim_lease = (lease, now + _CLAIM_LEASE_RENEWAL_S)
         return self._claim_lease[0]
 
--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -95,7 +95,7 @@
         body = await self._read("range", wire.RANGE_PATH, request)
         return wire.parse_snapshot(body)
 
-    async def grant(self, ttl_s: int) -> int:
+    async def grant_lease(self, ttl_s: int) -> int:
         """Create a lease of `ttl_s` seconds and return its id.
 
         Raises:
