--- a/crocusrouter/pools/members.py
+++ b/crocusrouter/pools/members.py
@@ -95,7 +95,7 @@
 
     async def _register(self) -> None:
         """Write our key under a fresh lease, whatever stands there."""
-        lease = await self._store.grant(_TTL_S)
+        lease = await self._store.grant_lease(_TTL_S)
         key = keys.build_member_key(self._name)
         outcome = await self._store.write(
             (), (port.Write(key, dump_member(self._member), lease),)
--- a/crocusrouter/pools/tenure.py
+++ b/crocusrouter/pools/tenure.py
@@ -120,7 +120,7 @@
         """
         sent_at = self._times.steady()
         try:
-            self._lease = await self._store.grant(TTL_S)
+            self._lease = await self._store.grant_lease(TTL_S)
         except client.StoreUnavailableError as error:
             log("owner:no-lease", pool=self.pool, cause=str(error))
             return False
--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed.py
@@ -181,7 +181,7 @@
     async def grant(self, ttl_s: float) -> int:
         """See `port.KeyValueStore`."""
         with self._observe_call():
-            return await self._store.grant(ttl_s)
+            return await self._store.grant_lease(ttl_s)
 
     async def keep(self, lease: int) -> bool:
         """See `port.KeyValueStore`."""
--- a/crocusrouter/store/port.py
+++ b/crocusrouter/store/port.py
@@ -136,7 +136,7 @@
         """
         ...
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """Create a lease and return its id.
 
         Raises:
