--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed.py
@@ -178,7 +178,7 @@
         self._record_result(served=True)
         return changes
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """See `port.KeyValueStore`."""
         with self._observe_call():
             return await self._store.grant_lease(ttl_s)
