--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -104,7 +104,7 @@
         events = tuple(map(_parse_event, document["events"]))
         return port.Changes(events, int(document["at_rev"]))
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """Open a lease."""
         answer = await self._call(
             "grant", "POST", "/kv-lease", document={"ttl_ms": int(ttl_s * 1000)}
