--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -303,7 +303,7 @@
             and _find_key(event).startswith(prefix)
         )
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """Open a lease."""
         await self._fetch()
         self._store.revision += 1
