--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -129,7 +129,7 @@
             return await _write(view, document)
         case ["kv-lease"]:
             ttl = document["ttl_ms"]
-            lease = await view.grant(ttl / 1000)
+            lease = await view.grant_lease(ttl / 1000)
             return 200, {"lease": lease, "ttl_ms": ttl}
         case ["kv-keep", lease_text]:
             kept = await view.keep(int(lease_text))
