--- a/crocusrouter/pools/tests/test_members.py
+++ b/crocusrouter/pools/tests/test_members.py
@@ -16,9 +16,9 @@
 
     granted = 0
 
-    async def grant(self, ttl_s):
+    async def grant_lease(self, ttl_s):
         self.granted += 1
-        return await super().grant(ttl_s)
+        return await super().grant_lease(ttl_s)
 
 
 @pytest.mark.parametrize(
