--- a/crocusrouter/pools/members.py
+++ b/crocusrouter/pools/members.py
@@ -87,7 +87,7 @@
         while True:
             await trio.sleep(pause_s)
             try:
-                if not await self._store.keep(self._lease):
+                if not await self._store.renew_lease(self._lease):
                     return
                 pause_s = _RENEWAL_S
             except client.StoreUnavailableError:
--- a/crocusrouter/pools/tenure.py
+++ b/crocusrouter/pools/tenure.py
@@ -156,7 +156,7 @@
             while True:
                 sent_at = self._times.steady()
                 try:
-                    renewed = await self._store.keep(self._lease)
+                    renewed = await self._store.renew_lease(self._lease)
                 except client.StoreUnavailableError as error:
                     if not self.is_valid():
                         log(
--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed.py
@@ -186,4 +186,4 @@
     async def keep(self, lease: int) -> bool:
         """See `port.KeyValueStore`."""
         with self._observe_call():
-            return await self._store.keep(lease)
+            return await self._store.renew_lease(lease)
--- a/crocusrouter/store/port.py
+++ b/crocusrouter/store/port.py
@@ -144,7 +144,7 @@
         """
         ...
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; return False if it has expired.
 
         Raises:
