--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed.py
@@ -183,7 +183,7 @@
         with self._observe_call():
             return await self._store.grant_lease(ttl_s)
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """See `port.KeyValueStore`."""
         with self._observe_call():
             return await self._store.renew_lease(lease)
--- a/crocusrouter/store/tests/test_observed.py
+++ b/crocusrouter/store/tests/test_observed.py
@@ -41,7 +41,7 @@
     its answer, and the caller would see no changes while the store is slow.
     """
     store = _wrap(_FixedDelayStore(answer_s))
-    assert await store.keep(1)
+    assert await store.renew_lease(1)
     changes = await store.watch("a/", 4, 0.6)
     assert changes.revision == 5
 
@@ -51,11 +51,11 @@
 ):
     inner_store = _FixedDelayStore(0.9)
     store = _wrap(inner_store)
-    await store.keep(1)
+    await store.renew_lease(1)
     assert store.get_watch_grace() == pytest.approx(1.8)
     inner_store.answer_s = 0.01
     for _ in range(10):
-        await store.keep(1)
+        await store.renew_lease(1)
     assert store.get_watch_grace() == observed.WATCH_GRACE_S
 
 
