--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -111,7 +111,7 @@
         )
         return int(_expect(answer)["lease"])
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; False if it has ended."""
         answer = await self._call("keep", "POST", f"/kv-keep/{lease}")
         if answer.status == _NOT_FOUND:
