--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -311,7 +311,7 @@
         self._store.leases[number] = (ttl_s, trio.current_time() + ttl_s)
         return number
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease."""
         await self._fetch()
         self._store.expire(trio.current_time())
