--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -132,7 +132,7 @@
             lease = await view.grant_lease(ttl / 1000)
             return 200, {"lease": lease, "ttl_ms": ttl}
         case ["kv-keep", lease_text]:
-            kept = await view.keep(int(lease_text))
+            kept = await view.renew_lease(int(lease_text))
             return (200, {}) if kept else (404, {})
     return 404, {}
 
