--- a/crocusrouter/store/tests/test_observed.py
+++ b/crocusrouter/store/tests/test_observed.py
@@ -16,7 +16,7 @@
     def __init__(self, answer_s):
         self.answer_s = answer_s
 
-    async def keep(self, lease):
+    async def renew_lease(self, lease):
         await trio.sleep(self.answer_s)
         return True
 
