--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -122,7 +122,7 @@
         self._tell(gone + changed)
 
     def _tell(self, events: tuple[records.Event, ...]) -> None:
-        revisions = (records.find_revision(event) for event in events)
+        revisions = (records.get_event_revision(event) for event in events)
         self._last_event = max(self._last_event, *revisions, 0)
         self._take(events)
 
--- a/crocusrouter/pools/tests/test_listing.py
+++ b/crocusrouter/pools/tests/test_listing.py
@@ -35,7 +35,7 @@
             await trio.sleep(wait_s + 0.4)
             raise step
         if step is not None:
-            return port.Changes((step,), records.find_revision(step))
+            return port.Changes((step,), records.get_event_revision(step))
         await trio.sleep(wait_s)
         return port.Changes((), revision)
 
--- a/crocusrouter/store/records.py
+++ b/crocusrouter/store/records.py
@@ -96,7 +96,7 @@
 Event = Changed | Removed
 
 
-def find_revision(event: Event) -> int:
+def get_event_revision(event: Event) -> int:
     """Return the revision of the change that an event reports."""
     if isinstance(event, Removed):
         return event.revision
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -299,7 +299,7 @@
         return tuple(
             event
             for event in self._store.history
-            if records.find_revision(event) > revision
+            if records.get_event_revision(event) > revision
             and _find_key(event).startswith(prefix)
         )
 
