--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -6,13 +6,13 @@
 from crocusrouter.requests.chain import build_chain
 from crocusrouter.requests.claims import ClaimRegistry
 from crocusrouter.requests.dispatch import Dispatcher
-from crocusrouter.requests.identify import authenticate_customer
-from crocusrouter.requests.identify import check_idempotency_key
-from crocusrouter.requests.identify import check_json
-from crocusrouter.requests.identify import validate_request
 from crocusrouter.requests.model import IncomingRequest
 from crocusrouter.requests.model import ValidatedRequest
 from crocusrouter.requests.pool import RunnerPool
+from crocusrouter.requests.validation import authenticate_customer
+from crocusrouter.requests.validation import check_idempotency_key
+from crocusrouter.requests.validation import check_json
+from crocusrouter.requests.validation import validate_request
 
 __all__ = [
     "ValidatedRequest",
