--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -23,7 +23,7 @@
 from crocusrouter.controllers import peers
 from crocusrouter.mesh import messages
 from crocusrouter.outcomes import Answer
-from crocusrouter.requests import pool
+from crocusrouter.requests import runner_pool
 from crocusrouter.settings import Settings
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -73,7 +73,7 @@
             self.describe,
             self._take_heartbeat,
         )
-        self.runners = pool.RunnerPool(self.random)
+        self.runners = runner_pool.RunnerPool(self.random)
         self.claims = requests.ClaimRegistry(
             settings.name,
             self.store,
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -8,7 +8,7 @@
 from crocusrouter.requests.dispatch import Dispatcher
 from crocusrouter.requests.model import IncomingRequest
 from crocusrouter.requests.model import ValidatedRequest
-from crocusrouter.requests.pool import RunnerPool
+from crocusrouter.requests.runner_pool import RunnerPool
 from crocusrouter.requests.validation import authenticate_customer
 from crocusrouter.requests.validation import check_idempotency_key
 from crocusrouter.requests.validation import check_json
--- a/crocusrouter/requests/dispatch.py
+++ b/crocusrouter/requests/dispatch.py
@@ -16,7 +16,7 @@
 from crocusrouter.outcomes import Unknown
 from crocusrouter.requests import load_balancing
 from crocusrouter.requests import model
-from crocusrouter.requests import pool
+from crocusrouter.requests import runner_pool
 from crocusrouter.telemetry import log
 
 _MAX_ANSWER_BYTES = 8 << 20
@@ -40,7 +40,7 @@
 class Dispatcher:
     """Sends a request to a runner and classifies the response."""
 
-    def __init__(self, runners: pool.RunnerPool) -> None:
+    def __init__(self, runners: runner_pool.RunnerPool) -> None:
         self._runners = runners
 
     async def dispatch(
@@ -72,7 +72,7 @@
         return attempt
 
     async def _send(
-        self, request: model.ValidatedRequest, runner: pool.Runner
+        self, request: model.ValidatedRequest, runner: runner_pool.Runner
     ) -> model.AttemptResult:
         started_at = trio.current_time()
         attempt_id = f"{request.id}-{uuid.uuid4().hex[:8]}"
@@ -102,7 +102,7 @@
     async def _post(
         self,
         request: model.ValidatedRequest,
-        runner: pool.Runner,
+        runner: runner_pool.Runner,
         attempt_id: str,
         remaining_s: float,
     ) -> "_EndpointResponse":
@@ -135,7 +135,7 @@
     def _classify_response(
         self,
         response: "_EndpointResponse",
-        runner: pool.Runner,
+        runner: runner_pool.Runner,
         attempt_id: str,
         elapsed_s: float,
     ) -> model.AttemptResult:
--- a/crocusrouter/requests/tests/test_runner_pool.py
+++ b/crocusrouter/requests/tests/test_runner_pool.py
@@ -11,13 +11,13 @@
 from crocusrouter.fleet import VmState
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.outcomes import RefusedError
-from crocusrouter.requests import pool
+from crocusrouter.requests import runner_pool
 
 _VM = Vm("run0", Role.RUNNER, "127.0.0.1:1", "dc", service="matching", slots=1)
 
 
 def _create_pool(service_time_s=1.0, **vm_fields):
-    runners = pool.RunnerPool(random.Random(1))
+    runners = runner_pool.RunnerPool(random.Random(1))
     runners.set_runners([dataclasses.replace(_VM, **vm_fields)])
     [runner] = runners._runners_by_service["matching"].values()
     runner.load = dataclasses.replace(
