--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -6,7 +6,7 @@
 
 from crocusrouter.platform import calls
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 
@@ -57,12 +57,12 @@
 
     async def write(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...] = (),
         *,
         timeout_s: float = _CALL_TIMEOUT_S,
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """Write all or nothing, if every guard holds."""
         result = await self._caller.call(
             "POST",
@@ -80,13 +80,13 @@
         self._count("write", result)
         if isinstance(result, calls.Unanswered):
             if result.maybe_done:
-                return port.MaybeWritten(result.cause)
-            return port.NotWritten(result.cause)
+                return key_value.MaybeWritten(result.cause)
+            return key_value.NotWritten(result.cause)
         return _parse_outcome(result)
 
     async def watch(
         self, prefix: str, revision: int, wait_s: float
-    ) -> port.Changes:
+    ) -> key_value.Changes:
         """Wait for changes after `revision`."""
         query = urllib.parse.urlencode(
             {
@@ -99,10 +99,10 @@
             "watch", "GET", f"/kv-watch?{query}", wait_s + _WATCH_GRACE_S
         )
         if answer.status == _GONE:
-            raise port.HistoryGoneError(f"{prefix} after {revision}")
+            raise key_value.HistoryGoneError(f"{prefix} after {revision}")
         document = _expect(answer)
         events = tuple(map(_parse_event, document["events"]))
-        return port.Changes(events, int(document["at_rev"]))
+        return key_value.Changes(events, int(document["at_rev"]))
 
     async def grant_lease(self, ttl_s: float) -> int:
         """Open a lease."""
@@ -146,21 +146,21 @@
     return answer.document
 
 
-def _parse_outcome(answer: calls.Answered) -> port.WriteOutcome:
+def _parse_outcome(answer: calls.Answered) -> key_value.WriteOutcome:
     if answer.status == _OK:
-        return port.Written(int(answer.document["revision"]))
+        return key_value.Written(int(answer.document["revision"]))
     if answer.status == _MISMATCH:
         items = map(_parse_item, answer.document.get("items", ()))
         # A key that doesn't exist may be listed with revision 0.
-        return port.Mismatched({i.key: i for i in items if i.revision})
+        return key_value.Mismatched({i.key: i for i in items if i.revision})
     if answer.status == _NOT_FOUND:
-        return port.LeaseEnded()
+        return key_value.LeaseEnded()
     if answer.status in _REFUSED:
-        return port.NotWritten(f"status {answer.status}")
-    return port.MaybeWritten(f"status {answer.status}")
+        return key_value.NotWritten(f"status {answer.status}")
+    return key_value.MaybeWritten(f"status {answer.status}")
 
 
-def _build_write(write: port.Write) -> dict[str, Any]:
+def _build_write(write: key_value.Write) -> dict[str, Any]:
     document: dict[str, Any] = {
         "key": write.key,
         "value": base64.b64encode(write.value).decode(),
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -11,7 +11,7 @@
 from crocusrouter.outcomes import RefusedError
 from crocusrouter.platform import calls
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import orders
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize(
     ("answer", "expected"),
     [
-        (_answer(200, revision=412), port.Written(412)),
+        (_answer(200, revision=412), key_value.Written(412)),
         (
             _answer(
                 412,
@@ -158,21 +158,21 @@
                     {"key": "l", "revision": 0},
                 ],
             ),
-            port.Mismatched({"k": records.Record("k", b"v", 3)}),
+            key_value.Mismatched({"k": records.Record("k", b"v", 3)}),
         ),
-        (_answer(404), port.LeaseEnded()),
-        (_answer(503), port.NotWritten("status 503")),
-        (_answer(429), port.NotWritten("status 429")),
-        (_answer(500), port.MaybeWritten("status 500")),
-        (_LOST, port.MaybeWritten("lost")),
-        (_NOT_SENT, port.NotWritten("refused")),
+        (_answer(404), key_value.LeaseEnded()),
+        (_answer(503), key_value.NotWritten("status 503")),
+        (_answer(429), key_value.NotWritten("status 429")),
+        (_answer(500), key_value.MaybeWritten("status 500")),
+        (_LOST, key_value.MaybeWritten("lost")),
+        (_NOT_SENT, key_value.NotWritten("refused")),
     ],
 )
 async def test_outcomes_of_a_write(monkeypatch, answer, expected):
     wire = _Wire(monkeypatch, answer)
     store = platform.PlatformStore("127.0.0.1:1", Metrics())
     outcome = await store.write(
-        (port.Guard("k", 0),), (port.Write("k", b"v", 7),), ("gone",)
+        (key_value.Guard("k", 0),), (key_value.Write("k", b"v", 7),), ("gone",)
     )
     assert outcome == expected
     assert wire.sent[0][2] == {
@@ -206,7 +206,7 @@
 @pytest.mark.parametrize(
     ("answer", "error"),
     [
-        (_answer(410), port.HistoryGoneError),
+        (_answer(410), key_value.HistoryGoneError),
         (_answer(503), client.StoreUnavailableError),
         (_LOST, client.StoreUnavailableError),
     ],
@@ -222,7 +222,7 @@
     events = [_item("p/a", 7), {"key": "p/b", "revision": 8, "deleted": True}]
     _Wire(monkeypatch, _answer(200, events=events, at_rev=9))
     store = platform.PlatformStore("127.0.0.1:1", Metrics())
-    assert await store.watch("p/", 3, 1.0) == port.Changes(
+    assert await store.watch("p/", 3, 1.0) == key_value.Changes(
         (
             records.Changed(records.Record("p/a", b"v", 7)),
             records.Removed("p/b", 8),
--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -8,7 +8,7 @@
 from crocusrouter.pools import freshness
 from crocusrouter.pools import intake
 from crocusrouter.pools import keys
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         pool: str,
         book: work.Book,
         times: clock.Clock,
--- a/crocusrouter/pools/desk.py
+++ b/crocusrouter/pools/desk.py
@@ -15,7 +15,7 @@
 from crocusrouter.pools import peers as peer_links
 from crocusrouter.pools import relay
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
@@ -43,11 +43,11 @@
     """Neither the owner nor the store could be asked."""
 
 
-def _judge(outcome: port.WriteOutcome) -> Stored:
+def _judge(outcome: key_value.WriteOutcome) -> Stored:
     """Tell what the write of a job under a key that must not exist means."""
-    if isinstance(outcome, port.Written | port.Mismatched):
+    if isinstance(outcome, key_value.Written | key_value.Mismatched):
         return Stored.STORED
-    if isinstance(outcome, port.NotWritten):
+    if isinstance(outcome, key_value.NotWritten):
         return Stored.NOT_STORED
     return Stored.UNKNOWN
 
@@ -113,7 +113,7 @@
         """
         key = keys.build_job_key(job.id)
         outcome = await self._store.write(
-            port.Guard(key, 0), port.Write(key, codec.pack(job))
+            key_value.Guard(key, 0), key_value.Write(key, codec.pack(job))
         )
         stored = _judge(outcome)
         self._metrics.count_job(f"accept-{stored}")
@@ -147,11 +147,11 @@
             marked = dataclasses.replace(job, cancelled=True)
             tried = True
             outcome = await self._store.write(
-                port.Guard(key, found.revision),
-                port.Write(key, codec.pack(marked)),
+                key_value.Guard(key, found.revision),
+                key_value.Write(key, codec.pack(marked)),
             )
             log("job:cancel", job=job_id, outcome=type(outcome).__name__)
-            if isinstance(outcome, port.Written):
+            if isinstance(outcome, key_value.Written):
                 return Cancelled.DONE
         return Cancelled.UNKNOWN if tried else Cancelled.NOT_TRIED
 
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -23,8 +23,8 @@
 from crocusrouter.pools import relay
 from crocusrouter.pools import tenure as tenures
 from crocusrouter.pools import upkeep
+from crocusrouter.store import key_value
 from crocusrouter.store import observed
-from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -83,7 +83,7 @@
     def __init__(
         self,
         identity: Identity,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         source: ConfigSource,
         platform: owners.Platform,
         metrics: Metrics,
@@ -113,7 +113,7 @@
         self.configuration.listeners.append(self._spread_config)
         observing = observed.ObservedStore(store, self.times.steady)
         self._observed = observing
-        self._store: port.KeyValueStore = observing
+        self._store: key_value.KeyValueStore = observing
         self._platform = platform
         self._waves = upkeep.Waves(platform.upkeeping)
         self._scopes: dict[str, trio.CancelScope] = {}
--- a/crocusrouter/pools/expiry.py
+++ b/crocusrouter/pools/expiry.py
@@ -11,7 +11,7 @@
 from crocusrouter import work
 from crocusrouter.pools import keys
 from crocusrouter.pools import tenure as tenures
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import log
 
 _TICK_S = 10.0
@@ -20,7 +20,7 @@
 
 
 async def expire_jobs(
-    store: port.KeyValueStore,
+    store: key_value.KeyValueStore,
     held: tenures.Tenure,
     book: work.Book,
     read_clock: Callable[[], float],
--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -5,7 +5,7 @@
 import trio
 
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         prefix: str,
         take: Callable[[tuple[records.Event, ...]], None],
         metrics: Metrics,
@@ -164,7 +164,7 @@
                     log("watch:lost", prefix=self._prefix, cause=str(error))
                 self.failing = True
                 await trio.sleep_until(began + _RETRY_S)
-            except port.HistoryGoneError:
+            except key_value.HistoryGoneError:
                 log("watch:history-gone", prefix=self._prefix)
                 self._revision = 0
 
--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -11,7 +11,7 @@
 from crocusrouter import work
 from crocusrouter.pools import keys
 from crocusrouter.pools import tenure as tenures
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import log
 
 # Ends that come within this time share a write. A job's last end does not
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         held: tenures.Tenure,
         book: work.Book,
         revisions: dict[str, int],
@@ -113,29 +113,29 @@
         ]
         while values:
             outcome = await self._write(values)
-            if isinstance(outcome, port.Written):
+            if isinstance(outcome, key_value.Written):
                 for job_id in values:
                     self._revisions[job_id] = outcome.revision
                 self._book.note_durable(finals)
                 self._book.note_crashes_kept(values.keys() - self._book.dirty)
                 break
             self._take_failure(outcome)
-            if not isinstance(outcome, port.Mismatched):
+            if not isinstance(outcome, key_value.Mismatched):
                 await trio.sleep(_RETRY_S)
         self._writing = frozenset()
 
-    async def _write(self, values: dict[str, bytes]) -> port.WriteOutcome:
+    async def _write(self, values: dict[str, bytes]) -> key_value.WriteOutcome:
         guards = [self._tenure.guard]
         writes = []
         for job_id, value in values.items():
             key = keys.build_progress_key(job_id)
-            guards.append(port.Guard(key, self._revisions.get(job_id, 0)))
-            writes.append(port.Write(key, value))
+            guards.append(key_value.Guard(key, self._revisions.get(job_id, 0)))
+            writes.append(key_value.Write(key, value))
         return await self._store.write(tuple(guards), tuple(writes))
 
-    def _take_failure(self, outcome: port.WriteOutcome) -> None:
+    def _take_failure(self, outcome: key_value.WriteOutcome) -> None:
         """Learn from a failed write; raises DeposedError."""
-        if not isinstance(outcome, port.Mismatched):
+        if not isinstance(outcome, key_value.Mismatched):
             log("journal:retried", outcome=type(outcome).__name__)
             return
         owner = outcome.current.get(self._tenure.key)
--- a/crocusrouter/pools/listing.py
+++ b/crocusrouter/pools/listing.py
@@ -7,7 +7,7 @@
 from crocusrouter.pools import clock
 from crocusrouter.pools import freshness
 from crocusrouter.pools import intake
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -58,7 +58,7 @@
     def __init__(
         self,
         source: Source,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         pool: str,
         book: work.Book,
         times: clock.Clock,
--- a/crocusrouter/pools/members.py
+++ b/crocusrouter/pools/members.py
@@ -7,7 +7,7 @@
 
 from crocusrouter.pools import keys
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import log
 
 # A member that says nothing for this long is dropped from the list. Nobody
@@ -57,7 +57,7 @@
     """Registers one entry and keeps it registered."""
 
     def __init__(
-        self, store: port.KeyValueStore, name: str, member: Member
+        self, store: key_value.KeyValueStore, name: str, member: Member
     ) -> None:
         self._store = store
         self._name = name
@@ -98,9 +98,9 @@
         lease = await self._store.grant_lease(_TTL_S)
         key = keys.build_member_key(self._name)
         outcome = await self._store.write(
-            (), (port.Write(key, dump_member(self._member), lease),)
+            (), (key_value.Write(key, dump_member(self._member), lease),)
         )
-        if not isinstance(outcome, port.Written):
+        if not isinstance(outcome, key_value.Written):
             raise client.StoreUnavailableError(type(outcome).__name__)
         self._lease = lease
 
@@ -111,7 +111,7 @@
         await self._store.write((), (), (key,))
 
 
-async def find_secret(store: port.KeyValueStore) -> str:
+async def find_secret(store: key_value.KeyValueStore) -> str:
     """Return the secret that all entries share, making it if need be.
 
     Raises:
@@ -121,7 +121,8 @@
     if found is None:
         made = os.urandom(_SECRET_BYTES).hex().encode()
         await store.write(
-            (port.Guard(keys.SECRET, 0),), (port.Write(keys.SECRET, made),)
+            (key_value.Guard(keys.SECRET, 0),),
+            (key_value.Write(keys.SECRET, made),),
         )
         found = await store.read(keys.SECRET)
     if found is None:
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -24,7 +24,7 @@
 from crocusrouter.pools import unanswered
 from crocusrouter.pools import upkeep
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
@@ -81,7 +81,7 @@
     def __init__(
         self,
         held: tenures.Tenure,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         platform: Platform,
         times: clock.Clock,
         metrics: Metrics,
--- a/crocusrouter/pools/parking.py
+++ b/crocusrouter/pools/parking.py
@@ -17,7 +17,7 @@
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
 from crocusrouter.pools import tenure as tenures
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         held: tenures.Tenure,
         book: work.Book,
         is_durable: Callable[[str], bool],
@@ -105,7 +105,7 @@
             if wanted <= self._recorded and not self._is_wrong():
                 continue
             outcome = await self._write(wanted, timeout_s)
-            if isinstance(outcome, port.Written):
+            if isinstance(outcome, key_value.Written):
                 timeout_s = _FIRST_TIMEOUT_S
                 async with self._changed:
                     self._changed.notify_all()
@@ -148,28 +148,28 @@
 
     async def _write(
         self, wanted: frozenset[str], timeout_s: float
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """Replace the record; raises DeposedError."""
         before = self._recorded
         # An unanswered write may be carried out: until that is known, a job
         # counts as parked that stands in either state of the record.
         self._recorded = before | wanted
         outcome = await self._store.write(
-            (self._tenure.guard, port.Guard(self._key, self._revision)),
-            (port.Write(self._key, cbor2.dumps(sorted(wanted))),),
+            (self._tenure.guard, key_value.Guard(self._key, self._revision)),
+            (key_value.Write(self._key, cbor2.dumps(sorted(wanted))),),
             timeout_s=timeout_s,
         )
         match outcome:
-            case port.Written(revision):
+            case key_value.Written(revision):
                 self._revision = revision
                 self._recorded = wanted
-            case port.Mismatched(current):
+            case key_value.Mismatched(current):
                 owner = current.get(self._tenure.key)
                 if owner is None or owner.revision != self._tenure.epoch:
                     raise journal.DeposedError(f"{self._tenure.key} changed")
                 record = current.get(self._key)
                 self._revision = record.revision if record else 0
-            case port.NotWritten():
+            case key_value.NotWritten():
                 self._recorded = before
         return outcome
 
--- a/crocusrouter/pools/relay.py
+++ b/crocusrouter/pools/relay.py
@@ -8,8 +8,8 @@
 from crocusrouter.mesh import messages
 from crocusrouter.pools import peers as peer_links
 from crocusrouter.store import client
+from crocusrouter.store import key_value
 from crocusrouter.store import observed
-from crocusrouter.store import port
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 
@@ -57,8 +57,8 @@
         raise client.StoreUnavailableError("no path to the store")
 
     async def write(
-        self, guard: port.Guard, write: port.Write
-    ) -> port.WriteOutcome:
+        self, guard: key_value.Guard, write: key_value.Write
+    ) -> key_value.WriteOutcome:
         """Write one guarded key.
 
         Returns:
@@ -75,8 +75,8 @@
         return outcome
 
     async def _write_here(
-        self, guard: port.Guard, write: port.Write
-    ) -> port.WriteOutcome:
+        self, guard: key_value.Guard, write: key_value.Write
+    ) -> key_value.WriteOutcome:
         """Write by our own path, unless it is known to be down.
 
         A write that breaks off may be carried out later, so its caller can
@@ -84,18 +84,18 @@
         no effect: the caller hears at once when to come back.
         """
         if self._store.is_down():
-            return port.NotWritten("known to be down; not tried")
+            return key_value.NotWritten("known to be down; not tried")
         return await self._store.write(
             (guard,), (write,), timeout_s=_STORE_TIMEOUT_S
         )
 
     async def _ask(
-        self, helper: str, guard: port.Guard, write: port.Write
-    ) -> port.WriteOutcome:
+        self, helper: str, guard: key_value.Guard, write: key_value.Write
+    ) -> key_value.WriteOutcome:
         request = messages.RelayWrite(guard.key, guard.revision, write.value)
         reply = await self._peers.call(helper, request)
         if not isinstance(reply, messages.RelayOutcome):
-            return port.MaybeWritten("a peer gave no answer")
+            return key_value.MaybeWritten("a peer gave no answer")
         return _read_outcome(guard.key, reply)
 
     # For peers.
@@ -119,42 +119,44 @@
     ) -> messages.RelayOutcome:
         """Write for a peer, by our own path only."""
         outcome = await self._write_here(
-            port.Guard(request.key, request.revision),
-            port.Write(request.key, request.value),
+            key_value.Guard(request.key, request.revision),
+            key_value.Write(request.key, request.value),
         )
         match outcome:
-            case port.Written(revision):
+            case key_value.Written(revision):
                 return messages.RelayOutcome("written", revision)
-            case port.Mismatched(current):
+            case key_value.Mismatched(current):
                 found = current.get(request.key)
                 if found is None:
                     return messages.RelayOutcome("mismatched")
                 return messages.RelayOutcome(
                     "mismatched", found.revision, found.value
                 )
-            case port.NotWritten():
+            case key_value.NotWritten():
                 return messages.RelayOutcome("not-written")
         return messages.RelayOutcome("unknown")
 
 
-def _read_outcome(key: str, reply: messages.RelayOutcome) -> port.WriteOutcome:
+def _read_outcome(
+    key: str, reply: messages.RelayOutcome
+) -> key_value.WriteOutcome:
     match reply.outcome:
         case "written":
-            return port.Written(reply.revision)
+            return key_value.Written(reply.revision)
         case "mismatched":
             found = records.Record(key, reply.value, reply.revision)
-            return port.Mismatched({key: found} if reply.revision else {})
+            return key_value.Mismatched({key: found} if reply.revision else {})
         case "not-written":
-            return port.NotWritten("a peer was refused too")
-    return port.MaybeWritten("a peer's write was not answered")
+            return key_value.NotWritten("a peer was refused too")
+    return key_value.MaybeWritten("a peer's write was not answered")
 
 
-def _has_failed(outcome: port.WriteOutcome) -> bool:
-    return isinstance(outcome, port.NotWritten | port.MaybeWritten)
+def _has_failed(outcome: key_value.WriteOutcome) -> bool:
+    return isinstance(outcome, key_value.NotWritten | key_value.MaybeWritten)
 
 
 def _join(
-    first: port.WriteOutcome, second: port.WriteOutcome
-) -> port.WriteOutcome:
+    first: key_value.WriteOutcome, second: key_value.WriteOutcome
+) -> key_value.WriteOutcome:
     """Return the less certain of two failures."""
-    return first if isinstance(first, port.MaybeWritten) else second
+    return first if isinstance(first, key_value.MaybeWritten) else second
--- a/crocusrouter/pools/roster.py
+++ b/crocusrouter/pools/roster.py
@@ -12,7 +12,7 @@
 from crocusrouter import work
 from crocusrouter.pools import keys
 from crocusrouter.pools import tenure as tenures
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
@@ -25,7 +25,10 @@
     """Keeps the record of one pool up to date."""
 
     def __init__(
-        self, store: port.KeyValueStore, held: tenures.Tenure, book: work.Book
+        self,
+        store: key_value.KeyValueStore,
+        held: tenures.Tenure,
+        book: work.Book,
     ) -> None:
         self._store = store
         self._tenure = held
@@ -90,12 +93,12 @@
             if value == written:
                 continue
             outcome = await self._store.write(
-                (self._tenure.guard, port.Guard(self._key, revision)),
-                (port.Write(self._key, value),),
+                (self._tenure.guard, key_value.Guard(self._key, revision)),
+                (key_value.Write(self._key, value),),
             )
-            if isinstance(outcome, port.Written):
+            if isinstance(outcome, key_value.Written):
                 revision, written = outcome.revision, value
-            elif isinstance(outcome, port.Mismatched):
+            elif isinstance(outcome, key_value.Mismatched):
                 current = outcome.current.get(self._key)
                 revision = current.revision if current else 0
 
--- a/crocusrouter/pools/tenure.py
+++ b/crocusrouter/pools/tenure.py
@@ -14,7 +14,7 @@
 from crocusrouter.pools import clock
 from crocusrouter.pools import keys
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import log
 
 # How long an owner that says nothing stays owner. Takeover after a kill takes
@@ -81,7 +81,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         pool: str,
         holder: Holder,
         times: clock.Clock,
@@ -96,9 +96,9 @@
         self._valid_until = 0.0
 
     @property
-    def guard(self) -> port.Guard:
+    def guard(self) -> key_value.Guard:
         """The condition under which this owner may write."""
-        return port.Guard(self.key, self.epoch)
+        return key_value.Guard(self.key, self.epoch)
 
     def is_valid(self) -> bool:
         """Tell whether nobody else can own the pool yet.
@@ -125,12 +125,12 @@
             log("owner:no-lease", pool=self.pool, cause=str(error))
             return False
         outcome = await self._store.write(
-            (port.Guard(self.key, replacing),),
-            (port.Write(self.key, self._value, self._lease),),
+            (key_value.Guard(self.key, replacing),),
+            (key_value.Write(self.key, self._value, self._lease),),
         )
-        if isinstance(outcome, port.MaybeWritten):
+        if isinstance(outcome, key_value.MaybeWritten):
             return await self._find_out(sent_at)
-        if not isinstance(outcome, port.Written):
+        if not isinstance(outcome, key_value.Written):
             return False
         return self._begin(outcome.revision, sent_at)
 
--- a/crocusrouter/pools/tests/test_intake.py
+++ b/crocusrouter/pools/tests/test_intake.py
@@ -4,7 +4,7 @@
 import trio
 
 from crocusrouter.pools import intake
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 
@@ -29,7 +29,7 @@
         found = (_CHANGE,) if revision < 9 else ()
         if not found:
             await trio.sleep(wait_s)
-        return port.Changes(found, 9)
+        return key_value.Changes(found, 9)
 
 
 @pytest.mark.parametrize("answer_s", [0.01, 0.3, 0.9])
--- a/crocusrouter/pools/tests/test_listing.py
+++ b/crocusrouter/pools/tests/test_listing.py
@@ -10,7 +10,7 @@
 from crocusrouter.pools import clock
 from crocusrouter.pools import listing
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work.tests import build
@@ -35,9 +35,9 @@
             await trio.sleep(wait_s + 0.4)
             raise step
         if step is not None:
-            return port.Changes((step,), records.get_event_revision(step))
+            return key_value.Changes((step,), records.get_event_revision(step))
         await trio.sleep(wait_s)
-        return port.Changes((), revision)
+        return key_value.Changes((), revision)
 
 
 def _list_worker(name, revision, **changes):
--- a/crocusrouter/pools/tests/test_upkeep.py
+++ b/crocusrouter/pools/tests/test_upkeep.py
@@ -8,7 +8,7 @@
 from crocusrouter.pools import clock
 from crocusrouter.pools import keys
 from crocusrouter.pools import upkeep as duties
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.work import upkeep
 from crocusrouter.work import vms
 from crocusrouter.work.tests import build
@@ -40,7 +40,7 @@
     held = types.SimpleNamespace(
         pool="ours",
         epoch=owner,
-        guard=port.Guard("owner", owner),
+        guard=key_value.Guard("owner", owner),
         is_valid=lambda: True,
     )
     waves = duties.Waves(
--- a/crocusrouter/pools/upkeep.py
+++ b/crocusrouter/pools/upkeep.py
@@ -16,7 +16,7 @@
 from crocusrouter.pools import keys
 from crocusrouter.pools import tenure as tenures
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 from crocusrouter.work import orders
@@ -84,7 +84,7 @@
         self,
         held: tenures.Tenure,
         holder: str,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         book: work.Book,
         times: clock.Clock,
         waves: Waves,
@@ -280,13 +280,13 @@
         assert self._waves.meeting is not None
         status, body = self._waves.meeting.build_status(wave, is_over)
         outcome = await self._store.write(
-            (self._tenure.guard, port.Guard(key, self._revisions[wave])),
+            (self._tenure.guard, key_value.Guard(key, self._revisions[wave])),
             (
-                port.Write(key, upkeep.dump_record(record)),
-                port.Write(status, body),
+                key_value.Write(key, upkeep.dump_record(record)),
+                key_value.Write(status, body),
             ),
         )
-        if isinstance(outcome, port.Written):
+        if isinstance(outcome, key_value.Written):
             self._revisions[wave] = outcome.revision
             return True
         log("wave:not-written", wave=wave, outcome=type(outcome).__name__)
--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed.py
@@ -13,7 +13,7 @@
 import trio
 
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 
 # A single lost answer is not an outage; failures for this long are.
@@ -37,7 +37,7 @@
     """
 
     def __init__(
-        self, store: port.KeyValueStore, read_clock: Callable[[], float]
+        self, store: key_value.KeyValueStore, read_clock: Callable[[], float]
     ) -> None:
         """Wrap a store.
 
@@ -121,18 +121,20 @@
 
     async def write(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...] = (),
         *,
         timeout_s: float = 1.0,
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """See `port.KeyValueStore`."""
         started_at = self._read_clock()
         outcome = await self._store.write(
             guards, writes, removals, timeout_s=timeout_s
         )
-        failed = isinstance(outcome, port.NotWritten | port.MaybeWritten)
+        failed = isinstance(
+            outcome, key_value.NotWritten | key_value.MaybeWritten
+        )
         self._record_result(served=not failed)
         if not failed:
             self._record_answer_time(started_at)
@@ -140,7 +142,7 @@
 
     async def watch(
         self, prefix: str, revision: int, wait_s: float
-    ) -> port.Changes:
+    ) -> key_value.Changes:
         """See `port.KeyValueStore`.
 
         The time limit starts with this call and includes connecting.
--- a/crocusrouter/store/tests/test_observed.py
+++ b/crocusrouter/store/tests/test_observed.py
@@ -6,8 +6,8 @@
 import trio
 
 from crocusrouter.store import client
+from crocusrouter.store import key_value
 from crocusrouter.store import observed
-from crocusrouter.store import port
 
 
 class _FixedDelayStore:
@@ -26,7 +26,7 @@
 
     async def watch(self, prefix, revision, wait_s):
         await trio.sleep(wait_s + self.answer_s)
-        return port.Changes((), revision + 1)
+        return key_value.Changes((), revision + 1)
 
 
 def _wrap(store):
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -16,7 +16,7 @@
 from crocusrouter import pools
 from crocusrouter import work
 from crocusrouter.http import queue_calls
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
@@ -287,10 +287,10 @@
         self._scopes[name] = scope
         self._nursery.start_soon(self._run_entry, entry, scope)
 
-    def _find_store_view(self, name: str) -> port.KeyValueStore:
+    def _find_store_view(self, name: str) -> key_value.KeyValueStore:
         view = stores.StoreView(self.store, name)
         held = suspension.Suspendable(view, self.suspensions, name)
-        return cast(port.KeyValueStore, held)
+        return cast(key_value.KeyValueStore, held)
 
     def _find_view(self, name: str) -> Callable[[str, str], orders.Connection]:
         def open_view(incarnation: str, _: str) -> orders.Connection:
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -7,7 +7,7 @@
 import trio
 
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 
 _ANSWER_S = 0.004
@@ -148,15 +148,15 @@
 
     def apply(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...],
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """Carry a write out, all or nothing."""
         for guard in guards:
             held = self.items.get(guard.key)
             if (held.revision if held else 0) != guard.revision:
-                return port.Mismatched(
+                return key_value.Mismatched(
                     {
                         g.key: self.read(g.key)
                         for g in guards
@@ -164,14 +164,14 @@
                     }
                 )
         if any(w.lease and w.lease not in self.leases for w in writes):
-            return port.LeaseEnded()
+            return key_value.LeaseEnded()
         self.revision += 1
         for write in writes:
             self._set(write.key, write.value, write.lease)
         for key in removals:
             if key in self.items:
                 self._drop(key)
-        return port.Written(self.revision)
+        return key_value.Written(self.revision)
 
     def read(self, key: str) -> records.Record:
         """Return a key that is there."""
@@ -222,20 +222,20 @@
 
     async def write(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...] = (),
         *,
         timeout_s: float = 1.0,
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """Write all or nothing; some answers are lost."""
         self._store.calls += 1
         fault = await self._arrive()
         if fault is StoreFault.BUSY:
-            return port.NotWritten("busy")
+            return key_value.NotWritten("busy")
         if fault is StoreFault.SILENT:
             await trio.sleep(timeout_s)
-            return port.MaybeWritten("silent")
+            return key_value.MaybeWritten("silent")
         lossy = fault in (StoreFault.LOST, StoreFault.LATE)
         if lossy and self._store.random.random() < 1 / 3:
             if fault is StoreFault.LATE:
@@ -245,15 +245,15 @@
             else:
                 self._store.apply(guards, writes, removals)
             await trio.sleep(timeout_s)
-            return port.MaybeWritten("lost")
+            return key_value.MaybeWritten("lost")
         outcome = self._store.apply(guards, writes, removals)
         await trio.sleep(_ANSWER_S / 2)
         return outcome
 
     async def _apply_late(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...],
     ) -> None:
         await trio.sleep(self._store.random.uniform(1.0, _LATEST_S))
@@ -261,7 +261,7 @@
 
     async def watch(
         self, prefix: str, revision: int, wait_s: float
-    ) -> port.Changes:
+    ) -> key_value.Changes:
         """Wait for changes under a prefix."""
         began = trio.current_time()
         await self._fetch()
@@ -270,7 +270,7 @@
         with trio.move_on_after(wait_s):
             while True:
                 if revision < self._store.dropped_to:
-                    raise port.HistoryGoneError(prefix)
+                    raise key_value.HistoryGoneError(prefix)
                 if self._is_deaf():
                     await trio.sleep_until(self._store.deaf_until)
                 elif self._find_events(prefix, revision):
@@ -283,12 +283,12 @@
             raise client.StoreUnavailableError("the answer was lost")
         await self._answer()
         if self._is_deaf():
-            return port.Changes((), revision)
+            return key_value.Changes((), revision)
         if revision < self._store.dropped_to:
             # Dropped while the answer was on its way.
-            raise port.HistoryGoneError(prefix)
+            raise key_value.HistoryGoneError(prefix)
         found = self._find_events(prefix, revision)
-        return port.Changes(found, self._store.revision)
+        return key_value.Changes(found, self._store.revision)
 
     def _is_deaf(self) -> bool:
         return trio.current_time() < self._store.deaf_until
--- a/standins/emulator/tests/test_store.py
+++ b/standins/emulator/tests/test_store.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from standins.emulator import store as stores
 
 
@@ -28,6 +28,6 @@
         try:
             changes = await view.watch("job/", before, wait_s)
             heard = changes.revision
-        except port.HistoryGoneError:
+        except key_value.HistoryGoneError:
             return
     assert changes.events or heard == before
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -12,7 +12,7 @@
 
 from crocusrouter.platform import names
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.work import orders
 from standins.emulator import store as stores
@@ -142,7 +142,7 @@
         changes = await view.watch(
             query["prefix"], int(query["after"]), int(query["wait_ms"]) / 1000
         )
-    except port.HistoryGoneError:
+    except key_value.HistoryGoneError:
         return 410, {}
     events = [
         {"key": event.key, "revision": event.revision, "deleted": True}
@@ -156,11 +156,11 @@
 async def _write(view: stores.StoreView, document: dict[str, Any]) -> Answer:
     outcome = await view.write(
         tuple(
-            port.Guard(row["key"], row["revision"])
+            key_value.Guard(row["key"], row["revision"])
             for row in document["expected_rev"]
         ),
         tuple(
-            port.Write(
+            key_value.Write(
                 row["key"],
                 base64.b64decode(row["value"]),
                 row.get("lease", 0),
@@ -170,13 +170,13 @@
         tuple(document["remove"]),
     )
     match outcome:
-        case port.Written(revision):
+        case key_value.Written(revision):
             return 200, {"revision": revision}
-        case port.Mismatched(current):
+        case key_value.Mismatched(current):
             return 412, {"items": [_show_item(r) for r in current.values()]}
-        case port.LeaseEnded():
+        case key_value.LeaseEnded():
             return 404, {}
-        case port.NotWritten():
+        case key_value.NotWritten():
             return 503, {}
     raise _NoAnswerError
 
