--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -24,7 +24,7 @@
 from crocusrouter.pools import tenure as tenures
 from crocusrouter.pools import upkeep
 from crocusrouter.store import key_value
-from crocusrouter.store import observed
+from crocusrouter.store import observed_store
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -111,7 +111,7 @@
             source.key, source.parse, source.apply_s, self.times, metrics
         )
         self.configuration.listeners.append(self._spread_config)
-        observing = observed.ObservedStore(store, self.times.steady)
+        observing = observed_store.ObservedStore(store, self.times.steady)
         self._observed = observing
         self._store: key_value.KeyValueStore = observing
         self._platform = platform
--- a/crocusrouter/pools/relay.py
+++ b/crocusrouter/pools/relay.py
@@ -9,7 +9,7 @@
 from crocusrouter.pools import peers as peer_links
 from crocusrouter.store import client
 from crocusrouter.store import key_value
-from crocusrouter.store import observed
+from crocusrouter.store import observed_store
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        store: observed.ObservedStore,
+        store: observed_store.ObservedStore,
         peers: peer_links.Peers,
     ) -> None:
         self._store = store
--- a/crocusrouter/store/tests/test_observed.py
+++ b/crocusrouter/store/tests/test_observed.py
@@ -7,7 +7,7 @@
 
 from crocusrouter.store import client
 from crocusrouter.store import key_value
-from crocusrouter.store import observed
+from crocusrouter.store import observed_store
 
 
 class _FixedDelayStore:
@@ -30,7 +30,7 @@
 
 
 def _wrap(store):
-    return observed.ObservedStore(store, trio.current_time)
+    return observed_store.ObservedStore(store, trio.current_time)
 
 
 @pytest.mark.parametrize("answer_s", [0.05, 0.3, 0.7, 0.95])
@@ -56,7 +56,7 @@
     inner_store.answer_s = 0.01
     for _ in range(10):
         await store.renew_lease(1)
-    assert store.get_watch_grace() == observed.WATCH_GRACE_S
+    assert store.get_watch_grace() == observed_store.WATCH_GRACE_S
 
 
 async def test_lost_answer_of_a_watch_is_a_failure(autojump_clock):
@@ -112,7 +112,7 @@
             total_suspended_s += suspended_s
             return changes
 
-    store = observed.ObservedStore(
+    store = observed_store.ObservedStore(
         _SuspendedStore(0.01), lambda: trio.current_time() + total_suspended_s
     )
     accepted_answers = []
