--- a/crocusrouter/store/observed_store.py
+++ b/crocusrouter/store/observed_store.py
@@ -110,12 +110,12 @@
             self._record_answer_time(started_at)
 
     async def read(self, key: str) -> records.Record | None:
-        """See `port.KeyValueStore`."""
+        """See `key_value.KeyValueStore`."""
         with self._observe_call():
             return await self._store.read(key)
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
-        """See `port.KeyValueStore`."""
+        """See `key_value.KeyValueStore`."""
         with self._observe_call(is_paged=True):
             return await self._store.read_prefix(prefix)
 
@@ -127,7 +127,7 @@
         *,
         timeout_s: float = 1.0,
     ) -> key_value.WriteOutcome:
-        """See `port.KeyValueStore`."""
+        """See `key_value.KeyValueStore`."""
         started_at = self._read_clock()
         outcome = await self._store.write(
             guards, writes, removals, timeout_s=timeout_s
@@ -143,7 +143,7 @@
     async def watch(
         self, prefix: str, revision: int, wait_s: float
     ) -> key_value.Changes:
-        """See `port.KeyValueStore`.
+        """See `key_value.KeyValueStore`.
 
         The time limit starts with this call and includes connecting.
 
@@ -181,11 +181,11 @@
         return changes
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """See `port.KeyValueStore`."""
+        """See `key_value.KeyValueStore`."""
         with self._observe_call():
             return await self._store.grant_lease(ttl_s)
 
     async def renew_lease(self, lease: int) -> bool:
-        """See `port.KeyValueStore`."""
+        """See `key_value.KeyValueStore`."""
         with self._observe_call():
             return await self._store.renew_lease(lease)
