--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -23,7 +23,7 @@
 
 
 class PlatformStore:
-    """Implements `store.port.KeyValueStore`."""
+    """Implements `store.key_value.KeyValueStore`."""
 
     def __init__(self, address: str, metrics: Metrics) -> None:
         self._caller = calls.Caller(address, _CONNECTIONS)
