--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -11,7 +11,7 @@
 from crocusrouter.telemetry import log
 
 # How long a watch waits for a change. An answer that is lost alone is noticed
-# when this and `observed.WATCH_GRACE_S` are over, since its connection stays
+# when this and `WATCH_GRACE_S` are over, since its connection stays
 # open and goes on answering keep-alive probes. With watches of 15 s an owner
 # heard of no new job for 13 s after a silent outage of 4 s, and a day earned
 # 0.23 of what it was owed.
