--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -23,7 +23,7 @@
 from crocusrouter.controllers import vm_list
 from crocusrouter.mesh import messages
 from crocusrouter.outcomes import Answer
-from crocusrouter.requests import pool
+from crocusrouter.requests import runner_pool
 from crocusrouter.settings import Settings
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -78,8 +78,8 @@
             self.build_heartbeat,
             self._stop_replaced_owners,
         )
-        self.runners = pool.RunnerPool(self.random)
-        self.claims = requests.Claims(
+        self.runners = runner_pool.RunnerPool(self.random)
+        self.claims = requests.ClaimRegistry(
             settings.name,
             self.store,
             f"{settings.store_prefix}claims/",
@@ -160,17 +160,19 @@
             ),
         )
 
-    async def answer(self, call: requests.Call) -> Answer:
+    async def answer(self, call: requests.ValidatedRequest) -> Answer:
         """Answer a small request by passing it through the filter chain."""
         return await self._filter_chain(call)
 
-    def identify(self, incoming: requests.Incoming) -> requests.Call:
+    def identify(
+        self, incoming: requests.IncomingRequest
+    ) -> requests.ValidatedRequest:
         """Check a small request and look up its customer and kind.
 
         Raises:
             RefusedError: The request isn't valid.
         """
-        return requests.identify(
+        return requests.validate_request(
             incoming,
             self.configuration.catalog,
             uuid.uuid4().hex,
@@ -190,7 +192,7 @@
                     dump_catalog(self.configuration.catalog)
                 )
             case messages.AskAnswer(claim_name):
-                return self.claims.recall(claim_name)
+                return self.claims.get_outcome(claim_name)
             case messages.SubmitJob(packed_job):
                 job = codec.unpack(jobs.Job, packed_job)
                 return await self.job_router.answer_peer(
@@ -264,7 +266,7 @@
         """Return the store lease for new claims; a new lease every hour."""
         now = trio.current_time()
         if self._claim_lease is None or self._claim_lease[1] < now:
-            lease_id = await self.store.grant(_CLAIM_LEASE_TTL_S)
+            lease_id = await self.store.grant_lease(_CLAIM_LEASE_TTL_S)
             self._claim_lease = (lease_id, now + _CLAIM_LEASE_REUSE_S)
         return self._claim_lease[0]
 
--- a/crocusrouter/controllers/ownership.py
+++ b/crocusrouter/controllers/ownership.py
@@ -142,11 +142,11 @@
         renewed_owner_record = dataclasses.replace(
             owner_record, renewals=owner_record.renewals + 1
         )
-        outcome = await self._store_client.swap(
+        outcome = await self._store_client.compare_and_swap(
             self._build_key(term.data_centre),
             term.record,
             codec.pack(renewed_owner_record),
-            patience_s=self._ttl_s / RENEWALS_PER_TTL,
+            timeout_s=self._ttl_s / RENEWALS_PER_TTL,
         )
         if isinstance(outcome, store.Committed):
             self._configuration.apply_record(outcome.record, self._read_clock())
@@ -161,14 +161,14 @@
             configurations.OwnerRecord("", term.epoch, 0)
         )
         key = self._build_key(term.data_centre)
-        outcome = await self._store_client.swap(
+        outcome = await self._store_client.compare_and_swap(
             key, term.record, released_value
         )
         if isinstance(outcome, store.Conflict):
             # The stop may have cancelled a renewal that the service applied.
             latest_term = self._find_own_renewal(term, outcome.current)
             if latest_term is not None:
-                await self._store_client.swap(
+                await self._store_client.compare_and_swap(
                     key, latest_term.record, released_value
                 )
 
@@ -198,7 +198,7 @@
         new_owner_record: configurations.OwnerRecord,
     ) -> OwnershipTerm | None:
         """Replace the expected owner record by a new one."""
-        outcome = await self._store_client.swap(
+        outcome = await self._store_client.compare_and_swap(
             self._build_key(data_centre), expected, codec.pack(new_owner_record)
         )
         if isinstance(outcome, store.Committed):
--- a/crocusrouter/controllers/template_edits.py
+++ b/crocusrouter/controllers/template_edits.py
@@ -109,7 +109,7 @@
         if isinstance(version_name, Refusal):
             return version_name
         new_catalog = replace_template(catalog, template, version_name)
-        outcome = await store_client.swap(
+        outcome = await store_client.compare_and_swap(
             configuration.catalog_key, record, dump_catalog(new_catalog)
         )
         if isinstance(outcome, store.Committed):
@@ -142,7 +142,7 @@
     previous_name = versioned.version if versioned is not None else ""
     version = Version(catalog.revision + 1, now, previous_name, template)
     name = name_version(version)
-    outcome = await store_client.swap(
+    outcome = await store_client.compare_and_swap(
         configuration.history_prefix + name, None, dump_version(version)
     )
     if isinstance(outcome, store.Unavailable):
--- a/crocusrouter/jobs/journal.py
+++ b/crocusrouter/jobs/journal.py
@@ -211,8 +211,8 @@
         self, bucket: _Bucket, jobs: dict[str, bytes]
     ) -> store.SwapOutcome:
         value = cbor2.dumps([self._epoch, list(jobs.items())])
-        return await self._client.swap(
-            bucket.key, bucket.record, value, patience_s=_WRITE_TIMEOUT_S
+        return await self._client.compare_and_swap(
+            bucket.key, bucket.record, value, timeout_s=_WRITE_TIMEOUT_S
         )
 
     def _check_failed_write(
--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -23,8 +23,8 @@
 from crocusrouter.pools import prefix_follower
 from crocusrouter.pools import relay
 from crocusrouter.pools import upkeep_controller
-from crocusrouter.store import observed
-from crocusrouter.store import port
+from crocusrouter.store import key_value
+from crocusrouter.store import observed_store
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -84,7 +84,7 @@
     def __init__(
         self,
         identity: Identity,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         source: ConfigSource,
         platform: owners.Platform,
         metrics: Metrics,
@@ -112,9 +112,9 @@
             source.key, source.parse, source.apply_s, self.clock, metrics
         )
         self.configuration.listeners.append(self._apply_config_to_owners)
-        observed_store = observed.ObservedStore(store, self.clock.steady)
+        observed_store = observed_store.ObservedStore(store, self.clock.steady)
         self._observed_store = observed_store
-        self._store: port.KeyValueStore = observed_store
+        self._store: key_value.KeyValueStore = observed_store
         self._platform = platform
         self._open_waves = upkeep_controller.OpenWaves(platform.upkeep_platform)
         self._owner_scopes: dict[str, trio.CancelScope] = {}
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -15,7 +15,7 @@
 from crocusrouter.pools import peers as peer_links
 from crocusrouter.pools import relay
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
@@ -43,15 +43,15 @@
     """Neither the owner nor the store could be asked."""
 
 
-def _classify_outcome(outcome: port.WriteOutcome) -> AcceptOutcome:
+def _classify_outcome(outcome: key_value.WriteOutcome) -> AcceptOutcome:
     """Return what the write of a job says about whether it is stored.
 
     The write requires that the key does not exist, so a mismatch means that an
     earlier try has stored the job.
     """
-    if isinstance(outcome, port.Written | port.Mismatched):
+    if isinstance(outcome, key_value.Written | key_value.Mismatched):
         return AcceptOutcome.STORED
-    if isinstance(outcome, port.NotWritten):
+    if isinstance(outcome, key_value.NotWritten):
         return AcceptOutcome.NOT_STORED
     return AcceptOutcome.UNKNOWN
 
@@ -118,7 +118,7 @@
         """
         key = keys.build_job_key(job.id)
         outcome = await self._store.write(
-            port.Guard(key, 0), port.Write(key, codec.pack(job))
+            key_value.Guard(key, 0), key_value.Write(key, codec.pack(job))
         )
         accept_outcome = _classify_outcome(outcome)
         self._metrics.count_job(f"accept-{accept_outcome}")
@@ -152,11 +152,11 @@
             cancelled_job = dataclasses.replace(job, cancelled=True)
             has_tried_write = True
             outcome = await self._store.write(
-                port.Guard(key, record.revision),
-                port.Write(key, codec.pack(cancelled_job)),
+                key_value.Guard(key, record.revision),
+                key_value.Write(key, codec.pack(cancelled_job)),
             )
             log("job:cancel", job=job_id, outcome=type(outcome).__name__)
-            if isinstance(outcome, port.Written):
+            if isinstance(outcome, key_value.Written):
                 return CancelOutcome.DONE
         return (
             CancelOutcome.UNKNOWN
--- a/crocusrouter/pools/job_expiry.py
+++ b/crocusrouter/pools/job_expiry.py
@@ -11,7 +11,7 @@
 from crocusrouter import work
 from crocusrouter.pools import keys
 from crocusrouter.pools import owner_leases
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import log
 
 _INTERVAL_S = 10.0
@@ -20,7 +20,7 @@
 
 
 async def expire_jobs(
-    store: port.KeyValueStore,
+    store: key_value.KeyValueStore,
     owner_lease: owner_leases.OwnerLease,
     book: work.PoolState,
     read_clock: Callable[[], float],
--- a/crocusrouter/pools/known_workers.py
+++ b/crocusrouter/pools/known_workers.py
@@ -12,7 +12,7 @@
 from crocusrouter import work
 from crocusrouter.pools import keys
 from crocusrouter.pools import owner_leases
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 from crocusrouter.work import tracking
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
         book: work.PoolState,
     ) -> None:
@@ -102,12 +102,12 @@
             if value == written_value:
                 continue
             outcome = await self._store.write(
-                (self._owner_lease.guard, port.Guard(self._key, revision)),
-                (port.Write(self._key, value),),
+                (self._owner_lease.guard, key_value.Guard(self._key, revision)),
+                (key_value.Write(self._key, value),),
             )
-            if isinstance(outcome, port.Written):
+            if isinstance(outcome, key_value.Written):
                 revision, written_value = outcome.revision, value
-            elif isinstance(outcome, port.Mismatched):
+            elif isinstance(outcome, key_value.Mismatched):
                 current_record = outcome.current.get(self._key)
                 revision = current_record.revision if current_record else 0
 
--- a/crocusrouter/pools/members.py
+++ b/crocusrouter/pools/members.py
@@ -7,7 +7,7 @@
 
 from crocusrouter.pools import keys
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import log
 
 # Time to live of a member's key. No decision depends on the member list alone,
@@ -57,7 +57,7 @@
     """Registers one entry and keeps it registered."""
 
     def __init__(
-        self, store: port.KeyValueStore, name: str, member: Member
+        self, store: key_value.KeyValueStore, name: str, member: Member
     ) -> None:
         self._store = store
         self._name = name
@@ -87,7 +87,7 @@
         while True:
             await trio.sleep(pause_s)
             try:
-                if not await self._store.keep(self._store_lease):
+                if not await self._store.renew_lease(self._store_lease):
                     return
                 pause_s = _RENEWAL_INTERVAL_S
             except client.StoreUnavailableError:
@@ -95,12 +95,12 @@
 
     async def _register(self) -> None:
         """Write our key under a new lease, replacing any earlier value."""
-        lease = await self._store.grant(_TTL_S)
+        lease = await self._store.grant_lease(_TTL_S)
         key = keys.build_member_key(self._name)
         outcome = await self._store.write(
-            (), (port.Write(key, dump_member(self._member), lease),)
+            (), (key_value.Write(key, dump_member(self._member), lease),)
         )
-        if not isinstance(outcome, port.Written):
+        if not isinstance(outcome, key_value.Written):
             raise client.StoreUnavailableError(type(outcome).__name__)
         self._store_lease = lease
 
@@ -111,7 +111,7 @@
         await self._store.write((), (), (key,))
 
 
-async def load_or_create_secret(store: port.KeyValueStore) -> str:
+async def load_or_create_secret(store: key_value.KeyValueStore) -> str:
     """Return the secret that all entries share; create it if missing.
 
     Raises:
@@ -121,8 +121,8 @@
     if record is None:
         new_secret = os.urandom(_SECRET_BYTES).hex().encode()
         await store.write(
-            (port.Guard(keys.SECRET, 0),),
-            (port.Write(keys.SECRET, new_secret),),
+            (key_value.Guard(keys.SECRET, 0),),
+            (key_value.Write(keys.SECRET, new_secret),),
         )
         record = await store.read(keys.SECRET)
     if record is None:
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -24,7 +24,7 @@
 from crocusrouter.pools import worker_links
 from crocusrouter.pools import worker_listing
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 from crocusrouter.work import worker_port
@@ -85,7 +85,7 @@
     def __init__(
         self,
         owner_lease: owner_leases.OwnerLease,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         platform: Platform,
         clock: clocks.Clock,
         metrics: Metrics,
--- a/crocusrouter/pools/owner_leases.py
+++ b/crocusrouter/pools/owner_leases.py
@@ -14,7 +14,7 @@
 from crocusrouter.pools import clocks
 from crocusrouter.pools import keys
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import log
 
 # Time to live of an owner's lease. Takeover after a kill takes about this long.
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         pool: str,
         holder: Holder,
         clock: clocks.Clock,
@@ -103,9 +103,9 @@
         self._valid_until = 0.0
 
     @property
-    def guard(self) -> port.Guard:
+    def guard(self) -> key_value.Guard:
         """The condition under which this owner may write."""
-        return port.Guard(self.key, self.epoch)
+        return key_value.Guard(self.key, self.epoch)
 
     def is_valid(self) -> bool:
         """Return whether certainly no other entry owns the pool yet.
@@ -127,17 +127,17 @@
         """
         sent_at = self._clock.steady()
         try:
-            self._store_lease = await self._store.grant(TTL_S)
+            self._store_lease = await self._store.grant_lease(TTL_S)
         except client.StoreUnavailableError as error:
             log("owner:no-lease", pool=self.pool, cause=str(error))
             return False
         outcome = await self._store.write(
-            (port.Guard(self.key, replaced_revision),),
-            (port.Write(self.key, self._encoded_holder, self._store_lease),),
+            (key_value.Guard(self.key, replaced_revision),),
+            (key_value.Write(self.key, self._encoded_holder, self._store_lease),),
         )
-        if isinstance(outcome, port.MaybeWritten):
+        if isinstance(outcome, key_value.MaybeWritten):
             return await self._check_unanswered_write(sent_at)
-        if not isinstance(outcome, port.Written):
+        if not isinstance(outcome, key_value.Written):
             return False
         return self._mark_acquired(outcome.revision, sent_at)
 
@@ -163,7 +163,7 @@
             while True:
                 sent_at = self._clock.steady()
                 try:
-                    renewed = await self._store.keep(self._store_lease)
+                    renewed = await self._store.renew_lease(self._store_lease)
                 except client.StoreUnavailableError as error:
                     if not self.is_valid():
                         log(
--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -18,7 +18,7 @@
 from crocusrouter.pools import journal
 from crocusrouter.pools import keys
 from crocusrouter.pools import owner_leases
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
         book: work.PoolState,
         is_durable: Callable[[str], bool],
@@ -110,7 +110,7 @@
             ):
                 continue
             outcome = await self._write(job_ids, timeout_s)
-            if isinstance(outcome, port.Written):
+            if isinstance(outcome, key_value.Written):
                 timeout_s = _FIRST_TIMEOUT_S
                 async with self._record_changed:
                     self._record_changed.notify_all()
@@ -154,22 +154,22 @@
 
     async def _write(
         self, job_ids: frozenset[str], timeout_s: float
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """Replace the record; raises DeposedError."""
         previous_ids = self._maybe_recorded
         # An unanswered write may still be carried out. Until its outcome is
         # known, jobs of either version of the record count as parked.
         self._maybe_recorded = previous_ids | job_ids
         outcome = await self._store.write(
-            (self._owner_lease.guard, port.Guard(self._key, self._revision)),
-            (port.Write(self._key, cbor2.dumps(sorted(job_ids))),),
+            (self._owner_lease.guard, key_value.Guard(self._key, self._revision)),
+            (key_value.Write(self._key, cbor2.dumps(sorted(job_ids))),),
             timeout_s=timeout_s,
         )
         match outcome:
-            case port.Written(revision):
+            case key_value.Written(revision):
                 self._revision = revision
                 self._maybe_recorded = job_ids
-            case port.Mismatched(current_records):
+            case key_value.Mismatched(current_records):
                 owner_record = current_records.get(self._owner_lease.key)
                 if (
                     owner_record is None
@@ -180,7 +180,7 @@
                     )
                 record = current_records.get(self._key)
                 self._revision = record.revision if record else 0
-            case port.NotWritten():
+            case key_value.NotWritten():
                 self._maybe_recorded = previous_ids
         return outcome
 
--- a/crocusrouter/pools/prefix_follower.py
+++ b/crocusrouter/pools/prefix_follower.py
@@ -5,13 +5,13 @@
 import trio
 
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 
 # How long a watch waits for a change. A lost answer is noticed only after this
-# plus `observed.WATCH_GRACE_S`, since its connection stays open and keeps
+# plus `WATCH_GRACE_S`, since its connection stays open and keeps
 # answering keep-alive probes. With watches of 15 s an owner received no new job
 # for 13 s after a silent outage of 4 s, and a day earned only 0.23 of its
 # target value.
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         prefix: str,
         on_events: Callable[[tuple[records.Event, ...]], None],
         metrics: Metrics,
@@ -126,7 +126,7 @@
         self._report_events(removals + changes)
 
     def _report_events(self, events: tuple[records.Event, ...]) -> None:
-        revisions = (records.find_revision(event) for event in events)
+        revisions = (records.get_event_revision(event) for event in events)
         self._last_event_revision = max(
             self._last_event_revision, *revisions, 0
         )
@@ -170,7 +170,7 @@
                     log("watch:lost", prefix=self._prefix, cause=str(error))
                 self.is_failing = True
                 await trio.sleep_until(began_at + _RETRY_DELAY_S)
-            except port.HistoryGoneError:
+            except key_value.HistoryGoneError:
                 log("watch:history-gone", prefix=self._prefix)
                 self._revision = 0
 
--- a/crocusrouter/pools/relay.py
+++ b/crocusrouter/pools/relay.py
@@ -8,8 +8,8 @@
 from crocusrouter.mesh import messages
 from crocusrouter.pools import peers as peer_links
 from crocusrouter.store import client
-from crocusrouter.store import observed
-from crocusrouter.store import port
+from crocusrouter.store import key_value
+from crocusrouter.store import observed_store
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        store: observed.ObservedStore,
+        store: observed_store.ObservedStore,
         peers: peer_links.Peers,
     ) -> None:
         self._store = store
@@ -59,8 +59,8 @@
         )
 
     async def write(
-        self, guard: port.Guard, write: port.Write
-    ) -> port.WriteOutcome:
+        self, guard: key_value.Guard, write: key_value.Write
+    ) -> key_value.WriteOutcome:
         """Write one guarded key.
 
         Returns:
@@ -77,8 +77,8 @@
         return outcome
 
     async def _write_directly(
-        self, guard: port.Guard, write: port.Write
-    ) -> port.WriteOutcome:
+        self, guard: key_value.Guard, write: key_value.Write
+    ) -> key_value.WriteOutcome:
         """Write directly, unless the store is known to be unavailable.
 
         A write that is interrupted may be carried out later, so its caller can
@@ -87,7 +87,7 @@
         back.
         """
         if self._store.is_down():
-            return port.NotWritten(
+            return key_value.NotWritten(
                 "the store is known to be unavailable; not tried"
             )
         return await self._store.write(
@@ -95,12 +95,12 @@
         )
 
     async def _write_by_peer(
-        self, peer: str, guard: port.Guard, write: port.Write
-    ) -> port.WriteOutcome:
+        self, peer: str, guard: key_value.Guard, write: key_value.Write
+    ) -> key_value.WriteOutcome:
         request = messages.RelayWrite(guard.key, guard.revision, write.value)
         reply = await self._peers.call(peer, request)
         if not isinstance(reply, messages.RelayOutcome):
-            return port.MaybeWritten("the peer gave no answer")
+            return key_value.MaybeWritten("the peer gave no answer")
         return _parse_outcome(guard.key, reply)
 
     # Requests of peers.
@@ -124,44 +124,46 @@
     ) -> messages.RelayOutcome:
         """Write for a peer, directly only."""
         outcome = await self._write_directly(
-            port.Guard(request.key, request.expected_revision),
-            port.Write(request.key, request.value),
+            key_value.Guard(request.key, request.expected_revision),
+            key_value.Write(request.key, request.value),
         )
         match outcome:
-            case port.Written(revision):
+            case key_value.Written(revision):
                 return messages.RelayOutcome("written", revision)
-            case port.Mismatched(current_records):
+            case key_value.Mismatched(current_records):
                 current_record = current_records.get(request.key)
                 if current_record is None:
                     return messages.RelayOutcome("mismatched")
                 return messages.RelayOutcome(
                     "mismatched", current_record.revision, current_record.value
                 )
-            case port.NotWritten():
+            case key_value.NotWritten():
                 return messages.RelayOutcome("not-written")
         return messages.RelayOutcome("unknown")
 
 
-def _parse_outcome(key: str, reply: messages.RelayOutcome) -> port.WriteOutcome:
+def _parse_outcome(
+    key: str, reply: messages.RelayOutcome
+) -> key_value.WriteOutcome:
     match reply.outcome:
         case "written":
-            return port.Written(reply.revision)
+            return key_value.Written(reply.revision)
         case "mismatched":
             current_record = records.Record(key, reply.value, reply.revision)
-            return port.Mismatched(
+            return key_value.Mismatched(
                 {key: current_record} if reply.revision else {}
             )
         case "not-written":
-            return port.NotWritten("the store refused the peer too")
-    return port.MaybeWritten("the peer's write was not answered")
+            return key_value.NotWritten("the store refused the peer too")
+    return key_value.MaybeWritten("the peer's write was not answered")
 
 
-def _has_failed(outcome: port.WriteOutcome) -> bool:
-    return isinstance(outcome, port.NotWritten | port.MaybeWritten)
+def _has_failed(outcome: key_value.WriteOutcome) -> bool:
+    return isinstance(outcome, key_value.NotWritten | key_value.MaybeWritten)
 
 
 def _choose_less_certain(
-    first: port.WriteOutcome, second: port.WriteOutcome
-) -> port.WriteOutcome:
+    first: key_value.WriteOutcome, second: key_value.WriteOutcome
+) -> key_value.WriteOutcome:
     """Return the less certain of two failed outcomes."""
-    return first if isinstance(first, port.MaybeWritten) else second
+    return first if isinstance(first, key_value.MaybeWritten) else second
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -16,7 +16,7 @@
 from crocusrouter.pools import keys
 from crocusrouter.pools import owner_leases
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import log
 from crocusrouter.work import upkeep
@@ -86,7 +86,7 @@
         self,
         owner_lease: owner_leases.OwnerLease,
         holder: str,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         book: work.PoolState,
         clock: clocks.Clock,
         waves: OpenWaves,
@@ -307,13 +307,13 @@
         assert self._waves.platform is not None
         status_key, body = self._waves.platform.build_status(wave, is_over)
         outcome = await self._store.write(
-            (self._owner_lease.guard, port.Guard(key, self._revisions[wave])),
+            (self._owner_lease.guard, key_value.Guard(key, self._revisions[wave])),
             (
-                port.Write(key, upkeep.dump_record(record)),
-                port.Write(status_key, body),
+                key_value.Write(key, upkeep.dump_record(record)),
+                key_value.Write(status_key, body),
             ),
         )
-        if isinstance(outcome, port.Written):
+        if isinstance(outcome, key_value.Written):
             self._revisions[wave] = outcome.revision
             return True
         log("wave:not-written", wave=wave, outcome=type(outcome).__name__)
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -7,7 +7,7 @@
 from crocusrouter.pools import clocks
 from crocusrouter.pools import freshness
 from crocusrouter.pools import prefix_follower
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -59,7 +59,7 @@
     def __init__(
         self,
         source: ListSource,
-        store: port.KeyValueStore,
+        store: key_value.KeyValueStore,
         pool: str,
         book: work.PoolState,
         clock: clocks.Clock,
--- a/crocusrouter/requests/__init__.py
+++ b/crocusrouter/requests/__init__.py
@@ -4,28 +4,28 @@
 from crocusrouter.requests.chain import LimitFilter
 from crocusrouter.requests.chain import Retrier
 from crocusrouter.requests.chain import build_chain
-from crocusrouter.requests.claims import Claims
+from crocusrouter.requests.claims import ClaimRegistry
 from crocusrouter.requests.dispatch import Dispatcher
-from crocusrouter.requests.identify import check_json
-from crocusrouter.requests.identify import check_key
-from crocusrouter.requests.identify import find_customer
-from crocusrouter.requests.identify import identify
-from crocusrouter.requests.model import Call
-from crocusrouter.requests.model import Incoming
-from crocusrouter.requests.pool import RunnerPool
+from crocusrouter.requests.model import IncomingRequest
+from crocusrouter.requests.model import ValidatedRequest
+from crocusrouter.requests.runner_pool import RunnerPool
+from crocusrouter.requests.validation import authenticate_customer
+from crocusrouter.requests.validation import check_idempotency_key
+from crocusrouter.requests.validation import check_json
+from crocusrouter.requests.validation import validate_request
 
 __all__ = [
-    "Call",
+    "ValidatedRequest",
     "ClaimFilter",
-    "Claims",
+    "ClaimRegistry",
     "Dispatcher",
-    "Incoming",
+    "IncomingRequest",
     "LimitFilter",
     "Retrier",
     "RunnerPool",
     "build_chain",
     "check_json",
-    "check_key",
-    "find_customer",
-    "identify",
+    "check_idempotency_key",
+    "authenticate_customer",
+    "validate_request",
 ]
--- a/crocusrouter/requests/claims.py
+++ b/crocusrouter/requests/claims.py
@@ -85,7 +85,7 @@
     claim_name: str
 
 
-class Claims:
+class ClaimRegistry:
     """Acquires claims and remembers the outcomes of their requests."""
 
     def __init__(
@@ -120,7 +120,9 @@
         self._pending_names: set[str] = set()
         self._uncertain_write_ids: dict[str, bytes] = {}
 
-    async def acquire(self, request: model.Call) -> ClaimGrant | Answer:
+    async def acquire(
+        self, request: model.ValidatedRequest
+    ) -> ClaimGrant | Answer:
         """Claim the key of a request, or return an earlier attempt's outcome.
 
         Returns:
@@ -151,7 +153,7 @@
         else:
             local_claim.state = UNKNOWN
 
-    def recall(self, claim_name: str) -> messages.AnswerReply:
+    def get_outcome(self, claim_name: str) -> messages.AnswerReply:
         """Return the outcome of a claim to the peer that asks for it."""
         local_claim = self._local_claims.get(claim_name)
         if local_claim is None:
@@ -167,7 +169,7 @@
     async def _write_claim(
         self,
         claim_name: str,
-        request: model.Call,
+        request: model.ValidatedRequest,
         expected: store.Record | None,
     ) -> ClaimGrant | Answer:
         """Replace the record `expected` by a claim of this entry."""
@@ -176,7 +178,7 @@
             lease = await self._get_lease()
         except store.StoreUnavailableError as error:
             return _answer_store_unavailable(str(error))
-        outcome = await self._client.swap(
+        outcome = await self._client.compare_and_swap(
             self._prefix + claim_name, expected, codec.pack(claim), lease=lease
         )
         if isinstance(outcome, store.Committed):
@@ -192,7 +194,10 @@
         return await self._resolve_conflict(claim_name, request, current)
 
     async def _resolve_conflict(
-        self, claim_name: str, request: model.Call, current: store.Record
+        self,
+        claim_name: str,
+        request: model.ValidatedRequest,
+        current: store.Record,
     ) -> ClaimGrant | Answer:
         """Return the outcome of the attempt that holds the current claim.
 
@@ -217,7 +222,10 @@
         return await self._write_claim(claim_name, request, current)
 
     async def _resolve_own_claim(
-        self, claim_name: str, request: model.Call, current: store.Record
+        self,
+        claim_name: str,
+        request: model.ValidatedRequest,
+        current: store.Record,
     ) -> ClaimGrant | Answer:
         """Resolve a claim of this entry that it doesn't remember.
 
@@ -240,7 +248,7 @@
             self._local_claims.popitem(last=False)
 
     def _repeat_answer(
-        self, local_claim: _LocalClaim, request: model.Call
+        self, local_claim: _LocalClaim, request: model.ValidatedRequest
     ) -> Answer:
         """Answer a repeated request from the claim of its earlier attempt."""
         if local_claim.digest != request.digest:
@@ -268,7 +276,7 @@
     )
 
 
-def _answer_key_reused(request: model.Call) -> NotRun:
+def _answer_key_reused(request: model.ValidatedRequest) -> NotRun:
     return NotRun(
         Refusal(RefusalReason.KEY_REUSED, f"key {request.idempotency_key!r}")
     )
--- a/crocusrouter/requests/model.py
+++ b/crocusrouter/requests/model.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Incoming:
+class IncomingRequest:
     """A request as the HTTP server receives it, before any check.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Call:
+class ValidatedRequest:
     """An authenticated and validated request.
 
     Attributes:
--- a/crocusrouter/requests/tests/test_claims_machine.py
+++ b/crocusrouter/requests/tests/test_claims_machine.py
@@ -81,7 +81,7 @@
             self.restart(name)
 
     def restart(self, name):
-        entry_claims = claims.Claims(
+        entry_claims = claims.ClaimRegistry(
             name,
             self.service.open_client(call_timeout_s=0.2),
             "claims/",
@@ -99,7 +99,7 @@
         return (
             None
             if self.peers_unreachable
-            else self.entries[entry].recall(claim_name)
+            else self.entries[entry].get_outcome(claim_name)
         )
 
     async def run(self, operations):
@@ -118,7 +118,7 @@
     async def run_attempt(self, attempt):
         entry_claims = self.entries[attempt.entry]
         body = attempt.key.encode()
-        request = model.Call(
+        request = model.ValidatedRequest(
             "id",
             _TEMPLATE,
             "reserve",
--- a/crocusrouter/requests/identify.py
+++ b/crocusrouter/requests/validation.py
@@ -18,7 +18,9 @@
 _IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,255}")
 
 
-def find_customer(catalog: Catalog, authorization: str | None) -> Template:
+def authenticate_customer(
+    catalog: Catalog, authorization: str | None
+) -> Template:
     """Return the template of the customer with the given bearer key.
 
     Args:
@@ -39,9 +41,12 @@
     raise refuse(RefusalReason.UNAUTHENTICATED, "wrong bearer key")
 
 
-def identify(
-    incoming: model.Incoming, catalog: Catalog, request_id: str, now: float
-) -> model.Call:
+def validate_request(
+    incoming: model.IncomingRequest,
+    catalog: Catalog,
+    request_id: str,
+    now: float,
+) -> model.ValidatedRequest:
     """Authenticate a request and check its kind, key, deadline and body.
 
     Args:
@@ -54,7 +59,7 @@
         RefusedError: A check failed; the refusal says which and how to
             correct the request.
     """
-    template = find_customer(catalog, incoming.authorization)
+    template = authenticate_customer(catalog, incoming.authorization)
     request_kind = template.request_kinds.get(incoming.kind)
     if request_kind is None:
         detail = f"kind {incoming.kind!r} of customer {template.customer}"
@@ -65,14 +70,14 @@
     check_json(incoming.body)
     digest = hashlib.blake2b(incoming.body, digest_size=16)
     digest.update(incoming.kind.encode())
-    return model.Call(
+    return model.ValidatedRequest(
         id=request_id,
         template=template,
         kind=incoming.kind,
         request_kind=request_kind,
         body=incoming.body,
         digest=digest.hexdigest(),
-        idempotency_key=check_key(incoming.idempotency_key),
+        idempotency_key=check_idempotency_key(incoming.idempotency_key),
         deadline=now + parse_timeout(incoming.timeout, request_kind.timeout_s),
     )
 
@@ -89,7 +94,7 @@
         raise refuse(RefusalReason.MALFORMED_JSON, str(error)) from error
 
 
-def check_key(key: str | None) -> str | None:
+def check_idempotency_key(key: str | None) -> str | None:
     """Check that an idempotency key is printable and not too long.
 
     Raises:
--- a/crocusrouter/store/client.py
+++ b/crocusrouter/store/client.py
@@ -95,7 +95,7 @@
         body = await self._read("range", wire.RANGE_PATH, request)
         return wire.parse_snapshot(body)
 
-    async def grant(self, ttl_s: int) -> int:
+    async def grant_lease(self, ttl_s: int) -> int:
         """Create a lease of `ttl_s` seconds and return its id.
 
         Raises:
@@ -106,13 +106,13 @@
             await self._read("grant", wire.GRANT_PATH, request)
         )
 
-    async def swap(
+    async def compare_and_swap(
         self,
         key: str,
         expected: records.Record | None,
         value: bytes,
         *,
-        patience_s: float = 2.0,
+        timeout_s: float = 2.0,
         lease: int = 0,
     ) -> records.SwapOutcome:
         """Replace the record `expected` by `value`, or create the key.
@@ -125,7 +125,7 @@
             key: The whole key.
             expected: The record to replace; None if the key must not exist.
             value: The new value.
-            patience_s: How long to retry before giving up.
+            timeout_s: How long to retry before giving up.
             lease: Lease to which the key is attached, or 0.
 
         Returns:
@@ -140,7 +140,7 @@
         maybe_written = False
         cause = "timed out before the first call ended"
         backoff = self._start_backoff()
-        with trio.move_on_after(patience_s):
+        with trio.move_on_after(timeout_s):
             while True:
                 try:
                     answer = wire.parse_swap(
--- a/crocusrouter/store/port.py
+++ b/crocusrouter/store/key_value.py
@@ -136,7 +136,7 @@
         """
         ...
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """Create a lease and return its id.
 
         Raises:
@@ -144,7 +144,7 @@
         """
         ...
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; return False if it has expired.
 
         Raises:
--- a/crocusrouter/store/observed.py
+++ b/crocusrouter/store/observed_store.py
@@ -13,7 +13,7 @@
 import trio
 
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 
 # A single lost answer is not an outage; failures for this long are.
@@ -37,7 +37,7 @@
     """
 
     def __init__(
-        self, store: port.KeyValueStore, read_clock: Callable[[], float]
+        self, store: key_value.KeyValueStore, read_clock: Callable[[], float]
     ) -> None:
         """Wrap a store.
 
@@ -110,29 +110,31 @@
             self._record_answer_time(started_at)
 
     async def read(self, key: str) -> records.Record | None:
-        """See `port.KeyValueStore`."""
+        """See `key_value.KeyValueStore`."""
         with self._observe_call():
             return await self._store.read(key)
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
-        """See `port.KeyValueStore`."""
+        """See `key_value.KeyValueStore`."""
         with self._observe_call(is_paged=True):
             return await self._store.read_prefix(prefix)
 
     async def write(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...] = (),
         *,
         timeout_s: float = 1.0,
-    ) -> port.WriteOutcome:
-        """See `port.KeyValueStore`."""
+    ) -> key_value.WriteOutcome:
+        """See `key_value.KeyValueStore`."""
         started_at = self._read_clock()
         outcome = await self._store.write(
             guards, writes, removals, timeout_s=timeout_s
         )
-        failed = isinstance(outcome, port.NotWritten | port.MaybeWritten)
+        failed = isinstance(
+            outcome, key_value.NotWritten | key_value.MaybeWritten
+        )
         self._record_result(served=not failed)
         if not failed:
             self._record_answer_time(started_at)
@@ -140,8 +142,8 @@
 
     async def watch(
         self, prefix: str, revision: int, wait_s: float
-    ) -> port.Changes:
-        """See `port.KeyValueStore`.
+    ) -> key_value.Changes:
+        """See `key_value.KeyValueStore`.
 
         The time limit starts with this call and includes connecting.
 
@@ -178,12 +180,12 @@
         self._record_result(served=True)
         return changes
 
-    async def grant(self, ttl_s: float) -> int:
-        """See `port.KeyValueStore`."""
+    async def grant_lease(self, ttl_s: float) -> int:
+        """See `key_value.KeyValueStore`."""
         with self._observe_call():
-            return await self._store.grant(ttl_s)
+            return await self._store.grant_lease(ttl_s)
 
-    async def keep(self, lease: int) -> bool:
-        """See `port.KeyValueStore`."""
+    async def renew_lease(self, lease: int) -> bool:
+        """See `key_value.KeyValueStore`."""
         with self._observe_call():
-            return await self._store.keep(lease)
+            return await self._store.renew_lease(lease)
--- a/crocusrouter/store/tests/test_observed.py
+++ b/crocusrouter/store/tests/test_observed.py
@@ -6,8 +6,8 @@
 import trio
 
 from crocusrouter.store import client
-from crocusrouter.store import observed
-from crocusrouter.store import port
+from crocusrouter.store import key_value
+from crocusrouter.store import observed_store
 
 
 class _FixedDelayStore:
@@ -16,7 +16,7 @@
     def __init__(self, answer_s):
         self.answer_s = answer_s
 
-    async def keep(self, lease):
+    async def renew_lease(self, lease):
         await trio.sleep(self.answer_s)
         return True
 
@@ -26,11 +26,11 @@
 
     async def watch(self, prefix, revision, wait_s):
         await trio.sleep(wait_s + self.answer_s)
-        return port.Changes((), revision + 1)
+        return key_value.Changes((), revision + 1)
 
 
 def _wrap(store):
-    return observed.ObservedStore(store, trio.current_time)
+    return observed_store.ObservedStore(store, trio.current_time)
 
 
 @pytest.mark.parametrize("answer_s", [0.05, 0.3, 0.7, 0.95])
@@ -41,7 +41,7 @@
     its answer, and the caller would see no changes while the store is slow.
     """
     store = _wrap(_FixedDelayStore(answer_s))
-    assert await store.keep(1)
+    assert await store.renew_lease(1)
     changes = await store.watch("a/", 4, 0.6)
     assert changes.revision == 5
 
@@ -51,12 +51,12 @@
 ):
     inner_store = _FixedDelayStore(0.9)
     store = _wrap(inner_store)
-    await store.keep(1)
+    await store.renew_lease(1)
     assert store.get_watch_grace() == pytest.approx(1.8)
     inner_store.answer_s = 0.01
     for _ in range(10):
-        await store.keep(1)
-    assert store.get_watch_grace() == observed.WATCH_GRACE_S
+        await store.renew_lease(1)
+    assert store.get_watch_grace() == observed_store.WATCH_GRACE_S
 
 
 async def test_lost_answer_of_a_watch_is_a_failure(autojump_clock):
@@ -112,7 +112,7 @@
             total_suspended_s += suspended_s
             return changes
 
-    store = observed.ObservedStore(
+    store = observed_store.ObservedStore(
         _SuspendedStore(0.01), lambda: trio.current_time() + total_suspended_s
     )
     accepted_answers = []
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -16,7 +16,7 @@
 from crocusrouter import pools
 from crocusrouter import work
 from crocusrouter.http import queue_calls
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
 from crocusrouter.work import worker_port
@@ -302,12 +302,12 @@
         self._cancel_scopes[name] = scope
         self._nursery.start_soon(self._run_entry, entry, scope)
 
-    def _build_store_view(self, name: str) -> port.KeyValueStore:
+    def _build_store_view(self, name: str) -> key_value.KeyValueStore:
         view = stores.StoreView(self.store, name)
         suspendable_view = suspension.SuspendablePort(
             view, self.suspensions, name
         )
-        return cast(port.KeyValueStore, suspendable_view)
+        return cast(key_value.KeyValueStore, suspendable_view)
 
     def _build_worker_view_opener(
         self, name: str
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -7,7 +7,7 @@
 import trio
 
 from crocusrouter.store import client
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from crocusrouter.store import records
 
 _ANSWER_DELAY_S = 0.004
@@ -158,15 +158,15 @@
 
     def apply(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...],
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """Apply a write if all its guards hold, else nothing of it."""
         for guard in guards:
             item = self.items.get(guard.key)
             if (item.revision if item else 0) != guard.revision:
-                return port.Mismatched(
+                return key_value.Mismatched(
                     {
                         g.key: self.read(g.key)
                         for g in guards
@@ -174,14 +174,14 @@
                     }
                 )
         if any(w.lease and w.lease not in self.leases for w in writes):
-            return port.LeaseEnded()
+            return key_value.LeaseEnded()
         self.revision += 1
         for write in writes:
             self._set(write.key, write.value, write.lease)
         for key in removals:
             if key in self.items:
                 self._delete(key)
-        return port.Written(self.revision)
+        return key_value.Written(self.revision)
 
     def read(self, key: str) -> records.Record:
         """Return the record of a key that exists."""
@@ -234,20 +234,20 @@
 
     async def write(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...] = (),
         *,
         timeout_s: float = 1.0,
-    ) -> port.WriteOutcome:
+    ) -> key_value.WriteOutcome:
         """Write all or nothing; the answer is lost under some faults."""
         self._store.calls += 1
         fault = await self._delay_call()
         if fault is StoreFault.BUSY:
-            return port.NotWritten("busy")
+            return key_value.NotWritten("busy")
         if fault is StoreFault.SILENT:
             await trio.sleep(timeout_s)
-            return port.MaybeWritten("silent")
+            return key_value.MaybeWritten("silent")
         loses_answers = fault in (StoreFault.LOST, StoreFault.LATE)
         if loses_answers and self._store.random.random() < 1 / 3:
             if fault is StoreFault.LATE:
@@ -257,15 +257,15 @@
             else:
                 self._store.apply(guards, writes, removals)
             await trio.sleep(timeout_s)
-            return port.MaybeWritten("lost")
+            return key_value.MaybeWritten("lost")
         outcome = self._store.apply(guards, writes, removals)
         await trio.sleep(_ANSWER_DELAY_S / 2)
         return outcome
 
     async def _apply_late(
         self,
-        guards: tuple[port.Guard, ...],
-        writes: tuple[port.Write, ...],
+        guards: tuple[key_value.Guard, ...],
+        writes: tuple[key_value.Write, ...],
         removals: tuple[str, ...],
     ) -> None:
         await trio.sleep(self._store.random.uniform(1.0, _MAX_WRITE_DELAY_S))
@@ -273,7 +273,7 @@
 
     async def watch(
         self, prefix: str, revision: int, wait_s: float
-    ) -> port.Changes:
+    ) -> key_value.Changes:
         """Wait for changes under a prefix after a revision."""
         started_at = trio.current_time()
         await self._begin_call()
@@ -282,7 +282,7 @@
         with trio.move_on_after(wait_s):
             while True:
                 if revision < self._store.compacted_revision:
-                    raise port.HistoryGoneError(prefix)
+                    raise key_value.HistoryGoneError(prefix)
                 if self._are_watches_paused():
                     await trio.sleep_until(self._store.watches_paused_until)
                 elif self._find_events(prefix, revision):
@@ -295,12 +295,12 @@
             raise client.StoreUnavailableError("the answer was lost")
         await self._delay_or_fail()
         if self._are_watches_paused():
-            return port.Changes((), revision)
+            return key_value.Changes((), revision)
         if revision < self._store.compacted_revision:
             # The history was dropped while the answer was on its way.
-            raise port.HistoryGoneError(prefix)
+            raise key_value.HistoryGoneError(prefix)
         found = self._find_events(prefix, revision)
-        return port.Changes(found, self._store.revision)
+        return key_value.Changes(found, self._store.revision)
 
     def _are_watches_paused(self) -> bool:
         return trio.current_time() < self._store.watches_paused_until
@@ -311,11 +311,11 @@
         return tuple(
             event
             for event in self._store.history
-            if records.find_revision(event) > revision
+            if records.get_event_revision(event) > revision
             and _find_key(event).startswith(prefix)
         )
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """Grant a lease."""
         await self._begin_call()
         self._store.revision += 1
@@ -323,7 +323,7 @@
         self._store.leases[number] = (ttl_s, trio.current_time() + ttl_s)
         return number
 
-    async def keep(self, lease: int) -> bool:
+    async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; return False if it has expired."""
         await self._begin_call()
         self._store.expire(trio.current_time())
--- a/standins/emulator/tests/test_store.py
+++ b/standins/emulator/tests/test_store.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from crocusrouter.store import port
+from crocusrouter.store import key_value
 from standins.emulator import store as stores
 
 
@@ -28,6 +28,6 @@
         try:
             changes = await view.watch("job/", revision_before, wait_s)
             known_revision = changes.revision
-        except port.HistoryGoneError:
+        except key_value.HistoryGoneError:
             return
     assert changes.events or known_revision == revision_before
