--- a/crocusrouter/codec/__init__.py
+++ b/crocusrouter/codec/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages as CBOR, and the connections that carry them."""
+"""Encoding of typed messages as CBOR, and the websockets that carry them."""
 
 from crocusrouter.codec.dialing import dial
 from crocusrouter.codec.dialing import keep_connected
--- a/crocusrouter/codec/dialing.py
+++ b/crocusrouter/codec/dialing.py
@@ -1,4 +1,4 @@
-"""Websocket connections that are opened again whenever they end."""
+"""Websocket client connections that are reopened after they end."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -11,23 +11,23 @@
 
 _OPEN_TIMEOUT_S = 1.0
 _CLOSE_TIMEOUT_S = 0.3
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 1.0
+_MIN_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 1.0
 
 
 def dial(
     url: str, max_message: int, headers: dict[str, str] | None = None
 ) -> contextlib.AbstractAsyncContextManager[Any]:
-    """Open a websocket as all links between our processes use it.
+    """Open a websocket with the settings of all links between our processes.
 
-    Compression is off: its buffers would weigh more than a link's whole
-    state. Pings are off: renewals and heartbeats do their work, and notice a
-    connection that has gone silent.
+    Compression is off because its buffers would take more memory than the
+    rest of a link's state. Pings are off because lease renewals and heartbeats
+    already detect a dead connection.
 
     Args:
         url: "ws://IP:port/path".
-        max_message: Largest message taken, in bytes.
-        headers: Sent with the handshake.
+        max_message: Largest message accepted, in bytes.
+        headers: Additional headers of the handshake.
     """
     return websockets.trio.client.connect(
         url,
@@ -46,14 +46,16 @@
 ) -> None:
     """Open and serve connections one after another until cancelled.
 
+    It waits after each connection, with exponential backoff after failures.
+
     Args:
-        serve_connection: Opens one connection and serves it to its end.
+        serve_connection: Opens one connection and returns when it has ended.
     """
-    pause_s = _FIRST_PAUSE_S
+    backoff_s = _MIN_BACKOFF_S
     while True:
         try:
             await serve_connection()
-            pause_s = _FIRST_PAUSE_S
+            backoff_s = _MIN_BACKOFF_S
         except (OSError, websockets.WebSocketException, TimeoutError):
-            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
-        await trio.sleep(pause_s)
+            backoff_s = min(backoff_s * 2, _MAX_BACKOFF_S)
+        await trio.sleep(backoff_s)
--- a/crocusrouter/codec/registry.py
+++ b/crocusrouter/codec/registry.py
@@ -1,4 +1,4 @@
-"""CBOR codec of typed messages."""
+"""CBOR codec for dataclasses: stored records and typed messages."""
 
 import dataclasses
 import enum
@@ -11,34 +11,34 @@
 
 
 class BadMessageError(Exception):
-    """The bytes are no message of this registry."""
+    """The data can't be decoded as a known message type."""
 
 
 @functools.cache
-def _find_adapter(message_type: Any) -> pydantic.TypeAdapter[Any]:
+def _build_adapter(message_type: Any) -> pydantic.TypeAdapter[Any]:
     return pydantic.TypeAdapter(message_type)
 
 
 def pack(value: object) -> bytes:
-    """Encode a dataclass as CBOR, with its field names.
+    """Encode a dataclass as a CBOR map with its field names.
 
-    Names cost bytes but let a field be added later: records outlive the
-    version that wrote them.
+    The names take space, but fields can be added later: stored records
+    outlive the version that wrote them.
     """
     value_type: Any = type(value)
     return cbor2.dumps(
-        _find_adapter(value_type).dump_python(value, mode="json")
+        _build_adapter(value_type).dump_python(value, mode="json")
     )
 
 
 def unpack(value_type: type, data: bytes) -> Any:
-    """Decode and check what `pack` encoded.
+    """Decode and validate a dataclass that was encoded by `pack`.
 
     Raises:
         BadMessageError: The bytes aren't CBOR or don't fit `value_type`.
     """
     try:
-        return _find_adapter(value_type).validate_python(cbor2.loads(data))
+        return _build_adapter(value_type).validate_python(cbor2.loads(data))
     except (cbor2.CBORDecodeError, pydantic.ValidationError) as error:
         raise BadMessageError(f"{value_type.__name__}: {error}") from error
 
@@ -52,15 +52,18 @@
 
 
 class Registry:
-    """Maps message types to small tags and encodes them by position.
+    """Maps message types to integer tags and encodes their fields by position.
 
-    A message is the CBOR array [tag, field, field, ...]: for the messages
-    that flow all the time, names would cost more than the values.
+    A message is the CBOR array [tag, field, field, ...]. Field names are left
+    out because they would take more space than the values of these frequent
+    messages.
     """
 
     def __init__(self, *types: type) -> None:
         self._types = dict(enumerate(types))
-        self._tags = {kind: tag for tag, kind in self._types.items()}
+        self._tags = {
+            message_type: tag for tag, message_type in self._types.items()
+        }
 
     def encode(self, message: object) -> bytes:
         """Encode a message of a registered dataclass type."""
@@ -72,18 +75,19 @@
         return cbor2.dumps([tag, *fields], default=_encode_nested)
 
     def decode(self, data: bytes | str) -> Any:
-        """Decode and check a message.
+        """Decode and validate a message.
 
         Raises:
-            BadMessageError: Not CBOR, an unknown tag, or wrong fields.
+            BadMessageError: The data isn't CBOR, the tag is unknown or a field
+                is invalid.
         """
         if isinstance(data, str):
-            raise BadMessageError("a text frame; messages are binary")
+            raise BadMessageError("received a text frame; messages are binary")
         try:
             tag, *fields = cbor2.loads(data)
-            kind = self._types[tag]
+            message_type = self._types[tag]
             arguments = pydantic_core.ArgsKwargs(tuple(fields))
-            return _find_adapter(kind).validate_python(arguments)
+            return _build_adapter(message_type).validate_python(arguments)
         except (
             cbor2.CBORDecodeError,
             pydantic.ValidationError,
--- a/crocusrouter/codec/tests/test_registry.py
+++ b/crocusrouter/codec/tests/test_registry.py
@@ -7,26 +7,29 @@
 from crocusrouter.mesh import messages as mesh_messages
 from crocusrouter.templates import Level
 
-_TASK = worker_messages.TaskReport(
+_TASK_REPORT = worker_messages.TaskReport(
     "a.1", 1, worker_messages.TaskPhase.RUNNING, 3
 )
-_VIEW = mesh_messages.JobView(b"\x00\xff", "running", "", ((1.0, "x"),))
+_JOB_VIEW = mesh_messages.JobView(b"\x00\xff", "running", "", ((1.0, "x"),))
 
 
-# Regression: messages with other messages inside could not be encoded, so a
-# worker with tasks could not answer a new owner, and its jobs never ended.
+# Regression: nested messages could not be encoded, so a worker with tasks could
+# not report them to a new owner, and its jobs never ended.
 @pytest.mark.parametrize(
     ("registry", "message"),
     [
-        (worker_messages.REGISTRY, worker_messages.Inventory((_TASK,))),
+        (worker_messages.REGISTRY, worker_messages.Inventory((_TASK_REPORT,))),
         (worker_messages.REGISTRY, worker_messages.Hello("e1", 3, 6.0)),
         (worker_messages.REGISTRY, worker_messages.Renew()),
-        (mesh_messages.REGISTRY, mesh_messages.JobViews((_VIEW, _VIEW))),
+        (
+            mesh_messages.REGISTRY,
+            mesh_messages.JobViews((_JOB_VIEW, _JOB_VIEW)),
+        ),
         (mesh_messages.REGISTRY, mesh_messages.RefusalReply("x", "", None)),
         (mesh_messages.REGISTRY, mesh_messages.AnswerReply("done", 200, b"x")),
     ],
 )
-def test_messages_survive_the_wire(registry, message):
+def test_messages_decode_to_equal_messages(registry, message):
     assert registry.decode(registry.encode(message)) == message
 
 
@@ -43,12 +46,12 @@
         cbor2.dumps(7),
     ],
 )
-def test_bad_bytes_are_told_apart(data):
+def test_invalid_data_raises_bad_message_error(data):
     with pytest.raises(codec.BadMessageError):
         worker_messages.REGISTRY.decode(data)
 
 
-def test_job_survives_the_journal():
+def test_stored_job_decodes_to_equal_job():
     spec = jobs.Spec("tag", 2, Level.RACK, 1.0, 2.0, 3, payload='{"a": "é"}')
     job = jobs.Job("a.1", "c", spec, 5.0, members=(jobs.Member("w", 3),))
     assert codec.unpack(jobs.Job, codec.pack(job)) == job
--- a/crocusrouter/outcomes/__init__.py
+++ b/crocusrouter/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""Typed outcomes: answers, refusals and the reasons that are counted."""
+"""Answers to requests, refusals, and the reasons of refusals and retries."""
 
 from crocusrouter.outcomes.answers import Answer
 from crocusrouter.outcomes.answers import Done
--- a/crocusrouter/outcomes/answers.py
+++ b/crocusrouter/outcomes/answers.py
@@ -1,4 +1,4 @@
-"""The three outcomes of a small request: done, not-run and unknown."""
+"""Outcomes of a small request (done, not-run, unknown) as HTTP responses."""
 
 import dataclasses
 import functools
@@ -15,7 +15,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Done:
-    """An endpoint ran the request and this is its whole answer."""
+    """The complete answer of an endpoint that ran the request.
+
+    Attributes:
+        status: HTTP status of the endpoint.
+        body: Body of its answer.
+        content_type: Type of the body.
+        repeat: Whether this is the stored answer to an earlier request with
+            the same idempotency key.
+    """
 
     status: int
     body: bytes
@@ -25,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class NotRun:
-    """The request certainly did not run at any endpoint."""
+    """The request is known not to have run at any endpoint."""
 
     refusal: reasons.Refusal
 
 
 @dataclasses.dataclass(frozen=True)
 class Unknown:
-    """The request left for an endpoint; nobody knows whether it ran."""
+    """The request was sent to an endpoint, and may have run or not."""
 
     refusal: reasons.Refusal
 
@@ -42,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rendered:
-    """A status, headers and a body, ready for any HTTP library."""
+    """An HTTP response, independent of any HTTP library."""
 
     status: int
     headers: dict[str, str]
@@ -51,10 +59,10 @@
 
 @functools.singledispatch
 def render(answer: object) -> Rendered:
-    """Turn an answer into an HTTP response.
+    """Render an answer as an HTTP response.
 
-    Refusals follow RFC 9457 (problem details). The outcome stands in a header
-    as well, so that a caller which reads no bodies still learns it.
+    Refusals follow RFC 9457 (problem details). The outcome is also in a header
+    for callers that don't read bodies.
 
     >>> refusal = reasons.Refusal(reasons.RefusalReason.NO_ENDPOINT, "", 0.2)
     >>> rendered = render(NotRun(refusal))
@@ -87,14 +95,14 @@
 def render_refusal(
     refusal: reasons.Refusal, outcome: str | None = None
 ) -> Rendered:
-    """Turn a refusal into problem details, with the outcome if there is one.
+    """Render a refusal as problem details, with the outcome if there is one.
 
     Args:
-        refusal: What is refused and why.
+        refusal: The refusal.
         outcome: "not-run" or "unknown" for small requests, else None.
 
     Returns:
-        The response; `Retry-After` is in whole seconds, rounded up.
+        The response; `Retry-After` is rounded up to whole seconds, at least 1.
     """
     problem: dict[str, object] = {
         "type": f"urn:crocusrouter:refusal:{refusal.reason}",
--- a/crocusrouter/outcomes/tests/test_answers.py
+++ b/crocusrouter/outcomes/tests/test_answers.py
@@ -15,7 +15,7 @@
         (outcomes.Unknown(_REFUSAL), 503, "unknown"),
     ],
 )
-def test_outcome_stands_in_header(answer, status, outcome):
+def test_outcome_is_in_header(answer, status, outcome):
     rendered = outcomes.render(answer)
     assert rendered.status == status
     assert rendered.headers["Crocusrouter-Outcome"] == outcome
@@ -31,6 +31,6 @@
     assert problem["retry_after_s"] == 0.2
 
 
-def test_repeat_is_marked():
+def test_repeated_answer_has_repeat_header():
     rendered = outcomes.render(outcomes.Done(200, b"{}", repeat=True))
     assert rendered.headers["Idempotency-Repeat"] == "true"
--- a/crocusrouter/outcomes/tests/test_reasons.py
+++ b/crocusrouter/outcomes/tests/test_reasons.py
@@ -5,7 +5,7 @@
 
 
 @pytest.mark.parametrize("reason", list(outcomes.RefusalReason))
-def test_every_reason_names_status_title_and_remedy(reason):
+def test_every_reason_has_status_title_and_remedy(reason):
     refusal = outcomes.Refusal(reason, "detail", 1.5)
     assert 400 <= refusal.status < 600
     assert refusal.title
@@ -13,5 +13,5 @@
     assert "detail" in str(refusal)
 
 
-def test_no_fact_without_a_reason():
-    assert set(reasons._FACTS) == set(outcomes.RefusalReason)
+def test_details_cover_exactly_the_reasons():
+    assert set(reasons._REASON_DETAILS) == set(outcomes.RefusalReason)
--- a/crocusrouter/platform/__init__.py
+++ b/crocusrouter/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The users' platform: names, formats and calls; nothing that decides."""
+"""Adapters to the users' platform: names, formats and HTTP calls.
+
+They translate only; decisions are made elsewhere.
+"""
 
 from crocusrouter.platform.calls import Caller
 from crocusrouter.platform.configuration import CONFIG_KEY
--- a/crocusrouter/platform/calls.py
+++ b/crocusrouter/platform/calls.py
@@ -1,4 +1,4 @@
-"""JSON calls to one address of the platform, and how they fail."""
+"""JSON calls over HTTP to one address of the platform."""
 
 import dataclasses
 import socket
@@ -7,30 +7,36 @@
 import httpcore
 import orjson
 
-# A connection can go silent for good while new ones work. Probes after one
-# idle second, and no answer to two of them, end it within about three; a
-# write that nobody acknowledges ends as fast.
+# A connection can stop delivering data for good while new connections work.
+# Keepalive probes start after one idle second and close it after two probes
+# without an answer, about three seconds in all. An unacknowledged write closes
+# it about as fast.
 _KEEPALIVE_IDLE_S = 1
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-_UNACKNOWLEDGED_MS = 2500
+_UNACKNOWLEDGED_WRITE_TIMEOUT_MS = 2500
 _SOCKET_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS),
+    (
+        socket.IPPROTO_TCP,
+        socket.TCP_USER_TIMEOUT,
+        _UNACKNOWLEDGED_WRITE_TIMEOUT_MS,
+    ),
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
 )
-_IDLE_CONNECTION_S = 60.0
+_IDLE_EXPIRY_S = 60.0
 
-# Failures before any byte of the call left this process.
-_NOT_SENT = (
+# Errors raised before any byte of the request left this process.
+_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
 )
-_BROKEN = (
+# Errors after which the request may have been processed.
+_MAYBE_SENT_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -39,11 +45,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answered:
-    """The other side answered.
+    """A response of the other side.
 
     Attributes:
         status: HTTP status.
-        document: The JSON body; empty if there was none.
+        document: The JSON body; empty if there was none. A body that is no
+            object is stored under the key "".
     """
 
     status: int
@@ -52,11 +59,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unanswered:
-    """No usable answer.
+    """A call without a usable response.
 
     Attributes:
         cause: What went wrong.
-        maybe_done: Whether the call may have taken effect, or still may.
+        maybe_done: Whether the call may have taken effect or may still do so.
     """
 
     cause: str
@@ -67,24 +74,24 @@
 
 
 class Connection:
-    """One connection to an address, opened by its first call.
+    """One connection to an address, opened by the first call.
 
-    It is never opened again, so all calls reach the same process.
+    A closed connection isn't reopened, so all calls reach the same process.
     """
 
     def __init__(self, address: str) -> None:
         self._base = f"http://{address}"
         self._connection = httpcore.AsyncHTTPConnection(
             httpcore.URL(self._base).origin,
-            keepalive_expiry=_IDLE_CONNECTION_S,
+            keepalive_expiry=_IDLE_EXPIRY_S,
             socket_options=_SOCKET_OPTIONS,
         )
 
     @property
     def is_open(self) -> bool:
-        """Whether another call may be made."""
-        held = self._connection
-        return not (held.is_closed() or held.has_expired())
+        """Whether the connection can carry another call."""
+        connection = self._connection
+        return not (connection.is_closed() or connection.has_expired())
 
     async def call(
         self,
@@ -101,23 +108,23 @@
         )
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
         await self._connection.aclose()
 
 
 class Caller:
-    """Calls one address over connections of its own.
+    """Calls one address over a connection pool of its own.
 
-    A pool an address: httpcore looks through all connections of a pool at
-    each request, which with one pool for all workers cost 1.9 cores where
-    pools of their own cost 0.15.
+    Each address has its own pool because httpcore scans all connections of a
+    pool at each request: one pool for all workers cost 1.9 cores, separate
+    pools 0.15.
     """
 
     def __init__(self, address: str, max_connections: int) -> None:
         self._base = f"http://{address}"
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=max_connections,
-            keepalive_expiry=_IDLE_CONNECTION_S,
+            keepalive_expiry=_IDLE_EXPIRY_S,
             socket_options=_SOCKET_OPTIONS,
         )
 
@@ -129,14 +136,15 @@
         timeout_s: float,
         headers: dict[str, str] | None = None,
     ) -> Result:
-        """Make one call; never repeated here.
+        """Make one call, without retries.
 
         Args:
             method: HTTP method.
             target: Path and query.
             document: JSON body, or None.
-            timeout_s: Seconds for each of connecting, sending and waiting.
-            headers: Sent besides the content type.
+            timeout_s: Timeout of each phase: getting a connection, connecting,
+                sending and receiving.
+            headers: Request headers besides the content type.
         """
         url = self._base + target
         return await _exchange(
@@ -149,33 +157,35 @@
 
 
 async def _exchange(
-    requests: httpcore.AsyncConnectionPool | httpcore.AsyncHTTPConnection,
+    transport: httpcore.AsyncConnectionPool | httpcore.AsyncHTTPConnection,
     method: str,
     url: str,
     document: dict[str, Any] | None,
     timeout_s: float,
     headers: dict[str, str] | None,
 ) -> Result:
-    names = ("connect", "read", "write", "pool")
+    phases = ("connect", "read", "write", "pool")
     content = orjson.dumps(document) if document is not None else None
-    sent: dict[bytes | str, bytes | str] = {"Content-Type": "application/json"}
-    sent.update(headers or {})
+    request_headers: dict[bytes | str, bytes | str] = {
+        "Content-Type": "application/json"
+    }
+    request_headers.update(headers or {})
     try:
-        response = await requests.request(
+        response = await transport.request(
             method,
             url,
-            headers=sent,
+            headers=request_headers,
             content=content,
-            extensions={"timeout": dict.fromkeys(names, timeout_s)},
+            extensions={"timeout": dict.fromkeys(phases, timeout_s)},
         )
-    except _NOT_SENT as error:
+    except _NOT_SENT_ERRORS as error:
         return Unanswered(repr(error), maybe_done=False)
-    except _BROKEN as error:
+    except _MAYBE_SENT_ERRORS as error:
         return Unanswered(repr(error), maybe_done=True)
     try:
         body = orjson.loads(response.content) if response.content else {}
     except orjson.JSONDecodeError as error:
-        return Unanswered(f"answer is no JSON: {error}", maybe_done=True)
+        return Unanswered(f"response is not JSON: {error}", maybe_done=True)
     return Answered(
         response.status, body if isinstance(body, dict) else {"": body}
     )
--- a/crocusrouter/platform/configuration.py
+++ b/crocusrouter/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it lies in the platform's store."""
+"""Decoding of the operators' configuration from the platform's store."""
 
 from typing import Any
 
@@ -11,14 +11,16 @@
 
 
 class _Part(pydantic.BaseModel):
-    """A part in which an empty field may be written as null."""
+    """A section in which null stands for a field's default."""
 
     @pydantic.model_validator(mode="before")
     @classmethod
     def _drop_nulls(cls, fields: Any) -> Any:
         if not isinstance(fields, dict):
             return fields
-        return {name: v for name, v in fields.items() if v is not None}
+        return {
+            name: value for name, value in fields.items() if value is not None
+        }
 
 
 class _Route(_Part):
@@ -43,7 +45,7 @@
 class _Tenant(_Part):
     name: str
     api_keys: list[str] = []
-    # Counts by kind of resource; accelerators are "gpu".
+    # Guaranteed amounts by kind of resource; accelerators are "gpu".
     guaranteed: dict[str, float] = {}
 
 
@@ -60,14 +62,15 @@
 
 
 class WrongConfigError(ValueError):
-    """The document is no configuration; keep the one in force."""
+    """The document isn't a valid configuration; the current one stays."""
 
 
 def parse_config(value: bytes) -> queues.Config:
     """Decode a configuration.
 
     Raises:
-        WrongConfigError: Names the fields that are wrong.
+        WrongConfigError: The document is invalid; the message names the wrong
+            fields.
     """
     try:
         document = _Document.model_validate_json(value)
--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service over its HTTP interface."""
+"""Client of the platform's key-value service over HTTP."""
 
 import base64
 from typing import Any
@@ -11,49 +11,55 @@
 from crocusrouter.telemetry import Metrics
 
 _CALL_TIMEOUT_S = 1.0
-# A watch's answer may take as long as it waits, and some time on the way.
-_WATCH_GRACE_S = 1.5
-_CONNECTIONS = 24
+# Added to the wait of a watch for the transfer of its response.
+_WATCH_TIMEOUT_MARGIN_S = 1.5
+_MAX_CONNECTIONS = 24
 _OK = 200
 _NOT_FOUND = 404
 _GONE = 410
 _MISMATCH = 412
-# The service says of these that nothing was done.
-_REFUSED = (400, 403, 429, 503)
+# Statuses by which the service guarantees that nothing was executed.
+_NOT_EXECUTED_STATUSES = (400, 403, 429, 503)
 
 
 class PlatformStore:
     """Implements `store.port.KeyValueStore`."""
 
     def __init__(self, address: str, metrics: Metrics) -> None:
-        self._caller = calls.Caller(address, _CONNECTIONS)
+        self._caller = calls.Caller(address, _MAX_CONNECTIONS)
         self._metrics = metrics
 
     async def read(self, key: str) -> records.Record | None:
-        """Return a key's record, or None."""
+        """Return a key's record, or None if the key doesn't exist."""
         query = urllib.parse.urlencode({"key": key})
         answer = await self._call("read", "GET", f"/kv-key?{query}")
         if answer.status == _NOT_FOUND:
             return None
-        return _parse_item(_expect(answer))
+        return _parse_item(_require_ok(answer))
 
     async def read_prefix(self, prefix: str) -> records.Snapshot:
-        """Return all records under a prefix."""
-        found: list[records.Record] = []
+        """Return all records under a prefix at the first page's revision.
+
+        A watch from that revision also reports changes made while later pages
+        were read.
+        """
+        found_records: list[records.Record] = []
         revision: int | None = None
         after = ""
         while True:
-            asked = {"prefix": prefix} | ({"after": after} if after else {})
-            query = urllib.parse.urlencode(asked)
-            document = _expect(
+            parameters = {"prefix": prefix} | (
+                {"after": after} if after else {}
+            )
+            query = urllib.parse.urlencode(parameters)
+            document = _require_ok(
                 await self._call("range", "GET", f"/kv-range?{query}")
             )
             if revision is None:
                 revision = int(document["at_rev"])
-            found += map(_parse_item, document["items"])
+            found_records += map(_parse_item, document["items"])
             if not document.get("has_more") or not document["items"]:
-                return records.Snapshot(tuple(found), revision)
-            after = found[-1].key
+                return records.Snapshot(tuple(found_records), revision)
+            after = found_records[-1].key
 
     async def write(
         self,
@@ -63,7 +69,7 @@
         *,
         timeout_s: float = _CALL_TIMEOUT_S,
     ) -> port.WriteOutcome:
-        """Write all or nothing, if every guard holds."""
+        """Apply all writes and removals atomically if every guard holds."""
         result = await self._caller.call(
             "POST",
             "/kv-txn",
@@ -87,7 +93,11 @@
     async def watch(
         self, prefix: str, revision: int, wait_s: float
     ) -> port.Changes:
-        """Wait for changes after `revision`."""
+        """Wait up to `wait_s` seconds for changes after `revision`.
+
+        Raises:
+            HistoryGoneError: The service no longer has changes that far back.
+        """
         query = urllib.parse.urlencode(
             {
                 "prefix": prefix,
@@ -96,51 +106,54 @@
             }
         )
         answer = await self._call(
-            "watch", "GET", f"/kv-watch?{query}", wait_s + _WATCH_GRACE_S
+            "watch",
+            "GET",
+            f"/kv-watch?{query}",
+            wait_s + _WATCH_TIMEOUT_MARGIN_S,
         )
         if answer.status == _GONE:
             raise port.HistoryGoneError(f"{prefix} after {revision}")
-        document = _expect(answer)
+        document = _require_ok(answer)
         events = tuple(map(_parse_event, document["events"]))
         return port.Changes(events, int(document["at_rev"]))
 
     async def grant(self, ttl_s: float) -> int:
-        """Open a lease."""
+        """Create a lease and return its id."""
         answer = await self._call(
             "grant", "POST", "/kv-lease", document={"ttl_ms": int(ttl_s * 1000)}
         )
-        return int(_expect(answer)["lease"])
+        return int(_require_ok(answer)["lease"])
 
     async def keep(self, lease: int) -> bool:
-        """Renew a lease; False if it has ended."""
+        """Renew a lease and return True, or return False if it has ended."""
         answer = await self._call("keep", "POST", f"/kv-keep/{lease}")
         if answer.status == _NOT_FOUND:
             return False
-        _expect(answer)
+        _require_ok(answer)
         return True
 
     async def _call(
         self,
-        call: str,
+        operation: str,
         method: str,
         target: str,
         timeout_s: float = _CALL_TIMEOUT_S,
         document: dict[str, Any] | None = None,
     ) -> calls.Answered:
         result = await self._caller.call(method, target, document, timeout_s)
-        self._count(call, result)
+        self._count(operation, result)
         if isinstance(result, calls.Unanswered):
             raise client.StoreUnavailableError(result.cause)
         return result
 
-    def _count(self, call: str, result: calls.Result) -> None:
+    def _count(self, operation: str, result: calls.Result) -> None:
         status = "no-answer"
         if isinstance(result, calls.Answered):
             status = str(result.status)
-        self._metrics.count_store_call(call, status)
+        self._metrics.count_store_call(operation, status)
 
 
-def _expect(answer: calls.Answered) -> dict[str, Any]:
+def _require_ok(answer: calls.Answered) -> dict[str, Any]:
     if answer.status != _OK:
         raise client.StoreUnavailableError(f"status {answer.status}")
     return answer.document
@@ -150,12 +163,18 @@
     if answer.status == _OK:
         return port.Written(int(answer.document["revision"]))
     if answer.status == _MISMATCH:
-        items = map(_parse_item, answer.document.get("items", ()))
-        # A key that doesn't exist may be listed with revision 0.
-        return port.Mismatched({i.key: i for i in items if i.revision})
+        current_records = map(_parse_item, answer.document.get("items", ()))
+        # A missing key may be listed with revision 0.
+        return port.Mismatched(
+            {
+                record.key: record
+                for record in current_records
+                if record.revision
+            }
+        )
     if answer.status == _NOT_FOUND:
         return port.LeaseEnded()
-    if answer.status in _REFUSED:
+    if answer.status in _NOT_EXECUTED_STATUSES:
         return port.NotWritten(f"status {answer.status}")
     return port.MaybeWritten(f"status {answer.status}")
 
--- a/crocusrouter/platform/names.py
+++ b/crocusrouter/platform/names.py
@@ -1,10 +1,10 @@
-"""Names of tasks on the platform: ID.OCCURRENCE.STEP.INDEX."""
+"""Names of tasks and steps on the platform: JOB.OCCURRENCE.STEP[.POSITION]."""
 
 from crocusrouter.work import model
 
 
 def build_task(key: model.TaskKey) -> str:
-    """Return a task's name.
+    """Return a task's name on the platform.
 
     >>> build_task(model.TaskKey("0a", 0, 1, 7))
     '0a.0.1.7'
@@ -13,7 +13,7 @@
 
 
 def parse_task(name: str) -> model.TaskKey | None:
-    """Return the task that a name names; None if it isn't one of ours.
+    """Return the key of a named task, or None for a name of another form.
 
     >>> parse_task("0a.0.1.7").position
     7
@@ -28,5 +28,5 @@
 
 
 def build_step(key: model.StepKey) -> str:
-    """Return a step's name."""
+    """Return a step's name on the platform."""
     return f"{key.job}.{key.occurrence}.{key.step}"
--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -1,4 +1,7 @@
-"""The policy service of advised queues, over the platform's interface."""
+"""Client of the platform's policy service.
+
+The service says which workers may run the steps of advised queues.
+"""
 
 from typing import Any
 
@@ -7,8 +10,8 @@
 from crocusrouter.work import model
 from crocusrouter.work import orders
 
-# The service handles one call of a VM at a time.
-_CONNECTIONS = 1
+# The service handles one call per VM at a time.
+_MAX_CONNECTIONS = 1
 _OK = 200
 
 
@@ -16,12 +19,12 @@
     """Implements `work.orders.PolicyPort`."""
 
     def __init__(self, address: str) -> None:
-        self._caller = calls.Caller(address, _CONNECTIONS)
+        self._caller = calls.Caller(address, _MAX_CONNECTIONS)
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
     ) -> orders.PolicyAnswer | orders.Silent:
-        """Ask which of some workers may run a step."""
+        """Ask which of `workers` may run a step."""
         result = await self._caller.call(
             "POST",
             "/advise",
@@ -43,8 +46,8 @@
 
 
 def _parse_answer(document: dict[str, Any]) -> orders.PolicyAnswer:
-    rows = document.get("good", ())
+    worker_tickets = document.get("good", ())
     return orders.PolicyAnswer(
-        {str(worker): str(ticket) for worker, ticket in rows},
+        {str(worker): str(ticket) for worker, ticket in worker_tickets},
         float(document.get("valid_ms", 0)) / 1000,
     )
--- a/crocusrouter/platform/submissions.py
+++ b/crocusrouter/platform/submissions.py
@@ -1,4 +1,4 @@
-"""Jobs as callers of the platform hand them in, and as they are told of."""
+"""Decoding of submitted jobs and encoding of their states for callers."""
 
 import re
 from typing import Annotated
@@ -11,25 +11,25 @@
 from crocusrouter.outcomes import refuse
 from crocusrouter.work import model
 
-_ID = re.compile(r"[0-9a-f]{16}")
+_JOB_ID = re.compile(r"[0-9a-f]{16}")
 _MAX_SPEC_BYTES = 4000
 _MAX_STEPS = 1000
-_STATES = {
+_STATE_NAMES = {
     model.State.QUEUED: "queued",
     model.State.RUNNING: "running",
     model.State.DONE: "completed",
     model.State.FAILED: "failed",
     model.State.CANCELLED: "cancelled",
 }
-_Count = Annotated[int, pydantic.Field(ge=1, le=100_000)]
-_Amount = Annotated[int, pydantic.Field(ge=0)]
+_TaskCount = Annotated[int, pydantic.Field(ge=1, le=100_000)]
+_NonNegative = Annotated[int, pydantic.Field(ge=0)]
 
 
 class _Step(pydantic.BaseModel):
-    count: _Count
-    cpu: _Amount = 0
-    mem_mb: _Amount = 0
-    gpu: _Amount = 0
+    count: _TaskCount
+    cpu: _NonNegative = 0
+    mem_mb: _NonNegative = 0
+    gpu: _NonNegative = 0
     est_duration_ms: Annotated[float, pydantic.Field(ge=0)] = 0.0
     after: list[int] = []
     gang: bool = False
@@ -37,13 +37,13 @@
     checkpointing: bool = False
     requires: str = ""
     affinity: str = ""
-    max_per_server: _Amount = 0
+    max_per_server: _NonNegative = 0
     speculative: bool = False
     long_running: bool = False
     image: str = ""
     target_ms: float = 0.0
     fills: bool = False
-    may_miss: _Amount = 0
+    may_miss: _NonNegative = 0
 
 
 class _Submission(pydantic.BaseModel):
@@ -51,7 +51,7 @@
     steps: Annotated[
         list[_Step], pydantic.Field(min_length=1, max_length=_MAX_STEPS)
     ]
-    repeat_count: _Amount = 0
+    repeat_count: _NonNegative = 0
     first_run_ms: float = 0.0
     interval_ms: float = 0.0
 
@@ -63,7 +63,7 @@
         return value
 
     @pydantic.model_validator(mode="after")
-    def _check_order(self) -> "_Submission":
+    def _check_dependencies(self) -> "_Submission":
         for number, step in enumerate(self.steps):
             if any(not 0 <= earlier < number for earlier in step.after):
                 raise ValueError(
@@ -73,12 +73,12 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Tell whether a text is a job's id.
+    """Return whether `text` has the form of a job's id.
 
     >>> is_job_id("5c0e7a21d94b36f8")
     True
     """
-    return _ID.fullmatch(text) is not None
+    return _JOB_ID.fullmatch(text) is not None
 
 
 def parse_submission(
@@ -88,20 +88,21 @@
     customer: str,
     now: float,
 ) -> model.Job:
-    """Decode a job.
+    """Decode a submitted job.
 
     Args:
         body: The caller's JSON.
-        job_id: The id that the caller chose.
-        queue: Where it is handed in; its policy is kept with the job.
-        customer: Whose it is.
-        now: Unix time in seconds.
+        job_id: The id chosen by the caller.
+        queue: The queue of the submission; the job keeps a copy of its policy.
+        customer: Name of the customer that submits the job.
+        now: Time of the submission as Unix time in seconds.
 
     Raises:
-        RefusedError: Names each wrong field.
+        RefusedError: The body is invalid; the detail names up to five wrong
+            fields.
     """
     try:
-        given = _Submission.model_validate(orjson.loads(body))
+        submission = _Submission.model_validate(orjson.loads(body))
     except orjson.JSONDecodeError as error:
         raise refuse(RefusalReason.MALFORMED_JSON, str(error)) from error
     except pydantic.ValidationError as error:
@@ -119,12 +120,12 @@
         queue.max_attempts,
         queue.slack,
         queue.target_s,
-        given.spec,
-        tuple(_build_step(step) for step in given.steps),
+        submission.spec,
+        tuple(_build_step(step) for step in submission.steps),
         now,
-        given.repeat_count,
-        given.first_run_ms / 1000,
-        given.interval_ms / 1000,
+        submission.repeat_count,
+        submission.first_run_ms / 1000,
+        submission.interval_ms / 1000,
         advised=queue.advised,
     )
 
@@ -151,10 +152,10 @@
 
 
 def render_state(state: model.State) -> bytes:
-    """Return a job's state as its caller reads it."""
-    return orjson.dumps({"state": _STATES[state]})
+    """Encode a job's state for its caller."""
+    return orjson.dumps({"state": _STATE_NAMES[state]})
 
 
 def render_pending(count: int) -> bytes:
-    """Return a queue's number of jobs that have not begun."""
+    """Encode how many of a queue's jobs have not started."""
     return orjson.dumps({"pending": count})
--- a/crocusrouter/platform/tests/test_configuration.py
+++ b/crocusrouter/platform/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration decoded, and what is none refused."""
+"""Tests of decoding the operators' configuration."""
 
 import copy
 
@@ -32,7 +32,7 @@
 }
 
 
-def test_configuration():
+def test_configuration_is_decoded():
     config = platform.parse_config(orjson.dumps(_CONFIG))
     assert config.version == 7
     assert config.limits.max_body == 1000
@@ -44,8 +44,8 @@
     assert customer.guaranteed == 32
 
 
-# A change of the configuration never takes effect: an empty field is null, or
-# a field that nobody needs has another form.
+# Regression: changes of the configuration never took effect because an empty
+# field was null or an unused field had another form.
 @pytest.mark.parametrize(
     ("part", "field", "value"),
     [
@@ -60,10 +60,10 @@
         (None, "surprise", None),
     ],
 )
-def test_configuration_with_an_empty_field(part, field, value):
+def test_null_or_unknown_fields_are_accepted(part, field, value):
     document = copy.deepcopy(_CONFIG)
-    holder = document if part is None else document[part][0]
-    holder[field] = value
+    section = document if part is None else document[part][0]
+    section[field] = value
     assert platform.parse_config(orjson.dumps(document)).version == 7
 
 
@@ -80,6 +80,6 @@
         b'{"version": 7, "routes": [{"name": "r"}]}',
     ],
 )
-def test_wrong_configuration(data):
+def test_invalid_configuration_raises_value_error(data):
     with pytest.raises(ValueError):
         platform.parse_config(data)
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""The platform's words decoded into our fields, and our orders in its words."""
+"""Tests of encoding calls to the platform and decoding its answers."""
 
 import base64
 
@@ -17,21 +17,21 @@
 from crocusrouter.work import orders
 from crocusrouter.work import vms
 
-_KEY = work.TaskKey("5c0e7a21d94b36f8", 0, 1, 17)
-_NAME = "5c0e7a21d94b36f8.0.1.17"
+_TASK_KEY = work.TaskKey("5c0e7a21d94b36f8", 0, 1, 17)
+_TASK_NAME = "5c0e7a21d94b36f8.0.1.17"
 
 
-class _Wire:
-    """Answers calls from a script and keeps what was sent."""
+class _FakeTransport:
+    """Answers calls from a list and records the requests."""
 
     def __init__(self, monkeypatch, *answers):
-        self.sent = []
+        self.requests = []
         self._answers = list(answers)
-        for caller in (calls.Caller, calls.Connection):
-            monkeypatch.setattr(caller, "call", self._call)
+        for client_class in (calls.Caller, calls.Connection):
+            monkeypatch.setattr(client_class, "call", self._call)
 
     async def _call(self, method, target, document, timeout_s, headers=None):
-        self.sent.append((method, target, document))
+        self.requests.append((method, target, document))
         return self._answers.pop(0)
 
 
@@ -39,7 +39,7 @@
     return calls.Answered(status, document)
 
 
-_LOST = calls.Unanswered("lost", maybe_done=True)
+_ANSWER_LOST = calls.Unanswered("lost", maybe_done=True)
 _NOT_SENT = calls.Unanswered("refused", maybe_done=False)
 
 
@@ -62,21 +62,21 @@
         (_answer(421), orders.Rejected(orders.Why.OTHER_INCARNATION)),
         (_answer(503), orders.Rejected(orders.Why.UNHEALTHY)),
         (_answer(429), orders.Rejected(orders.Why.UNHEALTHY)),
-        (_LOST, orders.Silent("lost", maybe_done=True)),
+        (_ANSWER_LOST, orders.Silent("lost", maybe_done=True)),
         (_NOT_SENT, orders.Silent("refused", maybe_done=False)),
     ],
 )
-async def test_answers_to_a_start(monkeypatch, answer, expected):
-    wire = _Wire(monkeypatch, answer)
+async def test_start_maps_answers(monkeypatch, answer, expected):
+    transport = _FakeTransport(monkeypatch, answer)
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
-    order = orders.Start(_KEY, 2, "text", "cp")
+    order = orders.Start(_TASK_KEY, 2, "text", "cp")
     assert await worker.start(7, order, 486000, 0.3) == expected
-    assert wire.sent == [
+    assert transport.requests == [
         (
             "POST",
             "/run-start",
             {
-                "task": _NAME,
+                "task": _TASK_NAME,
                 "run_id": 2,
                 "spec": "text",
                 "until_ms": 486000,
@@ -87,22 +87,24 @@
     ]
 
 
-async def test_rows_of_a_look_that_are_not_ours(monkeypatch):
-    """One row of an unknown form, or an unknown word for an end, must not
-    end the owner of a whole pool.
+async def test_hold_skips_foreign_rows(monkeypatch):
+    """A run with a name of another form, or an unknown outcome of a run, must
+    not stop the owner of a whole pool.
     """
-    rows = [["someone-elses", 1, "", 0], [_NAME, 2, "", 0]]
-    ends = [[1, "odd", 1, "done", ""], [2, _NAME, 1, "new-word", ""]]
-    _Wire(monkeypatch, _answer(200, clock_ms=9, running=rows, finished=ends))
+    rows = [["someone-elses", 1, "", 0], [_TASK_NAME, 2, "", 0]]
+    ends = [[1, "odd", 1, "done", ""], [2, _TASK_NAME, 1, "new-word", ""]]
+    _FakeTransport(
+        monkeypatch, _answer(200, clock_ms=9, running=rows, finished=ends)
+    )
     report = await platform.PlatformConnection("i", "127.0.0.1:1").hold(
         7, 0, None, 0.0
     )
-    assert [row.key for row in report.running] == [_KEY]
-    assert report.ended == (orders.Ended(2, _KEY, 1, orders.How.BROKEN),)
+    assert [row.key for row in report.running] == [_TASK_KEY]
+    assert report.ended == (orders.Ended(2, _TASK_KEY, 1, orders.How.BROKEN),)
 
 
 @pytest.mark.parametrize(
-    ("born", "told"),
+    ("born", "expected"),
     [
         (1_769_216_655_123, 1_769_216_655_123),
         (0, None),
@@ -113,20 +115,22 @@
         (None, None),
     ],
 )
-async def test_start_of_a_process_is_a_whole_number(monkeypatch, born, told):
-    _Wire(monkeypatch, _answer(200, clock_ms=9, born=born))
+async def test_hold_accepts_only_positive_integer_start_times(
+    monkeypatch, born, expected
+):
+    _FakeTransport(monkeypatch, _answer(200, clock_ms=9, born=born))
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
-    assert (await worker.hold(7, 0, None, 0.0)).born_ms == told
+    assert (await worker.hold(7, 0, None, 0.0)).born_ms == expected
 
 
-async def test_look_lists_runs_and_ends(monkeypatch):
-    wire = _Wire(
+async def test_hold_decodes_runs_and_ends(monkeypatch):
+    transport = _FakeTransport(
         monkeypatch,
         _answer(
             200,
             clock_ms=9,
-            running=[[_NAME, 2, "cp", 41], [_NAME, 3, None, 5, 12]],
-            finished=[[58, _NAME, 1, "done", ""]],
+            running=[[_TASK_NAME, 2, "cp", 41], [_TASK_NAME, 3, None, 5, 12]],
+            finished=[[58, _TASK_NAME, 1, "done", ""]],
         ),
     )
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
@@ -134,12 +138,12 @@
     assert report == orders.Report(
         9,
         (
-            orders.Running(_KEY, 2, "cp", 41.0),
-            orders.Running(_KEY, 3, "", 5.0, 12.0),
+            orders.Running(_TASK_KEY, 2, "cp", 41.0),
+            orders.Running(_TASK_KEY, 3, "", 5.0, 12.0),
         ),
-        (orders.Ended(58, _KEY, 1, orders.How.DONE, ""),),
+        (orders.Ended(58, _TASK_KEY, 1, orders.How.DONE, ""),),
     )
-    assert wire.sent[0][2] == {
+    assert transport.requests[0][2] == {
         "fencing_token": 7,
         "last_seen": 57,
         "wait_ms": 1000,
@@ -164,18 +168,18 @@
         (_answer(503), port.NotWritten("status 503")),
         (_answer(429), port.NotWritten("status 429")),
         (_answer(500), port.MaybeWritten("status 500")),
-        (_LOST, port.MaybeWritten("lost")),
+        (_ANSWER_LOST, port.MaybeWritten("lost")),
         (_NOT_SENT, port.NotWritten("refused")),
     ],
 )
-async def test_outcomes_of_a_write(monkeypatch, answer, expected):
-    wire = _Wire(monkeypatch, answer)
+async def test_write_maps_answers(monkeypatch, answer, expected):
+    transport = _FakeTransport(monkeypatch, answer)
     store = platform.PlatformStore("127.0.0.1:1", Metrics())
     outcome = await store.write(
         (port.Guard("k", 0),), (port.Write("k", b"v", 7),), ("gone",)
     )
     assert outcome == expected
-    assert wire.sent[0][2] == {
+    assert transport.requests[0][2] == {
         "expected_rev": [{"key": "k", "revision": 0}],
         "writes": [{"key": "k", "value": "dg==", "lease": 7}],
         "remove": ["gone"],
@@ -187,11 +191,11 @@
     return {"key": key, "value": value, "revision": revision}
 
 
-async def test_pages_are_read_from_the_first_revision_on(monkeypatch):
-    """A change between two pages is missed for good if the watch begins at
-    the last page's revision.
+async def test_read_prefix_returns_revision_of_first_page(monkeypatch):
+    """A watch that starts at the last page's revision would miss changes
+    between two pages for good.
     """
-    wire = _Wire(
+    transport = _FakeTransport(
         monkeypatch,
         _answer(200, items=[_item("a")], has_more=True, at_rev=5),
         _answer(200, items=[_item("b")], has_more=False, at_rev=9),
@@ -200,7 +204,7 @@
     snapshot = await store.read_prefix("")
     assert [record.key for record in snapshot.records] == ["a", "b"]
     assert snapshot.revision == 5
-    assert "after=a" in wire.sent[1][1]
+    assert "after=a" in transport.requests[1][1]
 
 
 @pytest.mark.parametrize(
@@ -208,19 +212,19 @@
     [
         (_answer(410), port.HistoryGoneError),
         (_answer(503), client.StoreUnavailableError),
-        (_LOST, client.StoreUnavailableError),
+        (_ANSWER_LOST, client.StoreUnavailableError),
     ],
 )
-async def test_watch_that_ends(monkeypatch, answer, error):
-    _Wire(monkeypatch, answer)
+async def test_watch_raises_on_failure(monkeypatch, answer, error):
+    _FakeTransport(monkeypatch, answer)
     store = platform.PlatformStore("127.0.0.1:1", Metrics())
     with pytest.raises(error):
         await store.watch("p/", 3, 1.0)
 
 
-async def test_watch_tells_changes_and_removals(monkeypatch):
+async def test_watch_decodes_changes_and_removals(monkeypatch):
     events = [_item("p/a", 7), {"key": "p/b", "revision": 8, "deleted": True}]
-    _Wire(monkeypatch, _answer(200, events=events, at_rev=9))
+    _FakeTransport(monkeypatch, _answer(200, events=events, at_rev=9))
     store = platform.PlatformStore("127.0.0.1:1", Metrics())
     assert await store.watch("p/", 3, 1.0) == port.Changes(
         (
@@ -234,7 +238,7 @@
 _QUEUE = queues.Queue("r1", "h", "/x/", "s", 1, 3, 3.0, 1.0)
 
 
-def test_submission():
+def test_submission_is_decoded():
     body = {
         "spec": "text",
         "steps": [
@@ -276,7 +280,7 @@
         orjson.dumps({"spec": "x" * 4001, "steps": [{"count": 1}]}),
     ],
 )
-def test_wrong_submission_names_what_to_mend(body):
+def test_invalid_submission_is_refused_with_detail(body):
     with pytest.raises(RefusedError) as caught:
         platform.parse_submission(body, "0a", _QUEUE, "t", 5.0)
     assert caught.value.refusal.detail
@@ -291,15 +295,15 @@
         ),
         (_answer(200, good=[], valid_ms=0), orders.PolicyAnswer({}, 0.0)),
         (_answer(429), orders.Silent("status 429", maybe_done=False)),
-        (_LOST, orders.Silent("lost", maybe_done=True)),
+        (_ANSWER_LOST, orders.Silent("lost", maybe_done=True)),
     ],
 )
-async def test_answers_of_the_policy_service(monkeypatch, answer, expected):
-    wire = _Wire(monkeypatch, answer)
+async def test_advise_maps_answers(monkeypatch, answer, expected):
+    transport = _FakeTransport(monkeypatch, answer)
     policy = platform.PlatformPolicy("127.0.0.1:1")
-    step = work.StepKey(_KEY.job, 0, 1)
+    step = work.StepKey(_TASK_KEY.job, 0, 1)
     assert await policy.advise(step, ("i-1", "i-2"), 1.0) == expected
-    [(method, target, document)] = wire.sent
+    [(method, target, document)] = transport.requests
     assert (method, target) == ("POST", "/advise")
     assert document == {
         "step": "5c0e7a21d94b36f8.0.1",
@@ -307,19 +311,19 @@
     }
 
 
-_ROW = {"machine": "m-1", "pool": "p", "state": "up", "id": "i-1"}
+_VM_ROW = {"machine": "m-1", "pool": "p", "state": "up", "id": "i-1"}
 
 
 @pytest.mark.parametrize(
     ("answers", "expected"),
     [
         (
-            [_answer(200, machines=[_ROW], next_token=None)],
+            [_answer(200, machines=[_VM_ROW], next_token=None)],
             (vms.Vm("m-1", "p", vms.VmState.UP, "i-1"),),
         ),
         (
             [
-                _answer(200, machines=[_ROW], next_token="t"),
+                _answer(200, machines=[_VM_ROW], next_token="t"),
                 _answer(200, machines=[{"machine": "m-2", "state": "down"}]),
             ],
             (
@@ -328,11 +332,11 @@
             ),
         ),
         ([_answer(429)], orders.Silent("status 429")),
-        ([_LOST], orders.Silent("lost", maybe_done=True)),
+        ([_ANSWER_LOST], orders.Silent("lost", maybe_done=True)),
     ],
 )
-async def test_vms_of_the_platform(monkeypatch, answers, expected):
-    _Wire(monkeypatch, *answers)
+async def test_list_vms_maps_answers(monkeypatch, answers, expected):
+    _FakeTransport(monkeypatch, *answers)
     assert await platform.PlatformVms("127.0.0.1:1").list_vms() == expected
 
 
@@ -345,14 +349,14 @@
         (_answer(409, reason="wave"), vms.Upkeep.FOREIGN),
         (_answer(400), vms.Upkeep.FOREIGN),
         (_answer(429), orders.Silent("status 429", maybe_done=False)),
-        (_LOST, orders.Silent("lost", maybe_done=True)),
+        (_ANSWER_LOST, orders.Silent("lost", maybe_done=True)),
     ],
 )
-async def test_answers_to_an_order_for_upkeep(monkeypatch, answer, expected):
-    wire = _Wire(monkeypatch, answer)
-    vms = platform.PlatformVms("127.0.0.1:1")
-    assert await vms.begin_upkeep("e1", 7, "m-1", 3) == expected
-    assert wire.sent == [
+async def test_begin_upkeep_maps_answers(monkeypatch, answer, expected):
+    transport = _FakeTransport(monkeypatch, answer)
+    platform_vms = platform.PlatformVms("127.0.0.1:1")
+    assert await platform_vms.begin_upkeep("e1", 7, "m-1", 3) == expected
+    assert transport.requests == [
         ("POST", "/machine-upkeep", {"machine": "m-1", "wave": 3})
     ]
 
@@ -368,26 +372,31 @@
         (b"no wave", None),
     ],
 )
-def test_waves_of_the_operators(value, expected):
+def test_wave_is_decoded_or_none(value, expected):
     assert platform.parse_wave("op/wave/1", value) == expected
 
 
-def test_status_of_a_wave():
+def test_wave_status_of_completed_wave():
     key, body = platform.build_wave_status(1, True)
     assert key == "status/wave/1"
     assert orjson.loads(body)["state"] == "completed"
 
 
-async def test_pace_of_a_run(monkeypatch):
-    wire = _Wire(monkeypatch, _answer(200, clock_ms=5))
+async def test_pace_sends_percentage(monkeypatch):
+    transport = _FakeTransport(monkeypatch, _answer(200, clock_ms=5))
     worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
-    assert await worker.pace(7, orders.Pace(_KEY, 2, 40), 0.3) == orders.Taken(
-        5
-    )
-    assert wire.sent == [
+    assert await worker.pace(
+        7, orders.Pace(_TASK_KEY, 2, 40), 0.3
+    ) == orders.Taken(5)
+    assert transport.requests == [
         (
             "POST",
             "/pace",
-            {"task": _NAME, "run_id": 2, "percent": 40, "fencing_token": 7},
+            {
+                "task": _TASK_NAME,
+                "run_id": 2,
+                "percent": 40,
+                "fencing_token": 7,
+            },
         )
     ]
--- a/crocusrouter/platform/tests/test_worker_entries.py
+++ b/crocusrouter/platform/tests/test_worker_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the list of workers, by whoever wrote them."""
+"""Tests of decoding worker entries, also those of other writers."""
 
 import hypothesis
 from hypothesis import strategies
@@ -10,7 +10,7 @@
 from crocusrouter.work import orders
 
 
-def test_listed_worker():
+def test_worker_entry_is_decoded():
     value = {
         "service": "s",
         "address": "10.0.0.9:8080",
@@ -36,14 +36,14 @@
     ("born", "incarnation"),
     [({"born": 5}, "i-1@5"), ({"born": None}, "i-1"), ({}, "i-1")],
 )
-def test_incarnation_of_a_listed_worker(born, incarnation):
+def test_incarnation_includes_start_time(born, incarnation):
     entry = platform.parse_worker("servers/i-1", orjson.dumps(_ENTRY | born))
     assert entry.id == incarnation
     assert entry.worker == "i-1"
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b'{"service": 1}'])
-def test_entry_that_is_no_worker(data):
+def test_invalid_entry_is_none(data):
     assert platform.parse_worker("servers/i-1", data) is None
 
 
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_field",
     [
         {"state": None},
         {"state": "upgrading"},
@@ -84,20 +84,21 @@
         {"born": True},
     ],
 )
-def test_entry_of_another_writer(wrong):
-    """A value of another type was converted, and a missing state was taken
-    for a ready worker: tasks were ordered from what does not run tasks.
+def test_entry_with_an_invalid_field_is_none(invalid_field):
+    """Regression: values of other types were converted, and an entry without
+    a state was taken for a ready worker. So tasks were sent to processes that
+    can't run them.
     """
     assert platform.parse_worker("servers/i", orjson.dumps(_ENTRY)) is not None
-    value = orjson.dumps(_ENTRY | wrong)
+    value = orjson.dumps(_ENTRY | invalid_field)
     assert platform.parse_worker("servers/i", value) is None
 
 
 @pytest.mark.parametrize(
     "field", ["service", "address", "state", "capacity", "labels"]
 )
-def test_entry_that_lacks_a_field(field):
-    value = {name: held for name, held in _ENTRY.items() if name != field}
+def test_entry_without_a_required_field_is_none(field):
+    value = {name: value for name, value in _ENTRY.items() if name != field}
     assert platform.parse_worker("servers/i", orjson.dumps(value)) is None
 
 
@@ -125,15 +126,15 @@
 )
 @hypothesis.settings(derandomize=True, deadline=None)
 def test_any_entry_is_a_sound_worker_or_none(changed, key):
-    """Decoding raises nothing and converts nothing, whatever stands there."""
-    found = platform.parse_worker(f"servers/{key}", _dump(_ENTRY | changed))
-    if found is None:
+    """Decoding raises no errors and converts no values, whatever the input."""
+    entry = platform.parse_worker(f"servers/{key}", _dump(_ENTRY | changed))
+    if entry is None:
         return
-    host, _, port = found.address.partition(":")
+    host, _, port = entry.address.partition(":")
     assert host.count(".") == 3
     assert port.isdecimal()
-    assert min(found.room) >= 0
-    assert all(isinstance(label, str) for label in found.labels)
+    assert min(entry.room) >= 0
+    assert all(isinstance(label, str) for label in entry.labels)
 
 
 @hypothesis.given(value=strategies.binary(max_size=60))
--- a/crocusrouter/platform/vms.py
+++ b/crocusrouter/platform/vms.py
@@ -1,4 +1,7 @@
-"""VMs of the platform, which calls them machines, and their upkeep in waves."""
+"""Client of the platform's VM service, and codecs of upkeep waves.
+
+The platform calls a VM a machine.
+"""
 
 from typing import Any
 import urllib.parse
@@ -13,13 +16,13 @@
 
 WAVES_PREFIX = "op/wave/"
 _STATUS_PREFIX = "status/wave/"
-_TIMEOUT_S = 1.5
-_CONNECTIONS = 2
+_CALL_TIMEOUT_S = 1.5
+_MAX_CONNECTIONS = 2
 _MAX_PAGES = 100
 _OK = 200
 _CONFLICT = 409
 _BAD_REQUEST = 400
-_WHY = {
+_UPKEEP_CONFLICTS = {
     "fence": vms.Upkeep.FENCED,
     "busy": vms.Upkeep.BUSY,
     "wave": vms.Upkeep.FOREIGN,
@@ -30,35 +33,37 @@
     """Implements `work.vms.VmPort`."""
 
     def __init__(self, address: str) -> None:
-        self._caller = calls.Caller(address, _CONNECTIONS)
+        self._caller = calls.Caller(address, _MAX_CONNECTIONS)
 
     async def list_vms(self) -> tuple[vms.Vm, ...] | orders.Silent:
-        """Return all VMs, page by page."""
-        found: list[vms.Vm] = []
-        token = ""
+        """Return the VMs of all pages."""
+        listed_vms: list[vms.Vm] = []
+        page_token = ""
         for _ in range(_MAX_PAGES):
-            query = urllib.parse.urlencode({"page_token": token})
-            target = f"/machines?{query}" if token else "/machines"
-            result = await self._caller.call("GET", target, None, _TIMEOUT_S)
+            query = urllib.parse.urlencode({"page_token": page_token})
+            target = f"/machines?{query}" if page_token else "/machines"
+            result = await self._caller.call(
+                "GET", target, None, _CALL_TIMEOUT_S
+            )
             if isinstance(result, calls.Unanswered):
                 return orders.Silent(result.cause, result.maybe_done)
             if result.status != _OK:
                 return orders.Silent(f"status {result.status}")
-            found += map(_parse_vm, result.document.get("machines", ()))
-            token = result.document.get("next_token") or ""
-            if not token:
-                return tuple(found)
-        return orders.Silent("the list of VMs has no end")
+            listed_vms += map(_parse_vm, result.document.get("machines", ()))
+            page_token = result.document.get("next_token") or ""
+            if not page_token:
+                return tuple(listed_vms)
+        return orders.Silent("the list of VMs has too many pages")
 
     async def begin_upkeep(
         self, holder: str, epoch: int, vm: str, wave: int
     ) -> vms.Upkeep | orders.Silent:
-        """Take a VM down for its upkeep."""
+        """Ask the platform to take a VM down for upkeep."""
         result = await self._caller.call(
             "POST",
             "/machine-upkeep",
             {"machine": vm, "wave": wave},
-            _TIMEOUT_S,
+            _CALL_TIMEOUT_S,
             {"X-Lease-Holder": holder, "X-Fencing-Token": str(epoch)},
         )
         if isinstance(result, calls.Unanswered):
@@ -67,9 +72,9 @@
             return vms.Upkeep.DONE
         if result.status == _BAD_REQUEST:
             return vms.Upkeep.FOREIGN
-        why = _WHY.get(str(result.document.get("reason", "")))
-        if result.status == _CONFLICT and why is not None:
-            return why
+        conflict = _UPKEEP_CONFLICTS.get(str(result.document.get("reason", "")))
+        if result.status == _CONFLICT and conflict is not None:
+            return conflict
         return orders.Silent(f"status {result.status}", maybe_done=False)
 
     async def aclose(self) -> None:
@@ -90,12 +95,12 @@
     wave: int
     machines: list[str]
     within_s: float = 0.0
-    # How many machines may be down at once.
+    # Maximum number of VMs that are down at once.
     max_count: int = pydantic.Field(1, ge=1)
 
 
 def parse_wave(key: str, value: bytes) -> vms.Wave | None:
-    """Decode a wave that operators ask for; None if it isn't one."""
+    """Decode a wave requested by operators, or return None if it is invalid."""
     try:
         wave = _Wave.model_validate_json(value)
     except pydantic.ValidationError as error:
@@ -107,7 +112,7 @@
 
 
 def build_wave_status(wave: int, is_over: bool) -> tuple[str, bytes]:
-    """Return the key and the body by which operators are told of a wave."""
+    """Return key and value of the record that reports a wave's state."""
     state = "completed" if is_over else "running"
     body = orjson.dumps({"wave": wave, "state": state})
     return f"{_STATUS_PREFIX}{wave}", body
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -1,4 +1,4 @@
-"""Workers over the platform's HTTP interface, and as the platform lists them.
+"""Calls to workers over HTTP, and decoding of the platform's worker list.
 
 The platform calls a worker a runner and lists it under `servers/`.
 """
@@ -18,21 +18,22 @@
 from crocusrouter.work import orders
 
 WORKERS_PREFIX = "servers/"
-_HOLD_GRACE_S = 0.6
+_HOLD_TIMEOUT_MARGIN_S = 0.6
 _OK = 200
-_OTHER_INCARNATION = 421
+_MISDIRECTED = 421
 _CONFLICT = 409
-_UNHEALTHY = (429, 503)
-_WHY = {
+_UNHEALTHY_STATUSES = (429, 503)
+_REJECTION_REASONS = {
     "fence": orders.Why.FENCED,
     "old": orders.Why.OLD,
     "late": orders.Why.LATE,
     "room": orders.Why.NO_ROOM,
     "ticket": orders.Why.NO_TICKET,
 }
-# "IP:port"; a call to anything else fails in ways that name no worker.
+# "IP:port". Calls to an address of another form fail with errors that don't
+# name the worker.
 _ADDRESS = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-_HOW = {how.value: how for how in orders.How}
+_RUN_OUTCOMES = {how.value: how for how in orders.How}
 
 
 class PlatformConnection:
@@ -45,31 +46,43 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether another call may be made; no call was left unanswered."""
+        """Whether another call may be made; False after an unanswered call."""
         return self._connection.is_open
 
     async def hold(
         self, epoch: int, seen: int, until_ms: int | None, wait_s: float
     ) -> orders.Report | orders.Rejected | orders.Silent:
-        """Renew the lease, confirm ends, wait for an end."""
+        """Renew the lease, confirm ended runs and wait for another to end.
+
+        Args:
+            epoch: Fencing token of the owner.
+            seen: Number of the latest end to confirm.
+            until_ms: End of the lease on the worker's clock, or None to leave
+                it as it is.
+            wait_s: How long the worker may wait for a run to end.
+        """
         document: dict[str, Any] = {"fencing_token": epoch, "last_seen": seen}
         if until_ms is not None:
             document["until_ms"] = until_ms
         if wait_s > 0:
             document["wait_ms"] = int(wait_s * 1000)
         result = await self._connection.call(
-            "POST", "/hold", document, wait_s + _HOLD_GRACE_S, self._headers
+            "POST",
+            "/hold",
+            document,
+            wait_s + _HOLD_TIMEOUT_MARGIN_S,
+            self._headers,
         )
-        refused = _find_refusal(result)
-        if refused is not None:
-            return refused
+        failure = _parse_failure(result)
+        if failure is not None:
+            return failure
         assert isinstance(result, calls.Answered)
         return _parse_report(result.document)
 
     async def start(
         self, epoch: int, order: orders.Start, until_ms: int, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
-        """Start a run."""
+        """Start a run under a lease until `until_ms` on the worker's clock."""
         document: dict[str, Any] = {
             "task": names.build_task(order.key),
             "run_id": order.run,
@@ -97,7 +110,7 @@
     async def pace(
         self, epoch: int, order: orders.Pace, timeout_s: float
     ) -> orders.Taken | orders.Rejected | orders.Silent:
-        """Set the share of its speed at which a run works."""
+        """Set a run's speed as a percentage of its full speed."""
         document = {
             "task": names.build_task(order.key),
             "run_id": order.run,
@@ -107,7 +120,7 @@
         return await self._order("/pace", document, timeout_s)
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
         await self._connection.aclose()
 
     async def _order(
@@ -116,50 +129,53 @@
         result = await self._connection.call(
             "POST", path, document, timeout_s, self._headers
         )
-        refused = _find_refusal(result)
-        if refused is not None:
-            return refused
+        failure = _parse_failure(result)
+        if failure is not None:
+            return failure
         assert isinstance(result, calls.Answered)
         return orders.Taken(int(result.document.get("clock_ms", 0)))
 
 
-def _find_refusal(
+def _parse_failure(
     result: calls.Result,
 ) -> orders.Rejected | orders.Silent | None:
+    """Return why a call failed, or None if it succeeded."""
     if isinstance(result, calls.Unanswered):
         return orders.Silent(result.cause, result.maybe_done)
-    clock = result.document.get("clock_ms")
+    clock_ms = result.document.get("clock_ms")
     if result.status == _OK:
         return None
     if result.status == _CONFLICT:
-        why = _WHY.get(result.document.get("reason", ""), orders.Why.INVALID)
-        return orders.Rejected(why, clock)
-    if result.status == _OTHER_INCARNATION:
+        reason = _REJECTION_REASONS.get(
+            result.document.get("reason", ""), orders.Why.INVALID
+        )
+        return orders.Rejected(reason, clock_ms)
+    if result.status == _MISDIRECTED:
         return orders.Rejected(orders.Why.OTHER_INCARNATION)
-    if result.status in _UNHEALTHY:
-        return orders.Rejected(orders.Why.UNHEALTHY, clock)
-    return orders.Rejected(orders.Why.INVALID, clock)
+    if result.status in _UNHEALTHY_STATUSES:
+        return orders.Rejected(orders.Why.UNHEALTHY, clock_ms)
+    return orders.Rejected(orders.Why.INVALID, clock_ms)
 
 
 def _parse_report(document: dict[str, Any]) -> orders.Report:
-    running = map(_parse_running, document.get("running", ()))
-    ended = map(_parse_ended, document.get("finished", ()))
+    runs = map(_parse_run, document.get("running", ()))
+    ends = map(_parse_end, document.get("finished", ()))
     return orders.Report(
         int(document["clock_ms"]),
-        tuple(row for row in running if row is not None),
-        tuple(row for row in ended if row is not None),
-        _parse_born(document.get("born")),
+        tuple(run for run in runs if run is not None),
+        tuple(end for end in ends if end is not None),
+        _parse_start_time(document.get("born")),
     )
 
 
-def _parse_born(value: object) -> int | None:
-    """Return the milliseconds of a worker's start; None if it isn't told."""
+def _parse_start_time(value: object) -> int | None:
+    """Return the Unix milliseconds of a worker's start, or None if unknown."""
     if isinstance(value, bool) or not isinstance(value, int) or value <= 0:
         return None
     return value
 
 
-def _parse_running(row: list[Any]) -> orders.Running | None:
+def _parse_run(row: list[Any]) -> orders.Running | None:
     key = names.parse_task(row[0])
     if key is None:
         log("worker:foreign-run", row=row)
@@ -170,33 +186,35 @@
     )
 
 
-def _parse_ended(row: list[Any]) -> orders.Ended | None:
+def _parse_end(row: list[Any]) -> orders.Ended | None:
     key = names.parse_task(row[1])
     if key is None:
         log("worker:foreign-end", row=row)
         return None
-    # A word that we don't know is an end that was neither well nor the
-    # task's own fault.
-    how = _HOW.get(row[3], orders.How.BROKEN)
-    return orders.Ended(int(row[0]), key, int(row[2]), how, str(row[4] or ""))
+    # An unknown outcome counts as BROKEN: neither a success nor the task's
+    # fault.
+    outcome = _RUN_OUTCOMES.get(row[3], orders.How.BROKEN)
+    return orders.Ended(
+        int(row[0]), key, int(row[2]), outcome, str(row[4] or "")
+    )
 
 
-_Amount = Annotated[float, pydantic.Field(ge=0)]
+_NonNegative = Annotated[float, pydantic.Field(ge=0)]
 
 
 class _Room(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(strict=True)
 
-    cpu: _Amount
-    mem_mb: _Amount
-    gpu: _Amount = 0
+    cpu: _NonNegative
+    mem_mb: _NonNegative
+    gpu: _NonNegative = 0
 
 
 class _Listed(pydantic.BaseModel):
-    """What a worker always writes of itself, word for word.
+    """The fields that every worker writes into its own entry.
 
-    Others write to the list too. Their entries must name no worker: what was
-    filled in by a default or converted would be taken for one.
+    Other writers use the list too, and their entries must not decode as
+    workers. So required fields have no defaults, and no value is converted.
     """
 
     model_config = pydantic.ConfigDict(strict=True)
@@ -207,29 +225,29 @@
     state: Literal["ready", "draining"]
     capacity: _Room
     labels: list[str]
-    # Only while it drains: the least time that is left.
+    # Set only while the worker drains: the minimum time until it stops.
     remaining_ms: float | None = None
-    # Unix milliseconds of its start; none where each start has an id of its
-    # own.
+    # Unix milliseconds of the process's start; None where each start has an
+    # id of its own.
     born: Annotated[int, pydantic.Field(gt=0)] | None = None
 
 
 def parse_worker(key: str, value: bytes) -> orders.WorkerEntry | None:
-    """Decode an entry of the list of workers; None if it names none."""
+    """Decode an entry of the worker list, or return None if it is no worker."""
     try:
-        listed = _Listed.model_validate(orjson.loads(value))
+        entry = _Listed.model_validate(orjson.loads(value))
     except (orjson.JSONDecodeError, pydantic.ValidationError) as error:
         log("worker:unreadable", key=key, error=str(error))
         return None
-    room = listed.capacity
+    capacity = entry.capacity
     worker = key.removeprefix(WORKERS_PREFIX)
     return orders.WorkerEntry(
-        incarnations.build_incarnation(worker, listed.born),
-        listed.service,
-        listed.address,
-        listed.zone,
-        listed.state != "ready",
-        model.Room(int(room.cpu), int(room.mem_mb), int(room.gpu)),
-        frozenset(listed.labels),
-        listed.remaining_ms / 1000 if listed.remaining_ms is not None else None,
+        incarnations.build_incarnation(worker, entry.born),
+        entry.service,
+        entry.address,
+        entry.zone,
+        entry.state != "ready",
+        model.Room(int(capacity.cpu), int(capacity.mem_mb), int(capacity.gpu)),
+        frozenset(entry.labels),
+        entry.remaining_ms / 1000 if entry.remaining_ms is not None else None,
     )
--- a/crocusrouter/queues/__init__.py
+++ b/crocusrouter/queues/__init__.py
@@ -1,4 +1,4 @@
-"""Queues: where callers hand jobs in, under which key and policy."""
+"""Queues, to which customers submit jobs, with their keys and policies."""
 
 from crocusrouter.queues.model import Config
 from crocusrouter.queues.model import Customer
--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -1,24 +1,25 @@
-"""One version of the operators' configuration of queues."""
+"""The operators' configuration: queues, services, customers and limits."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Queue:
-    """Where jobs of one kind are handed in.
+    """A host and path prefix for submitting jobs, with their policy.
 
     Attributes:
         name: Unique name; jobs refer to it.
         host: The `Host` header that selects it, without a port.
-        prefix: Start of the path; the longest one that fits goes first.
-        pool: The service whose workers run its tasks.
-        priority: 0 goes first and may preempt the others.
-        max_attempts: Failed attempts after which a task's job fails.
-        slack: The objective is this many times the job's longest chain of
-            work, and `target_s` more.
-        target_s: Seconds.
-        public: Whether calls need no key.
-        advised: Whether a policy service says which workers may run a step.
+        prefix: Start of the path; the longest matching prefix wins.
+        pool: The service whose workers run the queue's tasks.
+        priority: 0 is the highest and may preempt all others.
+        max_attempts: Failed attempts of one task after which its job fails.
+        slack: Factor of the completion-time objective, which is `slack` times
+            the duration of the job's critical path, plus `target_s`.
+        target_s: Constant part of the objective in seconds.
+        public: Whether calls need no API key.
+        advised: Whether the policy service selects the workers that may run a
+            step.
     """
 
     name: str
@@ -38,8 +39,9 @@
     """A pool of workers.
 
     Attributes:
-        name: Its name.
-        checks_room: Whether its workers refuse what does not fit.
+        name: Unique name.
+        checks_room: Whether its workers reject tasks that exceed their free
+            capacity.
         standby: Whether its VMs are switched off.
     """
 
@@ -50,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Customer:
-    """Who hands jobs in.
+    """A customer that submits jobs.
 
     Attributes:
-        name: Its name.
-        keys: Keys that its calls may carry.
-        guaranteed: Accelerators that belong to its jobs of priority 0.
+        name: Unique name.
+        keys: API keys that its calls may carry.
+        guaranteed: Number of accelerators reserved for its jobs of priority 0.
     """
 
     name: str
@@ -65,14 +67,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """Bounds on what callers send; sizes in bytes."""
+    """Limits on what callers send; sizes in bytes."""
 
     max_body: int = 262_144
 
 
 @dataclasses.dataclass(frozen=True)
 class Config:
-    """All of it, at one version; versions only rise."""
+    """One version of the configuration; versions only increase."""
 
     version: int
     queues: tuple[Queue, ...] = ()
@@ -82,7 +84,7 @@
 
 
 def find_queue(config: Config, host: str, path: str) -> Queue | None:
-    """Return the queue of the longest prefix of `path` at `host`.
+    """Return the queue with the longest prefix that matches at `host`.
 
     >>> config = Config(1, (Queue("a", "h", "/x/", "p"),))
     >>> find_queue(config, "h:80", "/x/1").name
@@ -90,17 +92,19 @@
     >>> find_queue(config, "h", "/y/1") is None
     True
     """
-    plain = host.partition(":")[0].lower()
-    fitting = [
+    hostname = host.partition(":")[0].lower()
+    matching_queues = [
         queue
         for queue in config.queues
-        if queue.host == plain and path.startswith(queue.prefix)
+        if queue.host == hostname and path.startswith(queue.prefix)
     ]
-    return max(fitting, key=lambda queue: len(queue.prefix), default=None)
+    return max(
+        matching_queues, key=lambda queue: len(queue.prefix), default=None
+    )
 
 
 def split_path(queue: Queue, path: str) -> str:
-    """Return what follows the queue's prefix: a job's id, or nothing.
+    """Return `path` without the queue's prefix: a job's id, or nothing.
 
     >>> split_path(Queue("a", "h", "/x/", "p"), "/x/0a")
     '0a'
@@ -109,7 +113,7 @@
 
 
 def find_customer(config: Config, key: str) -> Customer | None:
-    """Return the customer that holds `key`."""
+    """Return the customer with the API key `key`, or None."""
     for customer in config.customers.values():
         if key in customer.keys:
             return customer
--- a/crocusrouter/telemetry/__init__.py
+++ b/crocusrouter/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics."""
+"""Structured logs and metrics of a process."""
 
 from crocusrouter.telemetry.logs import log
 from crocusrouter.telemetry.logs import open_log
--- a/crocusrouter/telemetry/logs.py
+++ b/crocusrouter/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: eliot messages as JSON lines."""
+"""Structured logs: eliot messages written as JSON lines."""
 
 import sys
 from typing import TextIO
@@ -8,23 +8,24 @@
 
 
 def open_log(entry: str, stream: TextIO | None = None) -> None:
-    """Send every eliot message of this process to `stream` as JSON lines.
+    """Write every eliot message of this process to `stream` as JSON lines.
 
     Args:
         entry: Name of the entry, added to each line.
-        stream: Where lines go; standard error if None.
+        stream: Destination of the lines; standard error if None.
     """
     eliot.add_global_fields(entry=entry)
     eliot.to_file(
-        stream if stream is not None else sys.stderr, json_default=_render
+        stream if stream is not None else sys.stderr,
+        json_default=_to_json_value,
     )
 
 
-def _render(value: object) -> object:
-    """Return a value that JSON has no form for as something that it has.
+def _to_json_value(value: object) -> object:
+    """Convert a value that JSON doesn't support into one that it does.
 
-    Named tuples are written as their own text, so that what a line says of a
-    task reads as it does on the wire.
+    Tuples are converted by `str`, so that keys of tasks and steps look the
+    same in log lines as on the wire.
     """
     if isinstance(value, tuple):
         return str(value)
@@ -32,5 +33,5 @@
 
 
 def log(message_type: str, **fields: object) -> None:
-    """Write one log line outside or inside the current action."""
+    """Write one log line, within the current eliot action if there is one."""
     eliot.log_message(message_type=message_type, **fields)
--- a/crocusrouter/telemetry/metrics.py
+++ b/crocusrouter/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges through OpenTelemetry, read as Prometheus text."""
+"""OpenTelemetry counters, histograms and gauges in Prometheus text format."""
 
 import collections
 from collections.abc import Callable
@@ -15,19 +15,24 @@
 from crocusrouter.outcomes import RetryReason
 
 _METER = "crocusrouter"
-# One second after the store's return is the bound; outages last some seconds.
-_BEHIND_S = (0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 20.0)
-# Operators are promised seconds; the event loop answers in milliseconds.
-_AGE_S = (0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0)
-_STALL_S = (0.1, 0.25, 0.5, 1.0, 2.0, 5.0)
+# Followers must catch up within one second after the store's return; outages
+# last several seconds.
+_OUTAGE_BUCKETS_S = (0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 20.0)
+# Operators are promised that a configuration takes effect within seconds.
+_CONFIG_AGE_BUCKETS_S = (0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0)
+# Timers of an event loop that isn't blocked fire within milliseconds.
+_STALL_BUCKETS_S = (0.1, 0.25, 0.5, 1.0, 2.0, 5.0)
 
 
 class Metrics:
-    """The process's instruments, one counter for each refusal and retry.
+    """The metrics of one entry.
 
-    A registry of its own keeps several instances in one process apart, which
-    tests need. Counts are also kept as plain numbers, so that `status` can
+    Each instance has a registry of its own, so that tests can run several in
+    one process. Counts are also kept as plain numbers, so that `status` can
     show them without parsing the exposition text.
+
+    Attributes:
+        counts: Counts by key, such as "refused:queue-full".
     """
 
     def __init__(self) -> None:
@@ -61,25 +66,27 @@
             "crocusrouter_events",
             description="Membership, ownership and configuration events.",
         )
-        self._behind = meter.create_histogram(
+        self._outages = meter.create_histogram(
             "crocusrouter_follower_behind_seconds",
             unit="s",
             description="Time without an answer to a follower of the store.",
-            explicit_bucket_boundaries_advisory=_BEHIND_S,
+            explicit_bucket_boundaries_advisory=_OUTAGE_BUCKETS_S,
         )
         self._config_age = meter.create_histogram(
             "crocusrouter_configuration_age_seconds",
             unit="s",
             description="Age of the configuration by which calls are decided.",
-            explicit_bucket_boundaries_advisory=_AGE_S,
+            explicit_bucket_boundaries_advisory=_CONFIG_AGE_BUCKETS_S,
         )
         self._stalls = meter.create_histogram(
             "crocusrouter_loop_stall_seconds",
             unit="s",
             description="How late a timer of the event loop came.",
-            explicit_bucket_boundaries_advisory=_STALL_S,
+            explicit_bucket_boundaries_advisory=_STALL_BUCKETS_S,
         )
-        self._silences: dict[object, tuple[str, Callable[[], float]]] = {}
+        self._silence_readers: dict[
+            object, tuple[str, Callable[[], float]]
+        ] = {}
         meter.create_observable_gauge(
             "crocusrouter_follower_silent_seconds",
             unit="s",
@@ -105,7 +112,7 @@
         self.counts[f"answered:{outcome}"] += 1
 
     def count_job(self, state: str) -> None:
-        """Count a job's arrival in `state`."""
+        """Count a job's transition to `state`."""
         self._jobs.add(1, {"state": state})
         self.counts[f"job:{state}"] += 1
 
@@ -115,53 +122,53 @@
         self.counts[f"store:{call}:{result}"] += 1
 
     def count_event(self, event: str) -> None:
-        """Count a rare event such as a takeover or a refused revision."""
+        """Count a rare event such as a takeover or a rejected revision."""
         self._events.add(1, {"event": event})
         self.counts[f"event:{event}"] += 1
 
     def note_behind(self, prefix: str, seconds: float) -> None:
-        """Note how long a follower of a prefix had no answer."""
-        self._behind.record(seconds, {"prefix": prefix})
+        """Record the length of an outage of a follower of `prefix`."""
+        self._outages.record(seconds, {"prefix": prefix})
 
     def note_config_age(self, seconds: float) -> None:
-        """Note how old the configuration was that decided a call."""
+        """Record the age of the configuration by which a call was decided."""
         self._config_age.record(seconds)
 
     def note_stall(self, seconds: float) -> None:
-        """Note how late a timer of the event loop came."""
+        """Record by how much a timer of the event loop was late."""
         self._stalls.record(seconds)
 
     @contextlib.contextmanager
     def show_silence(
         self, prefix: str, read: Callable[[], float]
     ) -> Iterator[None]:
-        """Export how long a follower has had no answer, inside the body.
+        """Export a follower's time without an answer while the context is open.
 
-        A histogram of outages is told when they end; an owner that is deaf at
-        this moment shows only here.
+        The histogram of outages records an outage only when it ends; this
+        gauge also shows outages that have not ended.
 
         Args:
-            prefix: What it follows.
+            prefix: Prefix of the keys that it follows.
             read: Returns the seconds since its last answer.
         """
-        shown = object()
-        self._silences[shown] = prefix, read
+        registration = object()
+        self._silence_readers[registration] = prefix, read
         try:
             yield
         finally:
-            del self._silences[shown]
+            del self._silence_readers[registration]
 
     def _observe_silences(
         self, _: api.CallbackOptions
     ) -> Iterable[api.Observation]:
-        longest: dict[str, float] = {}
-        for prefix, read in self._silences.values():
-            longest[prefix] = max(read(), longest.get(prefix, 0.0))
-        for prefix, seconds in longest.items():
+        longest_s: dict[str, float] = {}
+        for prefix, read in self._silence_readers.values():
+            longest_s[prefix] = max(read(), longest_s.get(prefix, 0.0))
+        for prefix, seconds in longest_s.items():
             yield api.Observation(seconds, {"prefix": prefix})
 
     def watch_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Export the value of `read` under `name` at each scrape."""
+        """Register a gauge `name` that calls `read` at each scrape."""
 
         def observe(_: api.CallbackOptions) -> Iterable[api.Observation]:
             yield api.Observation(read())
@@ -169,9 +176,9 @@
         self._meter.create_observable_gauge(name, callbacks=[observe])
 
     def expose(self) -> bytes:
-        """Return all instruments as Prometheus text."""
+        """Return all metrics in Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
 
     def close(self) -> None:
-        """Release the reader."""
+        """Shut the meter provider and its reader down."""
         self._provider.shutdown()
--- a/crocusrouter/telemetry/tests/test_logs.py
+++ b/crocusrouter/telemetry/tests/test_logs.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "shown"),
+    ("value", "expected"),
     [
         (work.TaskKey("0a", 0, 1, 2), "0a.0.1.2"),
         (work.StepKey("0a", 0, 1), "0a.0.1"),
@@ -16,13 +16,13 @@
         (5, 5),
     ],
 )
-def test_values_in_a_line(value, shown):
-    """Keys of tasks stood in the lines as the text of a Python call."""
+def test_values_are_rendered_in_log_lines(value, expected):
+    """Regression: log lines showed keys of tasks by their Python `repr`."""
     stream = io.StringIO()
     telemetry.open_log("e1", stream)
     telemetry.log("test:value", value=value)
-    # Lines of other tests, kept until somebody listens, come too.
+    # Eliot buffers messages of earlier tests until a destination is added.
     lines = map(orjson.loads, stream.getvalue().splitlines())
-    [line] = [x for x in lines if x["message_type"] == "test:value"]
-    assert line["value"] == shown
+    [line] = [line for line in lines if line["message_type"] == "test:value"]
+    assert line["value"] == expected
     assert line["entry"] == "e1"
--- a/crocusrouter/telemetry/tests/test_metrics.py
+++ b/crocusrouter/telemetry/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Gauges that are read when they are asked for."""
+"""Tests of gauges whose value is read at each scrape."""
 
 import contextlib
 
@@ -6,35 +6,39 @@
 
 from crocusrouter.telemetry import Metrics
 
-_NAME = "crocusrouter_follower_silent_seconds"
+_GAUGE_NAME = "crocusrouter_follower_silent_seconds"
 
 
 def _read_silences(metrics):
     lines = metrics.expose().decode().splitlines()
-    return [line for line in lines if line.startswith(_NAME)]
+    return [line for line in lines if line.startswith(_GAUGE_NAME)]
 
 
 @pytest.mark.parametrize(
-    ("silences", "shown"),
+    ("silences", "expected"),
     [
         ([], []),
-        ([("a/", 1.5)], [f'{_NAME}{{prefix="a/"}} 1.5']),
-        ([("a/", 1.5), ("a/", 9.0)], [f'{_NAME}{{prefix="a/"}} 9.0']),
+        ([("a/", 1.5)], [f'{_GAUGE_NAME}{{prefix="a/"}} 1.5']),
+        ([("a/", 1.5), ("a/", 9.0)], [f'{_GAUGE_NAME}{{prefix="a/"}} 9.0']),
         (
             [("a/", 1.5), ("b/", 2.0)],
-            [f'{_NAME}{{prefix="a/"}} 1.5', f'{_NAME}{{prefix="b/"}} 2.0'],
+            [
+                f'{_GAUGE_NAME}{{prefix="a/"}} 1.5',
+                f'{_GAUGE_NAME}{{prefix="b/"}} 2.0',
+            ],
         ),
     ],
 )
-def test_silences_of_followers(silences, shown):
-    """An owner was deaf for 12 s and nothing showed it until it had an answer
-    again. Owners of two pools follow the same prefix in one process.
+def test_gauge_shows_longest_silence_by_prefix(silences, expected):
+    """Regression: an owner received nothing from the store for 12 s, and no
+    metric showed the outage until it had ended. Owners of two pools in one
+    process follow the same prefix, so the longest outage counts.
     """
     metrics = Metrics()
     with contextlib.ExitStack() as followers:
         for prefix, seconds in silences:
-            shown_here = metrics.show_silence(prefix, lambda s=seconds: s)
-            followers.enter_context(shown_here)
-        assert _read_silences(metrics) == shown
+            gauge_context = metrics.show_silence(prefix, lambda s=seconds: s)
+            followers.enter_context(gauge_context)
+        assert _read_silences(metrics) == expected
     assert _read_silences(metrics) == []
     metrics.close()
