--- a/crocusrouter/platform/vms.py
+++ b/crocusrouter/platform/vms.py
@@ -15,7 +15,7 @@
 from crocusrouter.work import vms
 
 WAVES_PREFIX = "op/wave/"
-_STATUS_PREFIX = "status/wave/"
+_WAVE_STATUS_PREFIX = "status/wave/"
 _CALL_TIMEOUT_S = 1.5
 _MAX_CONNECTIONS = 2
 _MAX_PAGES = 100
@@ -115,4 +115,4 @@
     """Return key and value of the record that reports a wave's state."""
     state = "completed" if is_over else "running"
     body = orjson.dumps({"wave": wave, "state": state})
-    return f"{_STATUS_PREFIX}{wave}", body
+    return f"{_WAVE_STATUS_PREFIX}{wave}", body
--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -40,8 +40,8 @@
 
     Attributes:
         name: Unique name.
-        checks_room: Whether its workers reject tasks that exceed their free
-            capacity.
+        checks_admission: Whether its workers reject tasks that exceed their
+            free capacity.
         standby: Whether its VMs are switched off.
     """
 
@@ -56,8 +56,8 @@
 
     Attributes:
         name: Unique name.
-        keys: API keys that its calls may carry.
-        guaranteed: Number of accelerators reserved for its jobs of priority 0.
+        api_keys: Keys that authenticate its calls.
+        guaranteed_accelerators: Number reserved for its jobs of priority 0.
     """
 
     name: str
@@ -113,7 +113,7 @@
 
 
 def find_customer(config: Config, key: str) -> Customer | None:
-    """Return the customer with the API key `key`, or None."""
+    """Return the customer with this API key, or None."""
     for customer in config.customers.values():
         if key in customer.keys:
             return customer
