--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -46,7 +46,7 @@
     """
 
     name: str
-    checks_room: bool = True
+    checks_admission: bool = True
     standby: bool = False
 
 
