--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -61,7 +61,7 @@
     """
 
     name: str
-    keys: frozenset[str] = frozenset()
+    api_keys: frozenset[str] = frozenset()
     guaranteed: int = 0
 
 
@@ -115,6 +115,6 @@
 def find_customer(config: Config, key: str) -> Customer | None:
     """Return the customer with this API key, or None."""
     for customer in config.customers.values():
-        if key in customer.keys:
+        if key in customer.api_keys:
             return customer
     return None
