--- a/crocusrouter/platform/tests/test_configuration.py
+++ b/crocusrouter/platform/tests/test_configuration.py
@@ -41,7 +41,7 @@
     )
     customer = queues.find_customer(config, "k2")
     assert customer is not None
-    assert customer.guaranteed == 32
+    assert customer.guaranteed_accelerators == 32
 
 
 # Regression: changes of the configuration never took effect because an empty
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -163,7 +163,7 @@
     def set_config(self, config: queues.Config) -> None:
         """Apply the customers' guarantees of a configuration."""
         self.book.guaranteed = {
-            customer.name: customer.guaranteed
+            customer.name: customer.guaranteed_accelerators
             for customer in config.customers.values()
         }
         self.wake()
--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -62,7 +62,7 @@
 
     name: str
     api_keys: frozenset[str] = frozenset()
-    guaranteed: int = 0
+    guaranteed_accelerators: int = 0
 
 
 @dataclasses.dataclass(frozen=True)
