--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -120,7 +120,7 @@
         _check_id(call)
         config = self._entry.configuration.current
         assert config is not None
-        body = await reading.read_body(request, config.limits.max_body)
+        body = await reading.read_body(request, config.limits.max_body_bytes)
         job = platform.parse_submission(
             body,
             call.job_id,
--- a/crocusrouter/platform/tests/test_configuration.py
+++ b/crocusrouter/platform/tests/test_configuration.py
@@ -35,7 +35,7 @@
 def test_configuration_is_decoded():
     config = platform.parse_config(orjson.dumps(_CONFIG))
     assert config.version == 7
-    assert config.limits.max_body == 1000
+    assert config.limits.max_body_bytes == 1000
     assert config.queues[0] == queues.Queue(
         "r1", "nony24.example", "/lohu930/", "s", 1, 3, 3.0, 1.0, True
     )
--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -69,7 +69,7 @@
 class Limits:
     """Limits on what callers send; sizes in bytes."""
 
-    max_body: int = 262_144
+    max_body_bytes: int = 262_144
 
 
 @dataclasses.dataclass(frozen=True)
