--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -71,7 +71,7 @@
     if customer is None and not queue.public:
         raise refuse(RefusalReason.UNAUTHENTICATED, f"header {KEY_HEADER}")
     name = customer.name if customer is not None else ""
-    return QueueCall(queue, name, queues.split_path(queue, path), basis)
+    return QueueCall(queue, name, queues.strip_prefix(queue, path), basis)
 
 
 Handle = Callable[[starlette_requests.Request, QueueCall], Awaitable[Rendered]]
--- a/crocusrouter/queues/__init__.py
+++ b/crocusrouter/queues/__init__.py
@@ -7,7 +7,7 @@
 from crocusrouter.queues.model import Service
 from crocusrouter.queues.model import find_customer
 from crocusrouter.queues.model import find_queue
-from crocusrouter.queues.model import split_path
+from crocusrouter.queues.model import strip_prefix
 
 __all__ = [
     "Config",
@@ -17,5 +17,5 @@
     "Service",
     "find_customer",
     "find_queue",
-    "split_path",
+    "strip_prefix",
 ]
--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -103,7 +103,7 @@
     )
 
 
-def split_path(queue: Queue, path: str) -> str:
+def strip_prefix(queue: Queue, path: str) -> str:
     """Return `path` without the queue's prefix: a job's id, or nothing.
 
     >>> split_path(Queue("a", "h", "/x/", "p"), "/x/0a")
