--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -106,7 +106,7 @@
 def strip_prefix(queue: Queue, path: str) -> str:
     """Return `path` without the queue's prefix: a job's id, or nothing.
 
-    >>> split_path(Queue("a", "h", "/x/", "p"), "/x/0a")
+    >>> strip_prefix(Queue("a", "h", "/x/", "p"), "/x/0a")
     '0a'
     """
     return path[len(queue.prefix) :]
