--- a/crocusrouter/queues/model.py
+++ b/crocusrouter/queues/model.py
@@ -112,9 +112,9 @@
     return path[len(queue.prefix) :]
 
 
-def find_customer(config: Config, key: str) -> Customer | None:
+def find_customer(config: Config, api_key: str) -> Customer | None:
     """Return the customer with this API key, or None."""
     for customer in config.customers.values():
-        if key in customer.api_keys:
+        if api_key in customer.api_keys:
             return customer
     return None
