--- a/crocusrouter/platform/names.py
+++ b/crocusrouter/platform/names.py
@@ -3,7 +3,7 @@
 from crocusrouter.work import model
 
 
-def build_task(key: model.TaskKey) -> str:
+def build_task_name(key: model.TaskKey) -> str:
     """Return a task's name on the platform.
 
     >>> build_task(model.TaskKey("0a", 0, 1, 7))
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -84,7 +84,7 @@
     ) -> orders.Taken | orders.Rejected | orders.Silent:
         """Start a run under a lease until `until_ms` on the worker's clock."""
         document: dict[str, Any] = {
-            "task": names.build_task(order.key),
+            "task": names.build_task_name(order.key),
             "run_id": order.run,
             "spec": order.payload,
             "until_ms": until_ms,
@@ -101,7 +101,7 @@
     ) -> orders.Taken | orders.Rejected | orders.Silent:
         """Stop a run."""
         document = {
-            "task": names.build_task(order.key),
+            "task": names.build_task_name(order.key),
             "run_id": order.run,
             "fencing_token": epoch,
         }
@@ -112,7 +112,7 @@
     ) -> orders.Taken | orders.Rejected | orders.Silent:
         """Set a run's speed as a percentage of its full speed."""
         document = {
-            "task": names.build_task(order.key),
+            "task": names.build_task_name(order.key),
             "run_id": order.run,
             "percent": order.percent,
             "fencing_token": epoch,
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -227,11 +227,17 @@
                 "clock_ms": clock_ms,
                 "born": born_ms,
                 "running": [
-                    [names.build_task(r.key), r.run, r.saved, r.percent]
+                    [names.build_task_name(r.key), r.run, r.saved, r.percent]
                     for r in running
                 ],
                 "finished": [
-                    [e.number, names.build_task(e.key), e.run, str(e.how), ""]
+                    [
+                        e.number,
+                        names.build_task_name(e.key),
+                        e.run,
+                        str(e.how),
+                        "",
+                    ]
                     for e in ended
                 ],
             }
