--- a/crocusrouter/platform/names.py
+++ b/crocusrouter/platform/names.py
@@ -6,7 +6,7 @@
 def build_task_name(key: model.TaskKey) -> str:
     """Return a task's name on the platform.
 
-    >>> build_task(model.TaskKey("0a", 0, 1, 7))
+    >>> build_task_name(model.TaskKey("0a", 0, 1, 7))
     '0a.0.1.7'
     """
     return f"{key.job}.{key.occurrence}.{key.step}.{key.position}"
