--- a/crocusrouter/platform/names.py
+++ b/crocusrouter/platform/names.py
@@ -12,7 +12,7 @@
     return f"{key.job}.{key.occurrence}.{key.step}.{key.position}"
 
 
-def parse_task(name: str) -> model.TaskKey | None:
+def parse_task_name(name: str) -> model.TaskKey | None:
     """Return the key of a named task, or None for a name of another form.
 
     >>> parse_task("0a.0.1.7").position
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -176,7 +176,7 @@
 
 
 def _parse_run(row: list[Any]) -> orders.Running | None:
-    key = names.parse_task(row[0])
+    key = names.parse_task_name(row[0])
     if key is None:
         log("worker:foreign-run", row=row)
         return None
@@ -187,7 +187,7 @@
 
 
 def _parse_end(row: list[Any]) -> orders.Ended | None:
-    key = names.parse_task(row[1])
+    key = names.parse_task_name(row[1])
     if key is None:
         log("worker:foreign-end", row=row)
         return None
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -205,7 +205,7 @@
                 document.get("wait_ms", 0) / 1000,
             )
         )
-    key = names.parse_task(document["task"])
+    key = names.parse_task_name(document["task"])
     assert key is not None
     number = document["run_id"]
     if path == "/run-start":
