--- a/crocusrouter/platform/names.py
+++ b/crocusrouter/platform/names.py
@@ -15,9 +15,9 @@
 def parse_task_name(name: str) -> model.TaskKey | None:
     """Return the key of a named task, or None for a name of another form.
 
-    >>> parse_task("0a.0.1.7").position
+    >>> parse_task_name("0a.0.1.7").position
     7
-    >>> parse_task("other") is None
+    >>> parse_task_name("other") is None
     True
     """
     try:
