--- a/crocusrouter/platform/names.py
+++ b/crocusrouter/platform/names.py
@@ -27,6 +27,6 @@
         return None
 
 
-def build_step(key: model.StepKey) -> str:
+def build_step_name(key: model.StepKey) -> str:
     """Return a step's name on the platform."""
     return f"{key.job}.{key.occurrence}.{key.step}"
--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -29,7 +29,7 @@
             "POST",
             "/advise",
             {
-                "step": names.build_step(step),
+                "step": names.build_step_name(step),
                 "workers": list(workers),
             },
             timeout_s,
