--- a/crocusrouter/platform/calls.py
+++ b/crocusrouter/platform/calls.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answered:
+class Response:
     """A response of the other side.
 
     Attributes:
@@ -70,7 +70,7 @@
     maybe_done: bool
 
 
-Result = Answered | Unanswered
+Result = Response | Unanswered
 
 
 class Connection:
@@ -186,6 +186,6 @@
         body = orjson.loads(response.content) if response.content else {}
     except orjson.JSONDecodeError as error:
         return Unanswered(f"response is not JSON: {error}", maybe_done=True)
-    return Answered(
+    return Response(
         response.status, body if isinstance(body, dict) else {"": body}
     )
--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -139,7 +139,7 @@
         target: str,
         timeout_s: float = _CALL_TIMEOUT_S,
         document: dict[str, Any] | None = None,
-    ) -> calls.Answered:
+    ) -> calls.Response:
         result = await self._caller.call(method, target, document, timeout_s)
         self._count(operation, result)
         if isinstance(result, calls.Unanswered):
@@ -148,18 +148,18 @@
 
     def _count(self, operation: str, result: calls.Result) -> None:
         status = "no-answer"
-        if isinstance(result, calls.Answered):
+        if isinstance(result, calls.Response):
             status = str(result.status)
         self._metrics.count_store_call(operation, status)
 
 
-def _require_ok(answer: calls.Answered) -> dict[str, Any]:
+def _require_ok(answer: calls.Response) -> dict[str, Any]:
     if answer.status != _OK:
         raise client.StoreUnavailableError(f"status {answer.status}")
     return answer.document
 
 
-def _parse_outcome(answer: calls.Answered) -> port.WriteOutcome:
+def _parse_outcome(answer: calls.Response) -> port.WriteOutcome:
     if answer.status == _OK:
         return port.Written(int(answer.document["revision"]))
     if answer.status == _MISMATCH:
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -36,7 +36,7 @@
 
 
 def _answer(status, **document):
-    return calls.Answered(status, document)
+    return calls.Response(status, document)
 
 
 _ANSWER_LOST = calls.Unanswered("lost", maybe_done=True)
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -76,7 +76,7 @@
         failure = _parse_failure(result)
         if failure is not None:
             return failure
-        assert isinstance(result, calls.Answered)
+        assert isinstance(result, calls.Response)
         return _parse_report(result.document)
 
     async def start(
@@ -132,7 +132,7 @@
         failure = _parse_failure(result)
         if failure is not None:
             return failure
-        assert isinstance(result, calls.Answered)
+        assert isinstance(result, calls.Response)
         return orders.Taken(int(result.document.get("clock_ms", 0)))
 
 
