--- a/crocusrouter/platform/calls.py
+++ b/crocusrouter/platform/calls.py
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Unanswered:
+class NoResponse:
     """A call without a usable response.
 
     Attributes:
@@ -70,7 +70,7 @@
     maybe_done: bool
 
 
-Result = Response | Unanswered
+Result = Response | NoResponse
 
 
 class Connection:
@@ -179,13 +179,13 @@
             extensions={"timeout": dict.fromkeys(phases, timeout_s)},
         )
     except _NOT_SENT_ERRORS as error:
-        return Unanswered(repr(error), maybe_done=False)
+        return NoResponse(repr(error), maybe_done=False)
     except _MAYBE_SENT_ERRORS as error:
-        return Unanswered(repr(error), maybe_done=True)
+        return NoResponse(repr(error), maybe_done=True)
     try:
         body = orjson.loads(response.content) if response.content else {}
     except orjson.JSONDecodeError as error:
-        return Unanswered(f"response is not JSON: {error}", maybe_done=True)
+        return NoResponse(f"response is not JSON: {error}", maybe_done=True)
     return Response(
         response.status, body if isinstance(body, dict) else {"": body}
     )
--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -84,7 +84,7 @@
             timeout_s,
         )
         self._count("write", result)
-        if isinstance(result, calls.Unanswered):
+        if isinstance(result, calls.NoResponse):
             if result.maybe_done:
                 return port.MaybeWritten(result.cause)
             return port.NotWritten(result.cause)
@@ -142,7 +142,7 @@
     ) -> calls.Response:
         result = await self._caller.call(method, target, document, timeout_s)
         self._count(operation, result)
-        if isinstance(result, calls.Unanswered):
+        if isinstance(result, calls.NoResponse):
             raise client.StoreUnavailableError(result.cause)
         return result
 
--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -34,7 +34,7 @@
             },
             timeout_s,
         )
-        if isinstance(result, calls.Unanswered):
+        if isinstance(result, calls.NoResponse):
             return orders.Silent(result.cause, result.maybe_done)
         if result.status != _OK:
             return orders.Silent(f"status {result.status}", maybe_done=False)
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -39,8 +39,8 @@
     return calls.Response(status, document)
 
 
-_ANSWER_LOST = calls.Unanswered("lost", maybe_done=True)
-_NOT_SENT = calls.Unanswered("refused", maybe_done=False)
+_ANSWER_LOST = calls.NoResponse("lost", maybe_done=True)
+_NOT_SENT = calls.NoResponse("refused", maybe_done=False)
 
 
 @pytest.mark.parametrize(
--- a/crocusrouter/platform/vms.py
+++ b/crocusrouter/platform/vms.py
@@ -45,7 +45,7 @@
             result = await self._caller.call(
                 "GET", target, None, _CALL_TIMEOUT_S
             )
-            if isinstance(result, calls.Unanswered):
+            if isinstance(result, calls.NoResponse):
                 return orders.Silent(result.cause, result.maybe_done)
             if result.status != _OK:
                 return orders.Silent(f"status {result.status}")
@@ -66,7 +66,7 @@
             _CALL_TIMEOUT_S,
             {"X-Lease-Holder": holder, "X-Fencing-Token": str(epoch)},
         )
-        if isinstance(result, calls.Unanswered):
+        if isinstance(result, calls.NoResponse):
             return orders.Silent(result.cause, result.maybe_done)
         if result.status == _OK:
             return vms.Upkeep.DONE
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -140,7 +140,7 @@
     result: calls.Result,
 ) -> orders.Rejected | orders.Silent | None:
     """Return why a call failed, or None if it succeeded."""
-    if isinstance(result, calls.Unanswered):
+    if isinstance(result, calls.NoResponse):
         return orders.Silent(result.cause, result.maybe_done)
     clock_ms = result.document.get("clock_ms")
     if result.status == _OK:
