--- a/crocusrouter/platform/calls.py
+++ b/crocusrouter/platform/calls.py
@@ -70,7 +70,7 @@
     maybe_done: bool
 
 
-Result = Response | NoResponse
+CallResult = Response | NoResponse
 
 
 class Connection:
@@ -100,7 +100,7 @@
         document: dict[str, Any] | None,
         timeout_s: float,
         headers: dict[str, str] | None = None,
-    ) -> Result:
+    ) -> CallResult:
         """Make one call; see `Caller.call`."""
         url = self._base + target
         return await _exchange(
@@ -135,7 +135,7 @@
         document: dict[str, Any] | None,
         timeout_s: float,
         headers: dict[str, str] | None = None,
-    ) -> Result:
+    ) -> CallResult:
         """Make one call, without retries.
 
         Args:
@@ -163,7 +163,7 @@
     document: dict[str, Any] | None,
     timeout_s: float,
     headers: dict[str, str] | None,
-) -> Result:
+) -> CallResult:
     phases = ("connect", "read", "write", "pool")
     content = orjson.dumps(document) if document is not None else None
     request_headers: dict[bytes | str, bytes | str] = {
--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -146,7 +146,7 @@
             raise client.StoreUnavailableError(result.cause)
         return result
 
-    def _count(self, operation: str, result: calls.Result) -> None:
+    def _count(self, operation: str, result: calls.CallResult) -> None:
         status = "no-answer"
         if isinstance(result, calls.Response):
             status = str(result.status)
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -137,7 +137,7 @@
 
 
 def _parse_failure(
-    result: calls.Result,
+    result: calls.CallResult,
 ) -> orders.Rejected | orders.Silent | None:
     """Return why a call failed, or None if it succeeded."""
     if isinstance(result, calls.NoResponse):
