--- a/crocusrouter/platform/__init__.py
+++ b/crocusrouter/platform/__init__.py
@@ -3,7 +3,7 @@
 They translate only; decisions are made elsewhere.
 """
 
-from crocusrouter.platform.calls import Caller
+from crocusrouter.platform.calls import HttpClient
 from crocusrouter.platform.configuration import CONFIG_KEY
 from crocusrouter.platform.configuration import CONFIG_PREFIX
 from crocusrouter.platform.configuration import WrongConfigError
@@ -27,7 +27,7 @@
     "CONFIG_PREFIX",
     "WAVES_PREFIX",
     "WORKERS_PREFIX",
-    "Caller",
+    "HttpClient",
     "PlatformPolicy",
     "PlatformStore",
     "PlatformVms",
--- a/crocusrouter/platform/calls.py
+++ b/crocusrouter/platform/calls.py
@@ -112,7 +112,7 @@
         await self._connection.aclose()
 
 
-class Caller:
+class HttpClient:
     """Calls one address over a connection pool of its own.
 
     Each address has its own pool because httpcore scans all connections of a
--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -26,7 +26,7 @@
     """Implements `store.port.KeyValueStore`."""
 
     def __init__(self, address: str, metrics: Metrics) -> None:
-        self._caller = calls.Caller(address, _MAX_CONNECTIONS)
+        self._caller = calls.HttpClient(address, _MAX_CONNECTIONS)
         self._metrics = metrics
 
     async def read(self, key: str) -> records.Record | None:
--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -19,7 +19,7 @@
     """Implements `work.orders.PolicyPort`."""
 
     def __init__(self, address: str) -> None:
-        self._caller = calls.Caller(address, _MAX_CONNECTIONS)
+        self._caller = calls.HttpClient(address, _MAX_CONNECTIONS)
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -27,7 +27,7 @@
     def __init__(self, monkeypatch, *answers):
         self.requests = []
         self._answers = list(answers)
-        for client_class in (calls.Caller, calls.Connection):
+        for client_class in (calls.HttpClient, calls.Connection):
             monkeypatch.setattr(client_class, "call", self._call)
 
     async def _call(self, method, target, document, timeout_s, headers=None):
--- a/crocusrouter/platform/vms.py
+++ b/crocusrouter/platform/vms.py
@@ -33,7 +33,7 @@
     """Implements `work.vms.VmPort`."""
 
     def __init__(self, address: str) -> None:
-        self._caller = calls.Caller(address, _MAX_CONNECTIONS)
+        self._caller = calls.HttpClient(address, _MAX_CONNECTIONS)
 
     async def list_vms(self) -> tuple[vms.Vm, ...] | orders.Silent:
         """Return the VMs of all pages."""
