--- a/crocusrouter/platform/calls.py
+++ b/crocusrouter/platform/calls.py
@@ -101,7 +101,7 @@
         timeout_s: float,
         headers: dict[str, str] | None = None,
     ) -> CallResult:
-        """Make one call; see `Caller.call`."""
+        """Make one call; see `HttpClient.call`."""
         url = self._base + target
         return await _exchange(
             self._connection, method, url, document, timeout_s, headers
