--- a/crocusrouter/platform/kv.py
+++ b/crocusrouter/platform/kv.py
@@ -26,7 +26,7 @@
     """Implements `store.port.KeyValueStore`."""
 
     def __init__(self, address: str, metrics: Metrics) -> None:
-        self._caller = calls.HttpClient(address, _MAX_CONNECTIONS)
+        self._client = calls.HttpClient(address, _MAX_CONNECTIONS)
         self._metrics = metrics
 
     async def read(self, key: str) -> records.Record | None:
@@ -70,7 +70,7 @@
         timeout_s: float = _CALL_TIMEOUT_S,
     ) -> port.WriteOutcome:
         """Apply all writes and removals atomically if every guard holds."""
-        result = await self._caller.call(
+        result = await self._client.call(
             "POST",
             "/kv-txn",
             {
@@ -140,7 +140,7 @@
         timeout_s: float = _CALL_TIMEOUT_S,
         document: dict[str, Any] | None = None,
     ) -> calls.Response:
-        result = await self._caller.call(method, target, document, timeout_s)
+        result = await self._client.call(method, target, document, timeout_s)
         self._count(operation, result)
         if isinstance(result, calls.NoResponse):
             raise client.StoreUnavailableError(result.cause)
