--- a/crocusrouter/platform/vms.py
+++ b/crocusrouter/platform/vms.py
@@ -33,7 +33,7 @@
     """Implements `work.vms.VmPort`."""
 
     def __init__(self, address: str) -> None:
-        self._caller = calls.HttpClient(address, _MAX_CONNECTIONS)
+        self._client = calls.HttpClient(address, _MAX_CONNECTIONS)
 
     async def list_vms(self) -> tuple[vms.Vm, ...] | orders.Silent:
         """Return the VMs of all pages."""
@@ -42,7 +42,7 @@
         for _ in range(_MAX_PAGES):
             query = urllib.parse.urlencode({"page_token": page_token})
             target = f"/machines?{query}" if page_token else "/machines"
-            result = await self._caller.call(
+            result = await self._client.call(
                 "GET", target, None, _CALL_TIMEOUT_S
             )
             if isinstance(result, calls.NoResponse):
@@ -59,7 +59,7 @@
         self, holder: str, epoch: int, vm: str, wave: int
     ) -> vms.Upkeep | orders.Silent:
         """Ask the platform to take a VM down for upkeep."""
-        result = await self._caller.call(
+        result = await self._client.call(
             "POST",
             "/machine-upkeep",
             {"machine": vm, "wave": wave},
@@ -79,7 +79,7 @@
 
     async def aclose(self) -> None:
         """Close all connections."""
-        await self._caller.aclose()
+        await self._client.aclose()
 
 
 def _parse_vm(row: dict[str, Any]) -> vms.Vm:
