--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -19,13 +19,13 @@
     """Implements `work.orders.PolicyPort`."""
 
     def __init__(self, address: str) -> None:
-        self._caller = calls.HttpClient(address, _MAX_CONNECTIONS)
+        self._client = calls.HttpClient(address, _MAX_CONNECTIONS)
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
     ) -> orders.PolicyAnswer | orders.Silent:
         """Ask which of `workers` may run a step."""
-        result = await self._caller.call(
+        result = await self._client.call(
             "POST",
             "/advise",
             {
@@ -42,7 +42,7 @@
 
     async def aclose(self) -> None:
         """Close all connections."""
-        await self._caller.aclose()
+        await self._client.aclose()
 
 
 def _parse_answer(document: dict[str, Any]) -> orders.PolicyAnswer:
