--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -101,7 +101,7 @@
         pools.Platform(
             platform.WORKERS_PREFIX,
             platform.parse_worker,
-            platform.PlatformConnection,
+            platform.PlatformWorkerConnection,
             loaded.keep_jobs_s,
             _find_policy(loaded.policy_address),
             _find_upkeeping(loaded.vms_address),
--- a/crocusrouter/platform/__init__.py
+++ b/crocusrouter/platform/__init__.py
@@ -19,7 +19,7 @@
 from crocusrouter.platform.vms import build_wave_status
 from crocusrouter.platform.vms import parse_wave
 from crocusrouter.platform.workers import WORKERS_PREFIX
-from crocusrouter.platform.workers import PlatformConnection
+from crocusrouter.platform.workers import PlatformWorkerConnection
 from crocusrouter.platform.workers import parse_worker
 
 __all__ = [
@@ -31,7 +31,7 @@
     "PlatformPolicy",
     "PlatformStore",
     "PlatformVms",
-    "PlatformConnection",
+    "PlatformWorkerConnection",
     "WrongConfigError",
     "build_wave_status",
     "is_job_id",
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -68,7 +68,7 @@
 )
 async def test_start_maps_answers(monkeypatch, answer, expected):
     transport = _FakeTransport(monkeypatch, answer)
-    worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
+    worker = platform.PlatformWorkerConnection("i-1", "127.0.0.1:1")
     order = orders.Start(_TASK_KEY, 2, "text", "cp")
     assert await worker.start(7, order, 486000, 0.3) == expected
     assert transport.requests == [
@@ -96,7 +96,7 @@
     _FakeTransport(
         monkeypatch, _answer(200, clock_ms=9, running=rows, finished=ends)
     )
-    report = await platform.PlatformConnection("i", "127.0.0.1:1").hold(
+    report = await platform.PlatformWorkerConnection("i", "127.0.0.1:1").hold(
         7, 0, None, 0.0
     )
     assert [row.key for row in report.running] == [_TASK_KEY]
@@ -119,7 +119,7 @@
     monkeypatch, born, expected
 ):
     _FakeTransport(monkeypatch, _answer(200, clock_ms=9, born=born))
-    worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
+    worker = platform.PlatformWorkerConnection("i-1", "127.0.0.1:1")
     assert (await worker.hold(7, 0, None, 0.0)).born_ms == expected
 
 
@@ -133,7 +133,7 @@
             finished=[[58, _TASK_NAME, 1, "done", ""]],
         ),
     )
-    worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
+    worker = platform.PlatformWorkerConnection("i-1", "127.0.0.1:1")
     report = await worker.hold(7, 57, None, 1.0)
     assert report == orders.Report(
         9,
@@ -384,7 +384,7 @@
 
 async def test_pace_sends_percentage(monkeypatch):
     transport = _FakeTransport(monkeypatch, _answer(200, clock_ms=5))
-    worker = platform.PlatformConnection("i-1", "127.0.0.1:1")
+    worker = platform.PlatformWorkerConnection("i-1", "127.0.0.1:1")
     assert await worker.pace(
         7, orders.Pace(_TASK_KEY, 2, 40), 0.3
     ) == orders.Taken(5)
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -36,7 +36,7 @@
 _RUN_OUTCOMES = {how.value: how for how in orders.How}
 
 
-class PlatformConnection:
+class PlatformWorkerConnection:
     """Implements `work.orders.Connection`."""
 
     def __init__(self, incarnation: str, address: str) -> None:
