--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -100,7 +100,7 @@
         ),
         pools.Platform(
             platform.WORKERS_PREFIX,
-            platform.parse_worker,
+            platform.parse_worker_entry,
             platform.PlatformWorkerConnection,
             loaded.keep_jobs_s,
             _find_policy(loaded.policy_address),
--- a/crocusrouter/platform/__init__.py
+++ b/crocusrouter/platform/__init__.py
@@ -20,7 +20,7 @@
 from crocusrouter.platform.vms import parse_wave
 from crocusrouter.platform.workers import WORKERS_PREFIX
 from crocusrouter.platform.workers import PlatformWorkerConnection
-from crocusrouter.platform.workers import parse_worker
+from crocusrouter.platform.workers import parse_worker_entry
 
 __all__ = [
     "CONFIG_KEY",
@@ -38,7 +38,7 @@
     "parse_config",
     "parse_submission",
     "parse_wave",
-    "parse_worker",
+    "parse_worker_entry",
     "render_pending",
     "render_state",
 ]
--- a/crocusrouter/platform/tests/test_worker_entries.py
+++ b/crocusrouter/platform/tests/test_worker_entries.py
@@ -20,7 +20,7 @@
         "labels": ["a", "r1-3"],
         "seq": 4,
     }
-    entry = platform.parse_worker("servers/i-1", orjson.dumps(value))
+    entry = platform.parse_worker_entry("servers/i-1", orjson.dumps(value))
     assert entry == orders.WorkerEntry(
         "i-1",
         "s",
@@ -37,14 +37,16 @@
     [({"born": 5}, "i-1@5"), ({"born": None}, "i-1"), ({}, "i-1")],
 )
 def test_incarnation_includes_start_time(born, incarnation):
-    entry = platform.parse_worker("servers/i-1", orjson.dumps(_ENTRY | born))
+    entry = platform.parse_worker_entry(
+        "servers/i-1", orjson.dumps(_ENTRY | born)
+    )
     assert entry.id == incarnation
     assert entry.worker == "i-1"
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b'{"service": 1}'])
 def test_invalid_entry_is_none(data):
-    assert platform.parse_worker("servers/i-1", data) is None
+    assert platform.parse_worker_entry("servers/i-1", data) is None
 
 
 _ENTRY = {
@@ -89,9 +91,12 @@
     a state was taken for a ready worker. So tasks were sent to processes that
     can't run them.
     """
-    assert platform.parse_worker("servers/i", orjson.dumps(_ENTRY)) is not None
+    assert (
+        platform.parse_worker_entry("servers/i", orjson.dumps(_ENTRY))
+        is not None
+    )
     value = orjson.dumps(_ENTRY | invalid_field)
-    assert platform.parse_worker("servers/i", value) is None
+    assert platform.parse_worker_entry("servers/i", value) is None
 
 
 @pytest.mark.parametrize(
@@ -99,7 +104,7 @@
 )
 def test_entry_without_a_required_field_is_none(field):
     value = {name: value for name, value in _ENTRY.items() if name != field}
-    assert platform.parse_worker("servers/i", orjson.dumps(value)) is None
+    assert platform.parse_worker_entry("servers/i", orjson.dumps(value)) is None
 
 
 _JSON = strategies.recursive(
@@ -127,7 +132,9 @@
 @hypothesis.settings(derandomize=True, deadline=None)
 def test_any_entry_is_a_sound_worker_or_none(changed, key):
     """Decoding raises no errors and converts no values, whatever the input."""
-    entry = platform.parse_worker(f"servers/{key}", _dump(_ENTRY | changed))
+    entry = platform.parse_worker_entry(
+        f"servers/{key}", _dump(_ENTRY | changed)
+    )
     if entry is None:
         return
     host, _, port = entry.address.partition(":")
@@ -140,7 +147,7 @@
 @hypothesis.given(value=strategies.binary(max_size=60))
 @hypothesis.settings(derandomize=True, deadline=None)
 def test_bytes_that_are_no_entry(value):
-    assert platform.parse_worker("servers/i", value) is None
+    assert platform.parse_worker_entry("servers/i", value) is None
 
 
 def _dump(document):
