--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -152,7 +152,7 @@
         if state is None:
             raise refuse(RefusalReason.UNKNOWN_JOB, f"job {call.job_id}")
         return Rendered(
-            200, dict(_JSON), platform.render_state(work.State(state))
+            200, dict(_JSON), platform.render_job_state(work.State(state))
         )
 
     async def _count(self, call: QueueCall) -> Rendered:
--- a/crocusrouter/platform/__init__.py
+++ b/crocusrouter/platform/__init__.py
@@ -12,8 +12,8 @@
 from crocusrouter.platform.policy import PlatformPolicy
 from crocusrouter.platform.submissions import is_job_id
 from crocusrouter.platform.submissions import parse_submission
+from crocusrouter.platform.submissions import render_job_state
 from crocusrouter.platform.submissions import render_pending
-from crocusrouter.platform.submissions import render_state
 from crocusrouter.platform.vms import WAVES_PREFIX
 from crocusrouter.platform.vms import PlatformVms
 from crocusrouter.platform.vms import build_wave_status
@@ -40,5 +40,5 @@
     "parse_wave",
     "parse_worker_entry",
     "render_pending",
-    "render_state",
+    "render_job_state",
 ]
--- a/crocusrouter/platform/submissions.py
+++ b/crocusrouter/platform/submissions.py
@@ -151,7 +151,7 @@
     )
 
 
-def render_state(state: model.State) -> bytes:
+def render_job_state(state: model.State) -> bytes:
     """Encode a job's state for its caller."""
     return orjson.dumps({"state": _STATE_NAMES[state]})
 
