--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -165,7 +165,7 @@
                 call.queue.name,
                 _OWNER_RETRY_S,
             )
-        return Rendered(200, dict(_JSON), platform.render_pending(count))
+        return Rendered(200, dict(_JSON), platform.render_pending_count(count))
 
     async def _cancel(
         self, request: starlette_requests.Request, call: QueueCall
--- a/crocusrouter/platform/__init__.py
+++ b/crocusrouter/platform/__init__.py
@@ -13,7 +13,7 @@
 from crocusrouter.platform.submissions import is_job_id
 from crocusrouter.platform.submissions import parse_submission
 from crocusrouter.platform.submissions import render_job_state
-from crocusrouter.platform.submissions import render_pending
+from crocusrouter.platform.submissions import render_pending_count
 from crocusrouter.platform.vms import WAVES_PREFIX
 from crocusrouter.platform.vms import PlatformVms
 from crocusrouter.platform.vms import build_wave_status
@@ -39,6 +39,6 @@
     "parse_submission",
     "parse_wave",
     "parse_worker_entry",
-    "render_pending",
+    "render_pending_count",
     "render_job_state",
 ]
--- a/crocusrouter/platform/submissions.py
+++ b/crocusrouter/platform/submissions.py
@@ -156,6 +156,6 @@
     return orjson.dumps({"state": _STATE_NAMES[state]})
 
 
-def render_pending(count: int) -> bytes:
+def render_pending_count(count: int) -> bytes:
     """Encode how many of a queue's jobs have not started."""
     return orjson.dumps({"pending": count})
