--- a/crocusrouter/platform/vms.py
+++ b/crocusrouter/platform/vms.py
@@ -111,8 +111,8 @@
     )
 
 
-def build_wave_status(wave: int, is_over: bool) -> tuple[str, bytes]:
+def build_wave_status(wave: int, is_completed: bool) -> tuple[str, bytes]:
     """Return key and value of the record that reports a wave's state."""
-    state = "completed" if is_over else "running"
+    state = "completed" if is_completed else "running"
     body = orjson.dumps({"wave": wave, "state": state})
     return f"{_WAVE_STATUS_PREFIX}{wave}", body
