--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -142,7 +142,7 @@
                 prefix=self._prefix,
                 behind_s=round(behind_s, 3),
             )
-            self._metrics.note_behind(self._prefix, behind_s)
+            self._metrics.record_outage(self._prefix, behind_s)
         self.is_failing = False
         self._last_answer_at = now
         self._on_contact()
--- a/crocusrouter/telemetry/metrics.py
+++ b/crocusrouter/telemetry/metrics.py
@@ -126,7 +126,7 @@
         self._events.add(1, {"event": event})
         self.counts[f"event:{event}"] += 1
 
-    def note_behind(self, prefix: str, seconds: float) -> None:
+    def record_outage(self, prefix: str, seconds: float) -> None:
         """Record the length of an outage of a follower of `prefix`."""
         self._outages.record(seconds, {"prefix": prefix})
 
