--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -61,7 +61,7 @@
     basis = entry.configuration.describe(entry.times.steady())
     if config is None or not may_decide:
         raise refuse(RefusalReason.NOT_READY, "", entry.choose_retry_after())
-    entry.metrics.note_config_age(basis.age_s or 0.0)
+    entry.metrics.record_config_age(basis.age_s or 0.0)
     path = request.url.path
     host = request.headers.get("Host", "")
     queue = queues.find_queue(config, host, path)
--- a/crocusrouter/telemetry/metrics.py
+++ b/crocusrouter/telemetry/metrics.py
@@ -130,7 +130,7 @@
         """Record the length of an outage of a follower of `prefix`."""
         self._outages.record(seconds, {"prefix": prefix})
 
-    def note_config_age(self, seconds: float) -> None:
+    def record_config_age(self, seconds: float) -> None:
         """Record the age of the configuration by which a call was decided."""
         self._config_age.record(seconds)
 
