--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -359,7 +359,7 @@
         due_at = self.times.steady() + duration_s
         await trio.sleep(duration_s)
         late_s = self.times.steady() - due_at
-        self.metrics.note_stall(late_s)
+        self.metrics.record_loop_stall(late_s)
         if late_s > _STALL_THRESHOLD_S:
             log("loop:stalled", late_s=round(late_s, 3))
 
--- a/crocusrouter/telemetry/metrics.py
+++ b/crocusrouter/telemetry/metrics.py
@@ -134,7 +134,7 @@
         """Record the age of the configuration by which a call was decided."""
         self._config_age.record(seconds)
 
-    def note_stall(self, seconds: float) -> None:
+    def record_loop_stall(self, seconds: float) -> None:
         """Record by how much a timer of the event loop was late."""
         self._stalls.record(seconds)
 
