--- a/crocusrouter/pools/intake.py
+++ b/crocusrouter/pools/intake.py
@@ -149,7 +149,7 @@
 
     async def run(self) -> None:
         """Follow changes until cancelled."""
-        with self._metrics.show_silence(self._prefix, self.measure_silence):
+        with self._metrics.export_silence(self._prefix, self.measure_silence):
             await self._follow_forever()
 
     def measure_silence(self) -> float:
--- a/crocusrouter/telemetry/metrics.py
+++ b/crocusrouter/telemetry/metrics.py
@@ -139,7 +139,7 @@
         self._stalls.record(seconds)
 
     @contextlib.contextmanager
-    def show_silence(
+    def export_silence(
         self, prefix: str, read: Callable[[], float]
     ) -> Iterator[None]:
         """Export a follower's time without an answer while the context is open.
--- a/crocusrouter/telemetry/tests/test_metrics.py
+++ b/crocusrouter/telemetry/tests/test_metrics.py
@@ -37,7 +37,7 @@
     metrics = Metrics()
     with contextlib.ExitStack() as followers:
         for prefix, seconds in silences:
-            gauge_context = metrics.show_silence(prefix, lambda s=seconds: s)
+            gauge_context = metrics.export_silence(prefix, lambda s=seconds: s)
             followers.enter_context(gauge_context)
         assert _read_silences(metrics) == expected
     assert _read_silences(metrics) == []
