--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -124,7 +124,7 @@
             "crocusrouter_ready": lambda: float(self.is_ready),
         }
         for name, read_gauge in gauges.items():
-            self.metrics.watch_gauge(name, read_gauge)
+            self.metrics.register_gauge(name, read_gauge)
 
     async def run(self) -> None:
         """Run all controllers until cancelled."""
--- a/crocusrouter/telemetry/metrics.py
+++ b/crocusrouter/telemetry/metrics.py
@@ -167,7 +167,7 @@
         for prefix, seconds in longest_s.items():
             yield api.Observation(seconds, {"prefix": prefix})
 
-    def watch_gauge(self, name: str, read: Callable[[], float]) -> None:
+    def register_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Register a gauge `name` that calls `read` at each scrape."""
 
         def observe(_: api.CallbackOptions) -> Iterable[api.Observation]:
