--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -61,7 +61,7 @@
     basis = entry.configuration.describe(entry.clock.steady())
     if config is None or not may_decide:
         raise refuse(RefusalReason.NOT_READY, "", entry.choose_retry_after())
-    entry.metrics.note_config_age(basis.age_s or 0.0)
+    entry.metrics.record_config_age(basis.age_s or 0.0)
     path = request.url.path
     host = request.headers.get("Host", "")
     queue = queues.find_queue(config, host, path)
@@ -71,7 +71,7 @@
     if customer is None and not queue.public:
         raise refuse(RefusalReason.UNAUTHENTICATED, f"header {KEY_HEADER}")
     name = customer.name if customer is not None else ""
-    return QueueCall(queue, name, queues.split_path(queue, path), basis)
+    return QueueCall(queue, name, queues.strip_prefix(queue, path), basis)
 
 
 Handle = Callable[[starlette_requests.Request, QueueCall], Awaitable[Rendered]]
@@ -120,7 +120,7 @@
         _check_id(call)
         config = self._entry.configuration.current
         assert config is not None
-        body = await reading.read_body(request, config.limits.max_body)
+        body = await reading.read_body(request, config.limits.max_body_bytes)
         job = platform.parse_submission(
             body,
             call.job_id,
@@ -152,7 +152,7 @@
         if state is None:
             raise refuse(RefusalReason.UNKNOWN_JOB, f"job {call.job_id}")
         return Rendered(
-            200, dict(_JSON), platform.render_state(work.State(state))
+            200, dict(_JSON), platform.render_job_state(work.State(state))
         )
 
     async def _count(self, call: QueueCall) -> Rendered:
@@ -165,7 +165,7 @@
                 call.queue.name,
                 _OWNER_RETRY_S,
             )
-        return Rendered(200, dict(_JSON), platform.render_pending(count))
+        return Rendered(200, dict(_JSON), platform.render_pending_count(count))
 
     async def _cancel(
         self, request: starlette_requests.Request, call: QueueCall
--- a/crocusrouter/platform/names.py
+++ b/crocusrouter/platform/names.py
@@ -1,23 +1,23 @@
-"""Names of tasks on the platform: ID.OCCURRENCE.STEP.INDEX."""
+"""Names of tasks and steps on the platform: JOB.OCCURRENCE.STEP[.POSITION]."""
 
 from crocusrouter.work import model
 
 
-def build_task(key: model.TaskKey) -> str:
-    """Return a task's name.
+def build_task_name(key: model.TaskKey) -> str:
+    """Return a task's name on the platform.
 
-    >>> build_task(model.TaskKey("0a", 0, 1, 7))
+    >>> build_task_name(model.TaskKey("0a", 0, 1, 7))
     '0a.0.1.7'
     """
     return f"{key.job}.{key.occurrence}.{key.step}.{key.position}"
 
 
-def parse_task(name: str) -> model.TaskKey | None:
-    """Return the task that a name names; None if it isn't one of ours.
+def parse_task_name(name: str) -> model.TaskKey | None:
+    """Return the key of a named task, or None for a name of another form.
 
-    >>> parse_task("0a.0.1.7").position
+    >>> parse_task_name("0a.0.1.7").position
     7
-    >>> parse_task("other") is None
+    >>> parse_task_name("other") is None
     True
     """
     try:
@@ -27,6 +27,6 @@
         return None
 
 
-def build_step(key: model.StepKey) -> str:
-    """Return a step's name."""
+def build_step_name(key: model.StepKey) -> str:
+    """Return a step's name on the platform."""
     return f"{key.job}.{key.occurrence}.{key.step}"
--- a/crocusrouter/platform/policy.py
+++ b/crocusrouter/platform/policy.py
@@ -1,4 +1,7 @@
-"""The policy service of advised queues, over the platform's interface."""
+"""Client of the platform's policy service.
+
+The service says which workers may run the steps of advised queues.
+"""
 
 from typing import Any
 
@@ -7,8 +10,8 @@
 from crocusrouter.work import model
 from crocusrouter.work import worker_port
 
-# The service handles one call of a VM at a time.
-_CONNECTIONS = 1
+# The service handles one call per VM at a time.
+_MAX_CONNECTIONS = 1
 _OK = 200
 
 
@@ -16,22 +19,22 @@
     """Implements `work.worker_port.PolicyPort`."""
 
     def __init__(self, address: str) -> None:
-        self._caller = calls.Caller(address, _CONNECTIONS)
+        self._client = calls.HttpClient(address, _MAX_CONNECTIONS)
 
     async def advise(
         self, step: model.StepKey, workers: tuple[str, ...], timeout_s: float
     ) -> worker_port.PolicyAnswer | worker_port.NoAnswer:
-        """Ask which of some workers may run a step."""
-        result = await self._caller.call(
+        """Ask which of `workers` may run a step."""
+        result = await self._client.call(
             "POST",
             "/advise",
             {
-                "step": names.build_step(step),
+                "step": names.build_step_name(step),
                 "workers": list(workers),
             },
             timeout_s,
         )
-        if isinstance(result, calls.Unanswered):
+        if isinstance(result, calls.NoResponse):
             return worker_port.NoAnswer(result.cause, result.maybe_done)
         if result.status != _OK:
             return worker_port.NoAnswer(
@@ -41,12 +44,12 @@
 
     async def aclose(self) -> None:
         """Close all connections."""
-        await self._caller.aclose()
+        await self._client.aclose()
 
 
 def _parse_answer(document: dict[str, Any]) -> worker_port.PolicyAnswer:
-    rows = document.get("good", ())
+    worker_tickets = document.get("good", ())
     return worker_port.PolicyAnswer(
-        {str(worker): str(ticket) for worker, ticket in rows},
+        {str(worker): str(ticket) for worker, ticket in worker_tickets},
         float(document.get("valid_ms", 0)) / 1000,
     )
--- a/crocusrouter/pools/prefix_follower.py
+++ b/crocusrouter/pools/prefix_follower.py
@@ -142,14 +142,14 @@
                 prefix=self._prefix,
                 behind_s=round(behind_s, 3),
             )
-            self._metrics.note_behind(self._prefix, behind_s)
+            self._metrics.record_outage(self._prefix, behind_s)
         self.is_failing = False
         self._last_answer_at = now
         self._on_contact()
 
     async def run(self) -> None:
         """Follow changes until cancelled."""
-        with self._metrics.show_silence(self._prefix, self.measure_silence):
+        with self._metrics.export_silence(self._prefix, self.measure_silence):
             await self._follow_forever()
 
     def measure_silence(self) -> float:
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -205,7 +205,7 @@
                 document.get("wait_ms", 0) / 1000,
             )
         )
-    key = names.parse_task(document["task"])
+    key = names.parse_task_name(document["task"])
     assert key is not None
     number = document["run_id"]
     if path == "/run-start":
@@ -232,13 +232,13 @@
                 "clock_ms": clock_ms,
                 "born": born_ms,
                 "running": [
-                    [names.build_task(r.key), r.run, r.checkpoint, r.percent]
+                    [names.build_task_name(r.key), r.run, r.checkpoint, r.percent]
                     for r in running
                 ],
                 "finished": [
                     [
                         e.number,
-                        names.build_task(e.key),
+                        names.build_task_name(e.key),
                         e.run,
                         str(e.outcome),
                         "",
