--- a/crocusrouter/http/__init__.py
+++ b/crocusrouter/http/__init__.py
@@ -1,7 +1,8 @@
-"""HTTP face of an entry, for callers and operators.
+"""HTTP interface of an entry, for callers and operators.
 
-`app` and `entry_app` build the two faces; each is imported by the command
-that serves it, so that neither costs the other's start.
+`app` builds the application of `crocusrouter serve`, `entry_app` that of
+`crocusrouter entry`. Each command imports only its own application, which
+keeps its start fast.
 """
 
 from crocusrouter.http.server import build_config
--- a/crocusrouter/http/app.py
+++ b/crocusrouter/http/app.py
@@ -1,4 +1,4 @@
-"""Routes of the HTTP listener."""
+"""ASGI application of `crocusrouter serve` and its routes."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -9,48 +9,48 @@
 from starlette import routing
 
 from crocusrouter import controllers
-from crocusrouter.http import jobs
-from crocusrouter.http import operators
-from crocusrouter.http import small
+from crocusrouter.http import job_endpoints
+from crocusrouter.http import operator_endpoints
+from crocusrouter.http import request_endpoint
 from crocusrouter.outcomes import RefusedError
 from crocusrouter.outcomes import Rendered
 from crocusrouter.outcomes import render_refusal
 
-Handle = Callable[[starlette_requests.Request], Awaitable[Rendered]]
+Handler = Callable[[starlette_requests.Request], Awaitable[Rendered]]
 
 
 def build_app(entry: controllers.Entry) -> applications.Starlette:
     """Return the ASGI application of an entry."""
-    requests = small.SmallRequests(entry)
-    work = jobs.Jobs(entry)
-    staff = operators.Operators(entry)
-    table: list[tuple[str, str, Handle]] = [
-        ("POST", "/v1/requests/{kind}", requests.handle),
-        ("POST", "/v1/jobs", work.submit),
-        ("GET", "/v1/jobs", work.list),
-        ("GET", "/v1/jobs/{id}", work.show),
-        ("DELETE", "/v1/jobs/{id}", work.cancel),
-        ("GET", "/v1/jobs/{id}/explain", work.explain),
-        ("GET", "/v1/templates", staff.list_templates),
-        ("GET", "/v1/templates/{customer}", staff.get_template),
-        ("PUT", "/v1/templates/{customer}", staff.put_template),
-        ("GET", "/v1/templates/{customer}/history", staff.list_history),
-        ("GET", "/v1/status", staff.status),
-        ("GET", "/metrics", staff.metrics),
-        ("GET", "/healthz", staff.healthz),
-        ("GET", "/readyz", staff.readyz),
+    request_api = request_endpoint.RequestEndpoint(entry)
+    job_api = job_endpoints.JobEndpoints(entry)
+    operator_api = operator_endpoints.OperatorEndpoints(entry)
+    route_table: list[tuple[str, str, Handler]] = [
+        ("POST", "/v1/requests/{kind}", request_api.handle),
+        ("POST", "/v1/jobs", job_api.submit),
+        ("GET", "/v1/jobs", job_api.list),
+        ("GET", "/v1/jobs/{id}", job_api.show),
+        ("DELETE", "/v1/jobs/{id}", job_api.cancel),
+        ("GET", "/v1/jobs/{id}/explain", job_api.explain),
+        ("GET", "/v1/templates", operator_api.list_templates),
+        ("GET", "/v1/templates/{customer}", operator_api.get_template),
+        ("PUT", "/v1/templates/{customer}", operator_api.put_template),
+        ("GET", "/v1/templates/{customer}/history", operator_api.list_history),
+        ("GET", "/v1/status", operator_api.status),
+        ("GET", "/metrics", operator_api.metrics),
+        ("GET", "/healthz", operator_api.healthz),
+        ("GET", "/readyz", operator_api.readyz),
     ]
     routes = [
-        routing.Route(path, _wrap(handle, entry), methods=[method])
-        for method, path, handle in table
+        routing.Route(path, _build_responder(handle, entry), methods=[method])
+        for method, path, handle in route_table
     ]
     return applications.Starlette(routes=routes)
 
 
-def _wrap(
-    handle: Handle, entry: controllers.Entry
+def _build_responder(
+    handle: Handler, entry: controllers.Entry
 ) -> Callable[[starlette_requests.Request], Awaitable[responses.Response]]:
-    """Turn refusals into counted problem details."""
+    """Return a responder that counts refusals and renders them as problems."""
 
     async def respond(
         request: starlette_requests.Request,
@@ -61,8 +61,9 @@
             entry.metrics.count_refusal(error.refusal.reason)
             rendered = render_refusal(error.refusal)
         if entry.is_stopping:
-            # A caller that keeps its connection would send its next request
-            # just as we close, and could not tell whether it was read.
+            # On a kept-alive connection the caller could send its next request
+            # just as the entry closes the connection, and couldn't tell
+            # whether that request was read.
             rendered.headers["Connection"] = "close"
         return responses.Response(
             rendered.body, rendered.status, rendered.headers
--- a/crocusrouter/http/entry_app.py
+++ b/crocusrouter/http/entry_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application of an entry on the users' platform."""
+"""ASGI application of an entry on the users' platform."""
 
 from starlette import requests as starlette_requests
 from starlette import responses
@@ -13,49 +13,50 @@
 
 READY_PATH = "/ready"
 METRICS_PATH = "/metrics"
-_SERVER_INDEX = 1
+_PORT_INDEX = 1
 
 
 async def _answer_lifespan(receive: Receive, send: Send) -> None:
-    """Tell the server that start and shutdown need nothing here."""
+    """Acknowledge the ASGI lifespan messages; no work is needed for them."""
     while True:
-        kind = (await receive())["type"]
-        await send({"type": f"{kind}.complete"})
-        if kind == "lifespan.shutdown":
+        message_type = (await receive())["type"]
+        await send({"type": f"{message_type}.complete"})
+        if message_type == "lifespan.shutdown":
             return
 
 
 def build_entry_app(
     entry: pools.PoolEntry, ready_port: int, metrics_port: int
 ) -> ASGIApp:
-    """Return the application; the port that took a call tells them apart.
+    """Return the application, which selects a handler by the local port.
 
     Args:
         entry: The entry.
-        ready_port: Where the balancer asks whether the entry is ready.
-        metrics_port: Where metrics are read.
+        ready_port: Port on which the balancer checks readiness.
+        metrics_port: Port on which metrics are exposed.
     """
-    calls = queue_calls.QueueCalls(entry)
+    queue_api = queue_calls.QueueCalls(entry)
 
-    async def answer(request: starlette_requests.Request) -> Rendered:
-        server = request.scope.get("server")
-        port = server[_SERVER_INDEX] if server else None
+    async def respond(request: starlette_requests.Request) -> Rendered:
+        server_address = request.scope.get("server")
+        port = server_address[_PORT_INDEX] if server_address else None
         if port == ready_port:
             return Rendered(200 if entry.is_ready else 503, {}, b"")
         if port == metrics_port:
             headers = {"Content-Type": "text/plain; version=0.0.4"}
             return Rendered(200, headers, entry.metrics.expose())
-        return await calls.handle(request)
+        return await queue_api.handle(request)
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
             await _answer_lifespan(receive, send)
             return
         request = starlette_requests.Request(scope, receive)
-        rendered = await answer(request)
+        rendered = await respond(request)
         if entry.is_stopping:
-            # A caller that keeps its connection would send its next request
-            # just as we close, and could not tell whether it was read.
+            # On a kept-alive connection the caller could send its next request
+            # just as the entry closes the connection, and couldn't tell
+            # whether that request was read.
             rendered.headers["Connection"] = "close"
         response = responses.Response(
             rendered.body, rendered.status, rendered.headers
--- a/crocusrouter/http/models.py
+++ b/crocusrouter/http/job_documents.py
@@ -1,4 +1,4 @@
-"""Validated models of what callers send and get."""
+"""JSON documents of the job endpoints: job requests and job views."""
 
 from typing import Annotated
 from typing import Any
@@ -11,11 +11,11 @@
 from crocusrouter.templates import JobKind
 from crocusrouter.templates import Level
 
-_MAX_PAYLOAD = 4096
+_MAX_PAYLOAD_BYTES = 4096
 
 
 class JobRequest(pydantic.BaseModel):
-    """Body of `POST /v1/jobs`; what is left out comes from the template."""
+    """Body of `POST /v1/jobs`; absent fields default to the template's."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -31,8 +31,8 @@
     @pydantic.field_validator("payload")
     @classmethod
     def _check_payload(cls, value: Any) -> Any:
-        if len(dump_json(value)) > _MAX_PAYLOAD:
-            raise ValueError(f"at most {_MAX_PAYLOAD} bytes as JSON")
+        if len(dump_json(value)) > _MAX_PAYLOAD_BYTES:
+            raise ValueError(f"at most {_MAX_PAYLOAD_BYTES} bytes as JSON")
         return value
 
 
@@ -42,24 +42,24 @@
 
 
 def build_spec(request: JobRequest, kind: JobKind) -> jobs.Spec:
-    """Fill in what the caller left out from the kind's defaults."""
+    """Return a job's spec, with the kind's defaults for absent fields."""
 
-    def pick(given: Any, default: Any) -> Any:
-        return default if given is None else given
+    def value_or_default(value: Any, default: Any) -> Any:
+        return default if value is None else value
 
     return jobs.Spec(
         kind=request.kind,
-        accelerators=pick(request.accelerators, kind.accelerators),
-        level=pick(request.level, kind.level),
-        run_time_s=pick(request.run_time_s, kind.run_time_s),
-        deadline_s=pick(request.deadline_s, kind.deadline_s),
+        accelerators=value_or_default(request.accelerators, kind.accelerators),
+        level=value_or_default(request.level, kind.level),
+        run_time_s=value_or_default(request.run_time_s, kind.run_time_s),
+        deadline_s=value_or_default(request.deadline_s, kind.deadline_s),
         max_attempts=kind.max_attempts,
-        urgent=pick(request.urgent, kind.urgent),
+        urgent=value_or_default(request.urgent, kind.urgent),
         payload=dump_json(request.payload),
     )
 
 
-def show_job(view: messages.JobView) -> dict[str, Any]:
+def describe_job(view: messages.JobView) -> dict[str, Any]:
     """Return a job as its customer sees it."""
     job: jobs.Job = codec.unpack(jobs.Job, view.job)
     return {
@@ -73,7 +73,7 @@
         "attempt": job.attempt,
         "failures": job.failures,
         "losses": job.losses,
-        "workers": {m.worker: m.size for m in job.members},
+        "workers": {member.worker: member.size for member in job.members},
         "waiting_for": view.waiting_for,
         "result": job.result,
         "detail": job.detail,
@@ -82,7 +82,7 @@
     }
 
 
-def explain_job(view: messages.JobView) -> dict[str, Any]:
-    """Return a job with what happened to it."""
+def describe_job_with_events(view: messages.JobView) -> dict[str, Any]:
+    """Return a job with its events, as its customer sees them."""
     events = [{"at": at, "what": what} for at, what in view.events]
-    return show_job(view) | {"events": events}
+    return describe_job(view) | {"events": events}
--- a/crocusrouter/http/jobs.py
+++ b/crocusrouter/http/job_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of the jobs."""
+"""HTTP endpoints that submit, show, list and cancel jobs."""
 
 import hashlib
 import time
@@ -14,8 +14,8 @@
 from crocusrouter import fleet
 from crocusrouter import jobs
 from crocusrouter import requests
-from crocusrouter.http import models
-from crocusrouter.http import reading
+from crocusrouter.http import job_documents
+from crocusrouter.http import request_parsing
 from crocusrouter.mesh import messages
 from crocusrouter.outcomes import Refusal
 from crocusrouter.outcomes import RefusalReason
@@ -25,84 +25,90 @@
 from crocusrouter.templates import Template
 from crocusrouter.templates import describe_errors
 
-_CREATED = 201
-_OK = 200
-_MAX_BODY = 16 << 10
+_HTTP_CREATED = 201
+_HTTP_OK = 200
+_MAX_BODY_BYTES = 16 << 10
 _NOT_READY_RETRY_S = 1.0
 
 
-class Jobs:
-    """Serves `/v1/jobs` for a customer."""
+class JobEndpoints:
+    """Serves `/v1/jobs` to customers."""
 
     def __init__(self, entry: controllers.Entry) -> None:
         self._entry = entry
 
     async def submit(self, request: starlette_requests.Request) -> Rendered:
-        """Accept a job: durable before it is answered."""
-        template = self._find_customer(request)
+        """Accept a job and answer once it is stored durably."""
+        template = self._authenticate(request)
         key = requests.check_key(request.headers.get("Idempotency-Key"))
-        body = await reading.read_body(request, _MAX_BODY)
-        asked = _parse(body)
-        kind = template.job_kinds.get(asked.kind)
-        if kind is None:
+        body = await request_parsing.read_body(request, _MAX_BODY_BYTES)
+        job_request = _parse_job_request(body)
+        job_kind = template.job_kinds.get(job_request.kind)
+        if job_kind is None:
             raise refuse(
                 RefusalReason.UNKNOWN_KIND,
-                f"kind {asked.kind!r} of customer {template.customer}",
+                f"kind {job_request.kind!r} of customer {template.customer}",
             )
         key = key if key is not None else uuid.uuid4().hex
         job = jobs.Job(
-            id=self._name_job(template, asked, key),
+            id=self._build_job_id(template, job_request, key),
             customer=template.customer,
-            spec=models.build_spec(asked, kind),
+            spec=job_documents.build_spec(job_request, job_kind),
             submitted_at=time.time(),
             digest=hashlib.blake2b(body, digest_size=8).hexdigest(),
         )
-        view = await self._ask(
+        view = await self._ask_owner(
             job.data_centre, messages.SubmitJob(codec.pack(job))
         )
-        return _render(models.show_job(view), _CREATED)
+        return _render_json(job_documents.describe_job(view), _HTTP_CREATED)
 
     async def show(self, request: starlette_requests.Request) -> Rendered:
         """Show one job."""
-        return _render(models.show_job(await self._find(request)))
+        return _render_json(
+            job_documents.describe_job(await self._find_job(request))
+        )
 
     async def explain(self, request: starlette_requests.Request) -> Rendered:
-        """Show one job and what happened to it."""
-        return _render(models.explain_job(await self._find(request)))
+        """Show one job and its events."""
+        return _render_json(
+            job_documents.describe_job_with_events(
+                await self._find_job(request)
+            )
+        )
 
     async def cancel(self, request: starlette_requests.Request) -> Rendered:
         """Cancel a job."""
-        template = self._find_customer(request)
+        template = self._authenticate(request)
         job_id = request.path_params["id"]
-        view = await self._ask(
+        view = await self._ask_owner(
             jobs.parse_data_centre(job_id),
             messages.CancelJob(template.customer, job_id),
         )
-        return _render(models.show_job(view))
+        return _render_json(job_documents.describe_job(view))
 
     async def list(self, request: starlette_requests.Request) -> Rendered:
         """List the customer's jobs in all data centres."""
-        template = self._find_customer(request)
-        shown: list[dict[str, Any]] = []
+        template = self._authenticate(request)
+        shown_jobs: list[dict[str, Any]] = []
         for data_centre in fleet.list_data_centres(self._entry.machines.fleet):
-            views = await self._ask(
+            views = await self._ask_owner(
                 data_centre, messages.ListJobs(template.customer, data_centre)
             )
-            shown += map(models.show_job, views.jobs)
-        return _render({"jobs": shown})
+            shown_jobs += map(job_documents.describe_job, views.jobs)
+        return _render_json({"jobs": shown_jobs})
 
-    async def _find(
+    async def _find_job(
         self, request: starlette_requests.Request
     ) -> messages.JobView:
-        template = self._find_customer(request)
+        template = self._authenticate(request)
         job_id = request.path_params["id"]
-        view: messages.JobView = await self._ask(
+        view: messages.JobView = await self._ask_owner(
             jobs.parse_data_centre(job_id),
             messages.FindJob(template.customer, job_id),
         )
         return view
 
-    def _find_customer(self, request: starlette_requests.Request) -> Template:
+    def _authenticate(self, request: starlette_requests.Request) -> Template:
         if not self._entry.is_ready:
             raise refuse(RefusalReason.NOT_READY, "", _NOT_READY_RETRY_S)
         return requests.find_customer(
@@ -110,27 +116,34 @@
             request.headers.get("Authorization"),
         )
 
-    def _name_job(
-        self, template: Template, asked: models.JobRequest, key: str
+    def _build_job_id(
+        self,
+        template: Template,
+        job_request: job_documents.JobRequest,
+        key: str,
     ) -> str:
-        known = fleet.list_data_centres(self._entry.machines.fleet)
-        if asked.data_centre is not None:
-            if asked.data_centre not in known:
+        data_centres = fleet.list_data_centres(self._entry.machines.fleet)
+        if job_request.data_centre is not None:
+            if job_request.data_centre not in data_centres:
                 raise refuse(
                     RefusalReason.NEVER_FITS,
-                    f"no workers in data centre {asked.data_centre!r}",
+                    f"no workers in data centre {job_request.data_centre!r}",
                 )
-            chosen = asked.data_centre
+            data_centre = job_request.data_centre
         else:
-            found = self._entry.desk.choose_data_centre(template.customer, key)
-            if found is None:
-                raise refuse(RefusalReason.NEVER_FITS, "no workers at all")
-            chosen = found
-        return jobs.build_job_id(chosen, template.customer, key)
-
-    async def _ask(self, data_centre: str, message: object) -> Any:
-        known = fleet.list_data_centres(self._entry.machines.fleet)
-        if data_centre not in known:
+            owner_choice = self._entry.desk.choose_data_centre(
+                template.customer, key
+            )
+            if owner_choice is None:
+                raise refuse(
+                    RefusalReason.NEVER_FITS, "no data centre has workers"
+                )
+            data_centre = owner_choice
+        return jobs.build_job_id(data_centre, template.customer, key)
+
+    async def _ask_owner(self, data_centre: str, message: object) -> Any:
+        data_centres = fleet.list_data_centres(self._entry.machines.fleet)
+        if data_centre not in data_centres:
             raise refuse(
                 RefusalReason.UNKNOWN_JOB, f"data centre {data_centre}"
             )
@@ -140,17 +153,17 @@
         return answer
 
 
-def _parse(body: bytes) -> models.JobRequest:
+def _parse_job_request(body: bytes) -> job_documents.JobRequest:
     requests.check_json(body)
     try:
-        return models.JobRequest.model_validate_json(body)
+        return job_documents.JobRequest.model_validate_json(body)
     except pydantic.ValidationError as error:
         raise refuse(
             RefusalReason.INVALID_DOCUMENT, describe_errors(error)
         ) from error
 
 
-def _render(document: dict[str, Any], status: int = _OK) -> Rendered:
+def _render_json(document: dict[str, Any], status: int = _HTTP_OK) -> Rendered:
     return Rendered(
         status, {"Content-Type": "application/json"}, orjson.dumps(document)
     )
--- a/crocusrouter/http/operators.py
+++ b/crocusrouter/http/operator_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of the operators."""
+"""HTTP endpoints for operators: templates, status, metrics and health."""
 
 import dataclasses
 import time
@@ -11,7 +11,7 @@
 from crocusrouter import controllers
 from crocusrouter import requests
 from crocusrouter import store
-from crocusrouter.http import reading
+from crocusrouter.http import request_parsing
 from crocusrouter.outcomes import Refusal
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.outcomes import RefusedError
@@ -24,16 +24,16 @@
 from crocusrouter.templates import dump_template
 from crocusrouter.templates import parse_template
 
-_OK = 200
-_UNAVAILABLE = 503
-_MAX_TEMPLATE = 256 << 10
+_HTTP_OK = 200
+_HTTP_UNAVAILABLE = 503
+_MAX_TEMPLATE_BYTES = 256 << 10
 _MAX_VERSIONS = 20
-_RETRY_S = 1.0
-_JSON = "application/json"
+_STORE_RETRY_AFTER_S = 1.0
+_JSON_TYPE = "application/json"
 
 
-class Operators:
-    """Serves templates, status, metrics and health."""
+class OperatorEndpoints:
+    """Serves the operators' endpoints of one entry."""
 
     def __init__(self, entry: controllers.Entry) -> None:
         self._entry = entry
@@ -42,62 +42,67 @@
         self, request: starlette_requests.Request
     ) -> Rendered:
         """Show a template; its ETag is the revision of its last change."""
-        self._check(request)
+        self._check_operator(request)
         customer = request.path_params["customer"]
         catalog = self._entry.configuration.catalog
         template = catalog.find(customer)
         if template is None:
             raise refuse(RefusalReason.UNKNOWN_CUSTOMER, customer)
         headers = {
-            "Content-Type": _JSON,
+            "Content-Type": _JSON_TYPE,
             "ETag": f'"{catalog.revision_of(customer)}"',
         }
-        return Rendered(_OK, headers, dump_template(template))
+        return Rendered(_HTTP_OK, headers, dump_template(template))
 
     async def list_templates(
         self, request: starlette_requests.Request
     ) -> Rendered:
         """List customers and the revisions of their templates."""
-        self._check(request)
+        self._check_operator(request)
         catalog = self._entry.configuration.catalog
         revisions = {
-            name: held.revision for name, held in catalog.templates.items()
+            name: versioned.revision
+            for name, versioned in catalog.templates.items()
         }
-        return _render({"revision": catalog.revision, "templates": revisions})
+        return _render_json(
+            {"revision": catalog.revision, "templates": revisions}
+        )
 
     async def put_template(
         self, request: starlette_requests.Request
     ) -> Rendered:
-        """Change a template; with If-Match only if it is as the operator saw.
+        """Replace a template; with If-Match, only at the given revision.
 
         `?check` runs all checks and writes nothing.
         """
-        self._check(request)
+        self._check_operator(request)
         customer = request.path_params["customer"]
-        body = await reading.read_body(request, _MAX_TEMPLATE)
-        template = _parse(body, customer)
-        expected = reading.parse_if_match(request.headers.get("If-Match"))
+        body = await request_parsing.read_body(request, _MAX_TEMPLATE_BYTES)
+        template = _parse_template(body, customer)
+        expected_revision = request_parsing.parse_if_match(
+            request.headers.get("If-Match")
+        )
         if "check" in request.query_params:
-            return self._check_only(template, expected)
+            return self._check_without_writing(template, expected_revision)
         outcome = await controllers.apply_edit(
             self._entry.configuration,
             self._entry.store,
             template,
-            expected,
+            expected_revision,
             self._entry.machines.fleet,
             time.time(),
         )
         if isinstance(outcome, Refusal):
             raise RefusedError(outcome)
-        rendered = _render({"revision": outcome.revision})
+        rendered = _render_json({"revision": outcome.revision})
         rendered.headers["ETag"] = f'"{outcome.revision}"'
         return rendered
 
     async def list_history(
         self, request: starlette_requests.Request
     ) -> Rendered:
-        """Show a template's versions, the one in force first."""
-        self._check(request)
+        """List a template's versions, the current one first."""
+        self._check_operator(request)
         customer = request.path_params["customer"]
         if self._entry.configuration.catalog.find(customer) is None:
             raise refuse(RefusalReason.UNKNOWN_CUSTOMER, customer)
@@ -110,38 +115,43 @@
             )
         except store.StoreUnavailableError as error:
             raise refuse(
-                RefusalReason.STORE_UNAVAILABLE, str(error), _RETRY_S
+                RefusalReason.STORE_UNAVAILABLE,
+                str(error),
+                _STORE_RETRY_AFTER_S,
             ) from error
-        return _render({"versions": _show_versions(versions)})
+        return _render_json({"versions": _render_versions(versions)})
 
     async def status(self, request: starlette_requests.Request) -> Rendered:
-        """Show this entry, its peers and what it owns."""
-        self._check(request)
+        """Show this entry, its peers and the data centres that it owns."""
+        self._check_operator(request)
         entry = self._entry
         now = trio.current_time()
-        live = {
+        live_revisions = {
             peer.name: peer.heartbeat.revision
             for peer in entry.peers.list_live(now)
             if peer.heartbeat is not None
         }
         revisions = {entry.settings.name: entry.configuration.catalog.revision}
-        suspected = sorted(entry.peers.peers.keys() - live.keys())
+        suspected = sorted(entry.peers.peers.keys() - live_revisions.keys())
         owners = {
-            name: {"owner": seen.owner.owner, "epoch": seen.owner.epoch}
-            for name, seen in sorted(entry.configuration.owners.items())
+            name: {
+                "owner": observed.owner.owner,
+                "epoch": observed.owner.epoch,
+            }
+            for name, observed in sorted(entry.configuration.owners.items())
         }
         owned = [
-            dataclasses.asdict(controllers.describe_owner(held))
-            for held in entry.owned.values()
+            dataclasses.asdict(controllers.describe_owner(owner))
+            for owner in entry.owned.values()
         ]
-        return _render(
+        return _render_json(
             {
                 "entry": entry.settings.name,
                 "data_centre": entry.settings.data_centre,
                 "ready": entry.is_ready,
                 "revision": entry.configuration.catalog.revision,
                 "alarm": entry.configuration.alarm,
-                "revisions": revisions | live,
+                "revisions": revisions | live_revisions,
                 "suspected": suspected,
                 "store_failing": entry.store.failing_since is not None,
                 "owners": owners,
@@ -151,16 +161,16 @@
         )
 
     async def metrics(self, _: starlette_requests.Request) -> Rendered:
-        """Expose all instruments as Prometheus text."""
+        """Return all metrics in the Prometheus text format."""
         headers = {"Content-Type": "text/plain; version=0.0.4"}
-        return Rendered(_OK, headers, self._entry.metrics.expose())
+        return Rendered(_HTTP_OK, headers, self._entry.metrics.expose())
 
     async def healthz(self, _: starlette_requests.Request) -> Rendered:
-        """Say that the process runs."""
-        return _render({"alive": True})
+        """Report that the process is alive."""
+        return _render_json({"alive": True})
 
     async def readyz(self, _: starlette_requests.Request) -> Rendered:
-        """Say whether this entry takes work, and why not."""
+        """Report whether this entry accepts work, and the conditions for it."""
         entry = self._entry
         document = {
             "ready": entry.is_ready,
@@ -168,29 +178,38 @@
             "vms_read": entry.machines.fleet.read_at is not None,
             "stopping": entry.is_stopping,
         }
-        return _render(document, _OK if entry.is_ready else _UNAVAILABLE)
+        return _render_json(
+            document, _HTTP_OK if entry.is_ready else _HTTP_UNAVAILABLE
+        )
 
-    def _check(self, request: starlette_requests.Request) -> None:
-        reading.check_operator(request, self._entry.settings.operator_key)
+    def _check_operator(self, request: starlette_requests.Request) -> None:
+        request_parsing.check_operator(
+            request, self._entry.settings.operator_key
+        )
 
-    def _check_only(self, template: Template, expected: int | None) -> Rendered:
+    def _check_without_writing(
+        self, template: Template, expected_revision: int | None
+    ) -> Rendered:
         catalog = self._entry.configuration.catalog
         refusal = controllers.check_edit(
-            catalog, template, expected, self._entry.machines.fleet
+            catalog, template, expected_revision, self._entry.machines.fleet
         )
         if refusal is not None:
             raise RefusedError(refusal)
-        return _render({"revision": catalog.revision})
+        return _render_json({"revision": catalog.revision})
 
 
-def _show_versions(versions: list[Version]) -> list[dict[str, Any]]:
-    """Show each version with the fields that it changed."""
+def _render_versions(versions: list[Version]) -> list[dict[str, Any]]:
+    """Return each version with the fields that it changed."""
     older = [version.template for version in versions[1:]]
     return [
         {
             "revision": version.revision,
             "at": version.at,
-            "changed": [d.path for d in compare_templates(before, after)],
+            "changed": [
+                difference.path
+                for difference in compare_templates(before, after)
+            ],
             "template": orjson.loads(dump_template(after)),
         }
         for version, before in zip(versions, [*older, None], strict=True)
@@ -198,7 +217,7 @@
     ]
 
 
-def _parse(body: bytes, customer: str) -> Template:
+def _parse_template(body: bytes, customer: str) -> Template:
     requests.check_json(body)
     try:
         template = parse_template(body)
@@ -213,5 +232,7 @@
     return template
 
 
-def _render(document: dict[str, Any], status: int = _OK) -> Rendered:
-    return Rendered(status, {"Content-Type": _JSON}, orjson.dumps(document))
+def _render_json(document: dict[str, Any], status: int = _HTTP_OK) -> Rendered:
+    return Rendered(
+        status, {"Content-Type": _JSON_TYPE}, orjson.dumps(document)
+    )
--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -1,4 +1,4 @@
-"""Callers' calls on queues: hand in, state, cancel, how many wait."""
+"""HTTP endpoints of queues: submit, show and cancel jobs, count pending."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from crocusrouter import pools
 from crocusrouter import queues
 from crocusrouter import work
-from crocusrouter.http import reading
+from crocusrouter.http import request_parsing
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.outcomes import RefusedError
 from crocusrouter.outcomes import Rendered
@@ -19,12 +19,13 @@
 
 KEY_HEADER = "X-Api-Key"
 _JSON = {"Content-Type": "application/json"}
-# A pool without an owner has one again within two seconds; its lease of 1.8 s
-# has often run for some time.
-_OWNER_RETRY_S = 1.0
-# Statuses that callers of the platform expect, where ours differ: 503 says
-# that a job never runs, so what is not known must be told by another one.
-_STATUS = {
+# A pool without an owner gets a new one within two seconds: the old owner's
+# lease lasts 1.8 s, and part of it has usually passed already.
+_OWNER_RETRY_AFTER_S = 1.0
+# Statuses that callers of the platform expect instead of the default ones. To
+# them 503 means that the job never runs, so an unknown outcome needs another
+# status.
+_STATUS_OVERRIDES = {
     RefusalReason.UNKNOWN_JOB: 410,
     RefusalReason.COMMIT_UNKNOWN: 504,
     RefusalReason.INVALID_DOCUMENT: 400,
@@ -33,13 +34,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class QueueCall:
-    """A call that a queue and, where needed, a key allow.
+    """An authorised call on a queue.
 
     Attributes:
         queue: The queue.
-        customer: Name of the customer; empty on a public queue.
-        job_id: What follows the queue's prefix; empty for the queue itself.
-        basis: The configuration that allows it.
+        customer: Name of the customer; empty on a public queue if the call has
+            no known key.
+        job_id: Path after the queue's prefix; empty for the queue itself.
+        basis: The configuration by which the call was authorised.
     """
 
     queue: queues.Queue
@@ -51,10 +53,10 @@
 async def identify(
     entry: pools.PoolEntry, request: starlette_requests.Request
 ) -> QueueCall:
-    """Find the queue and the customer of a call.
+    """Find the queue and the customer of a call, and authorise it.
 
     Raises:
-        RefusedError: Not ready, no such queue, or no such key.
+        RefusedError: The entry isn't ready, or the queue or key is unknown.
     """
     may_decide = await entry.refresher.ensure_current()
     config = entry.configuration.current
@@ -70,26 +72,28 @@
     customer = queues.find_customer(config, request.headers.get(KEY_HEADER, ""))
     if customer is None and not queue.public:
         raise refuse(RefusalReason.UNAUTHENTICATED, f"header {KEY_HEADER}")
-    name = customer.name if customer is not None else ""
-    return QueueCall(queue, name, queues.split_path(queue, path), basis)
+    customer_name = customer.name if customer is not None else ""
+    return QueueCall(
+        queue, customer_name, queues.split_path(queue, path), basis
+    )
 
 
-Handle = Callable[[starlette_requests.Request, QueueCall], Awaitable[Rendered]]
+Handler = Callable[[starlette_requests.Request, QueueCall], Awaitable[Rendered]]
 
 
 class QueueCalls:
-    """Answers the calls of one entry."""
+    """Answers the calls on queues that one entry receives."""
 
     def __init__(self, entry: pools.PoolEntry) -> None:
         self._entry = entry
-        self._handlers: dict[str, Handle] = {
+        self._handlers: dict[str, Handler] = {
             "POST": self._submit,
             "GET": self._show,
             "DELETE": self._cancel,
         }
 
     async def handle(self, request: starlette_requests.Request) -> Rendered:
-        """Answer one call; every refusal is counted."""
+        """Answer one call; count and log a refusal."""
         try:
             handler = self._handlers.get(request.method)
             if handler is None:
@@ -107,20 +111,22 @@
                 self._entry.configuration.describe(self._entry.times.steady()),
             )
             rendered = render_refusal(error.refusal)
-            status = _STATUS.get(reason, rendered.status)
+            status = _STATUS_OVERRIDES.get(reason, rendered.status)
             return dataclasses.replace(rendered, status=status)
 
-    def _refuse(self, reason: RefusalReason, detail: str) -> RefusedError:
-        """Build a refusal for want of the store, with when to come back."""
+    def _build_refusal(
+        self, reason: RefusalReason, detail: str
+    ) -> RefusedError:
+        """Build a refusal with a Retry-After for an unavailable store."""
         return refuse(reason, detail, self._entry.choose_retry_after())
 
     async def _submit(
         self, request: starlette_requests.Request, call: QueueCall
     ) -> Rendered:
-        _check_id(call)
+        _check_job_id(call)
         config = self._entry.configuration.current
         assert config is not None
-        body = await reading.read_body(request, config.limits.max_body)
+        body = await request_parsing.read_body(request, config.limits.max_body)
         job = platform.parse_submission(
             body,
             call.job_id,
@@ -132,21 +138,23 @@
             case pools.Stored.STORED:
                 return Rendered(200, dict(_JSON), b"{}")
             case pools.Stored.NOT_STORED:
-                raise self._refuse(RefusalReason.STORE_UNAVAILABLE, job.id)
-        raise self._refuse(RefusalReason.COMMIT_UNKNOWN, job.id)
+                raise self._build_refusal(
+                    RefusalReason.STORE_UNAVAILABLE, job.id
+                )
+        raise self._build_refusal(RefusalReason.COMMIT_UNKNOWN, job.id)
 
     async def _show(
         self, request: starlette_requests.Request, call: QueueCall
     ) -> Rendered:
         if not call.job_id:
-            return await self._count(call)
-        _check_id(call)
+            return await self._count_pending(call)
+        _check_job_id(call)
         try:
             state = await self._entry.desk.find_state(
                 call.queue.pool, call.job_id
             )
         except pools.StateUnknownError as error:
-            raise self._refuse(
+            raise self._build_refusal(
                 RefusalReason.STORE_UNAVAILABLE, str(error)
             ) from error
         if state is None:
@@ -155,7 +163,7 @@
             200, dict(_JSON), platform.render_state(work.State(state))
         )
 
-    async def _count(self, call: QueueCall) -> Rendered:
+    async def _count_pending(self, call: QueueCall) -> Rendered:
         count = await self._entry.desk.count_pending(
             call.queue.pool, call.queue.name
         )
@@ -163,24 +171,26 @@
             raise refuse(
                 RefusalReason.OWNER_UNAVAILABLE,
                 call.queue.name,
-                _OWNER_RETRY_S,
+                _OWNER_RETRY_AFTER_S,
             )
         return Rendered(200, dict(_JSON), platform.render_pending(count))
 
     async def _cancel(
         self, request: starlette_requests.Request, call: QueueCall
     ) -> Rendered:
-        _check_id(call)
+        _check_job_id(call)
         match await self._entry.desk.cancel(call.job_id):
             case pools.Cancelled.DONE:
                 return Rendered(200, dict(_JSON), b"{}")
             case pools.Cancelled.NO_JOB:
                 raise refuse(RefusalReason.UNKNOWN_JOB, f"job {call.job_id}")
             case pools.Cancelled.NOT_TRIED:
-                raise self._refuse(RefusalReason.STORE_UNAVAILABLE, call.job_id)
-        raise self._refuse(RefusalReason.COMMIT_UNKNOWN, call.job_id)
+                raise self._build_refusal(
+                    RefusalReason.STORE_UNAVAILABLE, call.job_id
+                )
+        raise self._build_refusal(RefusalReason.COMMIT_UNKNOWN, call.job_id)
 
 
-def _check_id(call: QueueCall) -> None:
+def _check_job_id(call: QueueCall) -> None:
     if not platform.is_job_id(call.job_id):
         raise refuse(RefusalReason.UNKNOWN_JOB, f"job id {call.job_id!r}")
--- a/crocusrouter/http/small.py
+++ b/crocusrouter/http/request_endpoint.py
@@ -1,11 +1,11 @@
-"""Endpoint of the small requests."""
+"""HTTP endpoint that routes small requests."""
 
 import eliot
 from starlette import requests as starlette_requests
 
 from crocusrouter import controllers
 from crocusrouter import requests
-from crocusrouter.http import reading
+from crocusrouter.http import request_parsing
 from crocusrouter.outcomes import Answer
 from crocusrouter.outcomes import Done
 from crocusrouter.outcomes import NotRun
@@ -18,8 +18,8 @@
 
 _NOT_READY_RETRY_S = 1.0
 
-# Refusals that don't depend on what an earlier try of the same key did.
-_ABOUT_THIS_TRY = frozenset(
+# Refusals whose outcome doesn't depend on an earlier try with the same key.
+_INDEPENDENT_OF_EARLIER_TRIES = frozenset(
     {
         RefusalReason.MALFORMED_JSON,
         RefusalReason.MALFORMED_HEADER,
@@ -30,27 +30,28 @@
 )
 
 
-class SmallRequests:
+class RequestEndpoint:
     """Serves `POST /v1/requests/{kind}`."""
 
     def __init__(self, entry: controllers.Entry) -> None:
         self._entry = entry
 
     async def handle(self, request: starlette_requests.Request) -> Rendered:
-        """Pass one request through the chain and count what came of it."""
+        """Answer one request and count its outcome."""
         kind = request.path_params["kind"]
         answer = await self._answer(request, kind)
         metrics = self._entry.metrics
         if isinstance(answer, Done):
             metrics.count_answer("done", kind)
             return render(answer)
-        # A kind that nobody has would let callers grow the label set.
-        known = answer.refusal.reason not in (
+        # Kinds that no template defines are counted under one label; otherwise
+        # callers could add metric labels without limit.
+        has_known_kind = answer.refusal.reason not in (
             RefusalReason.UNKNOWN_KIND,
             RefusalReason.UNAUTHENTICATED,
         )
         outcome = "not-run" if isinstance(answer, NotRun) else "unknown"
-        metrics.count_answer(outcome, kind if known else "unknown")
+        metrics.count_answer(outcome, kind if has_known_kind else "unknown")
         metrics.count_refusal(answer.refusal.reason)
         return render(answer)
 
@@ -60,8 +61,8 @@
         key = request.headers.get("Idempotency-Key")
         try:
             if not self._entry.configuration.is_vouched:
-                raise RefusedError(_refuse_not_ready())
-            body = await reading.read_body(
+                raise RefusedError(_build_not_ready_refusal())
+            body = await request_parsing.read_body(
                 request, self._entry.settings.max_body
             )
             call = self._entry.identify(
@@ -74,7 +75,7 @@
                 )
             )
         except RefusedError as error:
-            return _judge_early(error.refusal, key)
+            return _classify_early_refusal(error.refusal, key)
         with eliot.start_action(
             action_type="request",
             request=call.id,
@@ -86,16 +87,16 @@
             return answer
 
 
-def _refuse_not_ready() -> Refusal:
+def _build_not_ready_refusal() -> Refusal:
     return Refusal(RefusalReason.NOT_READY, "", _NOT_READY_RETRY_S)
 
 
-def _judge_early(refusal: Refusal, key: str | None) -> Answer:
-    """Choose the outcome of a refusal before the claim was looked up.
+def _classify_early_refusal(refusal: Refusal, key: str | None) -> Answer:
+    """Return the outcome for a refusal before the claim was looked up.
 
-    With a key, an earlier try at another entry may have run; "not run" would
-    then be false.
+    If the request has an idempotency key, an earlier try at another entry may
+    have run, so the outcome is unknown rather than "not run".
     """
-    if key is None or refusal.reason in _ABOUT_THIS_TRY:
+    if key is None or refusal.reason in _INDEPENDENT_OF_EARLIER_TRIES:
         return NotRun(refusal)
     return Unknown(refusal)
--- a/crocusrouter/http/server.py
+++ b/crocusrouter/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP listener: hypercorn, with malformed messages refused and counted."""
+"""HTTP server: hypercorn with counted refusals and a graceful stop."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 from starlette.types import ASGIApp
 import trio
 
-from crocusrouter.http import listening
+from crocusrouter.http import listener_filter
 from crocusrouter.outcomes import Refusal
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.outcomes import render_refusal
@@ -25,13 +25,13 @@
 _KEEP_ALIVE_S = 30.0
 _MAX_REQUESTS_PER_CONNECTION = 100_000
 _MAX_HEADER_BYTES = 16 << 10
-# Time for the accept loop to empty a listener's queue before it is closed;
-# an accept takes well under a millisecond.
-_EMPTY_QUEUE_S = 0.05
-# Time for a caller that has just connected to send its request.
-_FIRST_REQUEST_S = 0.3
-_PROTOCOL_NAME = "H11Protocol"
-_SERVER_NAME = "TCPServer"
+# Time for the accept loop to empty a listener's queue before the listener is
+# closed; one accept takes well under a millisecond.
+_DRAIN_ACCEPT_QUEUE_S = 0.05
+# Time that a caller has to send its first request after it has connected.
+_FIRST_REQUEST_TIMEOUT_S = 0.3
+_PROTOCOL_CLASS = "H11Protocol"
+_SERVER_CLASS = "TCPServer"
 
 
 def build_config(
@@ -41,7 +41,7 @@
 
     Args:
         listen: "IP:port".
-        stop_timeout_s: How long a planned stop waits for open requests.
+        stop_timeout_s: Seconds that a planned stop waits for open requests.
         metrics: Counts malformed messages.
     """
     config = hypercorn.Config()
@@ -60,9 +60,9 @@
 class RefusingProtocol(hypercorn.protocol.h11.H11Protocol):
     """Answers malformed messages with a counted, typed refusal.
 
-    hypercorn answers them itself, with an empty body, before any application
-    code runs; operators then couldn't see them and callers couldn't tell
-    what to mend.
+    By default hypercorn answers them with an empty body, before any application
+    code runs: operators wouldn't see them, and callers wouldn't learn what to
+    correct.
     """
 
     async def _send_error_response(self, status_code: int) -> None:
@@ -85,11 +85,12 @@
 
 
 class GuardedServer(hypercorn.trio.tcp_server.TCPServer):
-    """Serves one connection; a failure there ends that connection only.
+    """Serves one connection; a failure ends only that connection.
 
     A caller that closes in the middle of a chunked body can make hypercorn
-    send and close at the same time, which trio refuses. The error would pass
-    through the listener's nursery and end the whole entry.
+    send and close at the same time, for which trio raises an error. Uncaught,
+    the error would propagate through the listener's nursery and end the whole
+    entry.
     """
 
     async def run(self) -> None:
@@ -105,22 +106,26 @@
             await trio.aclose_forcefully(self.stream)
 
     async def _idle_timeout(self) -> None:
-        """Close an idle connection, at a stop not before its first request.
+        """Close an idle connection; at a stop, wait for its first request.
 
-        A caller that connected just before the stop is about to send. Closed
-        at once, it could not tell whether its request was read.
+        A caller that connected just before the stop may be about to send its
+        request. If its connection were closed at once, the caller couldn't
+        tell whether the request was read.
         """
         with trio.move_on_after(self.config.keep_alive_timeout):
             await self.context.terminated.wait()
-            first_until = self._opened_at + _FIRST_REQUEST_S
-            await trio.sleep_until(max(first_until, trio.current_time()))
+            first_request_deadline = self._opened_at + _FIRST_REQUEST_TIMEOUT_S
+            await trio.sleep_until(
+                max(first_request_deadline, trio.current_time())
+            )
         with trio.CancelScope(shield=True):
             await self._initiate_server_close()
 
 
-# hypercorn names these classes in one place each and has no setting for them.
-setattr(hypercorn.protocol, _PROTOCOL_NAME, RefusingProtocol)
-setattr(hypercorn.trio.run, _SERVER_NAME, GuardedServer)
+# hypercorn has no setting to replace these classes, but looks each of them up
+# in one place.
+setattr(hypercorn.protocol, _PROTOCOL_CLASS, RefusingProtocol)
+setattr(hypercorn.trio.run, _SERVER_CLASS, GuardedServer)
 
 
 async def serve_http(
@@ -129,7 +134,7 @@
     shutdown_trigger: Callable[..., Awaitable[None]],
     task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve `app` until `shutdown_trigger` returns and requests are done."""
+    """Serve `app` until `shutdown_trigger` returns and open requests end."""
     sockets = config.create_sockets()
     listeners = sockets.insecure_sockets
     for listener in listeners:
@@ -138,8 +143,8 @@
     async def stop_listening() -> None:
         await shutdown_trigger()
         for listener in listeners:
-            listening.refuse_connections(listener)
-        await trio.sleep(_EMPTY_QUEUE_S)
+            listener_filter.drop_new_connections(listener)
+        await trio.sleep(_DRAIN_ACCEPT_QUEUE_S)
 
     await hypercorn.trio.run.worker_serve(
         hypercorn.utils.wrap_app(
--- a/crocusrouter/http/tests/test_queue_calls.py
+++ b/crocusrouter/http/tests/test_queue_calls.py
@@ -1,4 +1,4 @@
-"""What callers of queues hear, and that every refusal is counted."""
+"""Checks the answers to calls on queues and the counters of refusals."""
 
 import contextlib
 
@@ -13,15 +13,15 @@
 
 _READY_PORT = 8001
 _METRICS_PORT = 8002
-_ID = "0123456789abcdef"
+_JOB_ID = "0123456789abcdef"
 _STEP = {"count": 1, "cpu": 1000, "mem_mb": 100, "est_duration_ms": 500}
-_JOB = {"spec": "text", "steps": [_STEP]}
+_JOB_BODY = {"spec": "text", "steps": [_STEP]}
 
-# Reasons that only these calls can cause.
+# Reasons that only calls on queues can cause.
 REASONS = frozenset({RefusalReason.UNKNOWN_QUEUE})
 
 
-class _Entry:
+class _ServedEntry:
     """One emulated entry behind its ASGI application."""
 
     def __init__(self, cluster):
@@ -49,7 +49,7 @@
             "scheme": "http",
             "http_version": "1.1",
         }
-        parts = [
+        request_messages = [
             {
                 "type": "http.request",
                 "body": content,
@@ -57,33 +57,35 @@
             }
             for number in range(chunks)
         ]
-        sent = []
+        response_messages = []
 
         async def receive():
-            return parts.pop(0)
+            return request_messages.pop(0)
 
         async def send(message):
-            sent.append(message)
+            response_messages.append(message)
 
         await self.app(scope, receive, send)
-        data = b"".join(part.get("body", b"") for part in sent[1:])
-        headers = dict(sent[0]["headers"])
-        return sent[0]["status"], headers, data
+        data = b"".join(
+            message.get("body", b"") for message in response_messages[1:]
+        )
+        headers = dict(response_messages[0]["headers"])
+        return response_messages[0]["status"], headers, data
 
 
 @contextlib.asynccontextmanager
 async def _serve():
-    held = clusters.Cluster(1)
+    cluster = clusters.Cluster(1)
     async with trio.open_nursery() as nursery:
-        await nursery.start(held.run)
+        await nursery.start(cluster.run)
         await trio.sleep(3.0)
-        yield _Entry(held)
+        yield _ServedEntry(cluster)
         nursery.cancel_scope.cancel()
 
 
 _REFUSED = [
-    # (change of the call, status, reason)
-    ({"path": f"/x/{_ID}"}, 404, RefusalReason.UNKNOWN_QUEUE),
+    # (changes to a valid call, status, reason)
+    ({"path": f"/x/{_JOB_ID}"}, 404, RefusalReason.UNKNOWN_QUEUE),
     ({"host": "other"}, 404, RefusalReason.UNKNOWN_QUEUE),
     ({"key": ""}, 401, RefusalReason.UNAUTHENTICATED),
     ({"key": "zz"}, 401, RefusalReason.UNAUTHENTICATED),
@@ -94,7 +96,7 @@
     ({"body": b"{"}, 400, RefusalReason.MALFORMED_JSON),
     ({"body": {"steps": []}}, 400, RefusalReason.INVALID_DOCUMENT),
     (
-        {"body": _JOB | {"spec": "x" * 4001}},
+        {"body": _JOB_BODY | {"spec": "x" * 4001}},
         400,
         RefusalReason.INVALID_DOCUMENT,
     ),
@@ -116,89 +118,97 @@
 async def test_refused_call_is_typed_and_counted(
     change, status, reason, autojump_clock
 ):
-    call = {"method": "POST", "path": f"/q/{_ID}", "body": _JOB} | change
-    async with _serve() as served:
-        answered, _, data = await served.ask(**call)
-        counted = served.entry.metrics.counts[f"refused:{reason}"]
-    assert answered == status
+    call = {
+        "method": "POST",
+        "path": f"/q/{_JOB_ID}",
+        "body": _JOB_BODY,
+    } | change
+    async with _serve() as served_entry:
+        answered_status, _, data = await served_entry.ask(**call)
+        refusal_count = served_entry.entry.metrics.counts[f"refused:{reason}"]
+    assert answered_status == status
     assert orjson.loads(data)["reason"] == reason
-    assert counted == 1
+    assert refusal_count == 1
 
 
 def test_all_reasons_of_these_calls_are_in_the_table():
     assert {reason for _, _, reason in _REFUSED} >= REASONS
 
 
-async def test_job_from_hand_in_to_end(autojump_clock):
-    async with _serve() as served:
-        cluster = served.cluster
+async def test_job_from_submission_to_cancellation(autojump_clock):
+    async with _serve() as served_entry:
+        cluster = served_entry.cluster
         load = emulator.Load(poison=0.0).draw(1)
-        cluster.oracle.jobs[_ID] = load[0][1]
-        status, _, _ = await served.ask("POST", f"/q/{_ID}", _JOB)
+        cluster.oracle.jobs[_JOB_ID] = load[0][1]
+        status, _, _ = await served_entry.ask(
+            "POST", f"/q/{_JOB_ID}", _JOB_BODY
+        )
         assert status == 200
-        again, _, _ = await served.ask("POST", f"/q/{_ID}", _JOB)
-        assert again == 200
+        second_status, _, _ = await served_entry.ask(
+            "POST", f"/q/{_JOB_ID}", _JOB_BODY
+        )
+        assert second_status == 200
         await trio.sleep(0.1)
-        _, _, state = await served.ask("GET", f"/q/{_ID}")
+        _, _, state = await served_entry.ask("GET", f"/q/{_JOB_ID}")
         assert orjson.loads(state) in (
             {"state": "queued"},
             {"state": "running"},
         )
-        status, _, _ = await served.ask("DELETE", f"/q/{_ID}")
+        status, _, _ = await served_entry.ask("DELETE", f"/q/{_JOB_ID}")
         assert status == 200
         await trio.sleep(0.5)
-        _, _, state = await served.ask("GET", f"/q/{_ID}")
+        _, _, state = await served_entry.ask("GET", f"/q/{_JOB_ID}")
         assert orjson.loads(state) == {"state": "cancelled"}
-        _, _, count = await served.ask("GET", "/q/")
+        _, _, count = await served_entry.ask("GET", "/q/")
         assert orjson.loads(count) == {"pending": 0}
 
 
-async def test_stale_configuration_refuses_with_a_time_to_come_back(
+async def test_stale_configuration_refuses_with_retry_after(
     autojump_clock,
 ):
-    """A key is taken away while an entry reaches neither store nor peers.
+    """A key may be revoked while an entry reaches neither store nor peers.
 
-    It must not go on answering by what it knew: after five seconds callers
-    hear 503 and when to come back, and the balancer hears "not ready".
+    The entry must not keep using its stale configuration: after five seconds
+    it answers 503 with a Retry-After, and reports that it isn't ready.
     """
-    async with _serve() as served:
-        cluster = served.cluster
+    async with _serve() as served_entry:
+        cluster = served_entry.cluster
         cluster.store.turned_away["e0"] = emulator.StoreFault.SILENT
         cluster.cut_off.add("e0")
         await trio.sleep(6.5)
-        status, headers, _ = await served.ask("GET", f"/q/{_ID}")
-        ready, _, _ = await served.ask("GET", "/ready", port=_READY_PORT)
+        status, headers, _ = await served_entry.ask("GET", f"/q/{_JOB_ID}")
+        ready, _, _ = await served_entry.ask("GET", "/ready", port=_READY_PORT)
     assert status == 503
     assert headers[b"retry-after"] == b"1"
     assert ready == 503
 
 
-async def test_cancel_during_an_outage_is_told_to_come_back(autojump_clock):
-    """The store is away for seconds. A cancel that is told 504 is asked
-    again every half second, by every caller, at every entry.
+async def test_cancel_during_an_outage_gets_retry_after(autojump_clock):
+    """Callers repeat a cancel that got 504 every half second at every entry.
 
-    Nothing was tried, so 503 is true, and says when to come back.
+    During an outage of the store no write was tried, so the entry can answer
+    503, whose Retry-After limits the rate of repetitions.
     """
-    async with _serve() as served:
-        served.cluster.store.fault = emulator.StoreFault.BUSY
+    async with _serve() as served_entry:
+        served_entry.cluster.store.fault = emulator.StoreFault.BUSY
         await trio.sleep(1.0)
-        status, headers, _ = await served.ask("DELETE", f"/q/{_ID}")
+        status, headers, _ = await served_entry.ask("DELETE", f"/q/{_JOB_ID}")
     assert status == 503
     assert headers[b"retry-after"] == b"1"
 
 
 async def test_configuration_comes_from_a_peer(autojump_clock):
-    """The store turns an entry away while a key is taken away.
+    """A key is revoked while the store rejects one entry's calls.
 
-    Its heartbeats with peers bring the new version within their interval.
+    That entry gets the new configuration from its peers' heartbeats.
     """
-    async with _serve() as served:
-        cluster = served.cluster
+    async with _serve() as served_entry:
+        cluster = served_entry.cluster
         cluster.store.turned_away["e0"] = emulator.StoreFault.BUSY
         await trio.sleep(1.0)
         cluster.put_config({"b": 8})
         await trio.sleep(2.0)
-        status, _, _ = await served.ask("GET", f"/q/{_ID}", key="a")
+        status, _, _ = await served_entry.ask("GET", f"/q/{_JOB_ID}", key="a")
     assert status == 401
 
 
@@ -206,47 +216,53 @@
     ("port", "expected"),
     [(_READY_PORT, b""), (_METRICS_PORT, b"crocusrouter_")],
 )
-async def test_ports_of_the_platform(port, expected, autojump_clock):
-    async with _serve() as served:
-        status, _, data = await served.ask("GET", "/any", port=port)
+async def test_ready_and_metrics_ports(port, expected, autojump_clock):
+    async with _serve() as served_entry:
+        status, _, data = await served_entry.ask("GET", "/any", port=port)
     assert status == 200
     assert expected in data
 
 
-# A caller gives a job up although the store comes back: it asks four times
-# more, a second apart as it was told, and the outage lasts 4.2 s. It is told
-# to come back after as long as the outage has lasted already.
+# A caller retries four times. With a fixed Retry-After of one second it would
+# give up a job in an outage of 4.2 s. So the Retry-After grows with the time
+# that the outage has lasted.
 @pytest.mark.parametrize(
-    ("after_s", "told"), [(0.6, b"1"), (2.7, b"3"), (9.0, b"4")]
+    ("outage_s", "retry_after"), [(0.6, b"1"), (2.7, b"3"), (9.0, b"4")]
 )
-async def test_longer_outage_is_told_by_a_later_return(
-    after_s, told, autojump_clock
+async def test_retry_after_grows_with_the_outage(
+    outage_s, retry_after, autojump_clock
 ):
-    async with _serve() as served:
-        served.cluster.store.fault = emulator.StoreFault.BUSY
-        # Something fails at once: a renewal, a watch, or this call.
-        await served.ask("POST", "/q/00000000000000ff", _JOB)
-        await trio.sleep(after_s)
-        status, headers, _ = await served.ask("POST", f"/q/{_ID}", _JOB)
+    async with _serve() as served_entry:
+        served_entry.cluster.store.fault = emulator.StoreFault.BUSY
+        # This call detects the outage, unless a renewal or a watch already did.
+        await served_entry.ask("POST", "/q/00000000000000ff", _JOB_BODY)
+        await trio.sleep(outage_s)
+        status, headers, _ = await served_entry.ask(
+            "POST", f"/q/{_JOB_ID}", _JOB_BODY
+        )
     assert status == 503
-    assert headers[b"retry-after"] == told
+    assert headers[b"retry-after"] == retry_after
 
 
-async def test_caller_that_heeds_is_served_after_an_outage(autojump_clock):
-    """Callers as the users describe them: four tries after the first, each
-    after the time that the one before was told.
-    """
-    async with _serve() as served:
-        served.cluster.store.fault = emulator.StoreFault.BUSY
+async def test_caller_that_obeys_retry_after_is_served_after_an_outage(
+    autojump_clock,
+):
+    """The users' callers make four more tries, each after the Retry-After."""
+    async with _serve() as served_entry:
+        served_entry.cluster.store.fault = emulator.StoreFault.BUSY
         statuses = []
         with trio.move_on_after(4.2) as outage:
             for _ in range(5):
-                status, headers, _ = await served.ask("POST", f"/q/{_ID}", _JOB)
+                status, headers, _ = await served_entry.ask(
+                    "POST", f"/q/{_JOB_ID}", _JOB_BODY
+                )
                 statuses.append(status)
                 await trio.sleep(float(headers[b"retry-after"]))
         assert outage.cancelled_caught
         assert len(statuses) < 5
-        served.cluster.store.fault = emulator.StoreFault.NONE
+        served_entry.cluster.store.fault = emulator.StoreFault.NONE
         await trio.sleep(1.0)
-        status, _, _ = await served.ask("POST", f"/q/{_ID}", _JOB)
+        status, _, _ = await served_entry.ask(
+            "POST", f"/q/{_JOB_ID}", _JOB_BODY
+        )
     assert status == 200
--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -1,4 +1,4 @@
-"""Every refusal and retry reason: what causes it, what it says, its counter."""
+"""Causes each refusal and retry, and checks its answer and its counter."""
 
 import pytest
 import trio
@@ -18,17 +18,17 @@
 from standins import worker
 from standins import world as worlds
 
-_SLOW = {"item": 1, "work_s": 0.5}
+_SLOW_BODY = {"item": 1, "work_s": 0.5}
 
 
-def _write(world, key, value):
-    """Write a record as some other entry would have."""
+def _write_record(world, key, value):
+    """Write a record as another entry would write it."""
     data = records.wrap(codec.pack(value), records.new_write_id(), ())
     world.store.put(wire.encode(key), wire.encode(data))
 
 
-def _set_store(world, fault, **more):
-    world.store.switch = store_standin.Switch(fault, **more)
+def _set_store_fault(world, fault, **options):
+    world.store.switch = store_standin.Switch(fault, **options)
 
 
 async def _reserve(world, key="k1", document=None, **headers):
@@ -60,7 +60,7 @@
     return worlds.Reply(int(head.split()[1]), {}, orjson.loads(body))
 
 
-async def _malformed_http(world):
+async def _cause_malformed_http(world):
     return await _send_raw(
         world,
         b"POST /v1/requests/match HTTP/1.1\r\nHost: x\r\n"
@@ -68,82 +68,86 @@
     )
 
 
-async def _malformed_json(world):
+async def _cause_malformed_json(world):
     return await world.ask("POST", "/v1/requests/match", body=b"{")
 
 
-async def _malformed_header(world):
+async def _cause_malformed_header(world):
     return await _match(world, Request_Timeout="soon")
 
 
-async def _invalid_document(world):
+async def _cause_invalid_document(world):
     return await world.put_template(surprise=1)
 
 
-async def _body_too_large(world):
+async def _cause_body_too_large(world):
     return await world.ask("POST", "/v1/requests/match", body=b"1" * 3_000_000)
 
 
-async def _unauthenticated(world):
+async def _cause_unauthenticated(world):
     return await world.ask("POST", "/v1/requests/match", {}, key="wrong")
 
 
-async def _unknown_kind(world):
+async def _cause_unknown_kind(world):
     return await world.ask("POST", "/v1/requests/nothing", {})
 
 
-async def _unknown_customer(world):
+async def _cause_unknown_customer(world):
     return await world.ask(
         "GET", "/v1/templates/nobody", key=worlds.OPERATOR_KEY
     )
 
 
-async def _unknown_job(world):
+async def _cause_unknown_job(world):
     await world.wait_owned()
     return await world.ask("GET", "/v1/jobs/dc.0000")
 
 
-async def _deadline_passed(world):
+async def _cause_deadline_passed(world):
     return await _match(world, Request_Timeout="0")
 
 
-async def _deadline_unmeetable(world):
-    for held in list(world.runners)[1:]:
-        world.unlist_vm(held)
+async def _cause_deadline_unmeetable(world):
+    for runner_name in list(world.runners)[1:]:
+        world.unlist_vm(runner_name)
     entry = world.entries["e1"].entry
     await world.wait_for(lambda: len(entry.runners.list_loads("matching")) == 1)
     async with trio.open_nursery() as nursery:
         for _ in range(8):
-            nursery.start_soon(_match, world, _SLOW)
+            nursery.start_soon(_match, world, _SLOW_BODY)
         await world.wait_for(lambda: world.runners["run0"].busy == 8)
         return await _match(world, Request_Timeout="0.01")
 
 
-async def _key_reused(world):
+async def _cause_key_reused(world):
     await _reserve(world)
     return await _reserve(world, document={"item": 2})
 
 
-async def _key_in_progress(world):
+async def _cause_key_in_progress(world):
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_reserve, world, "k1", _SLOW)
+        nursery.start_soon(_reserve, world, "k1", _SLOW_BODY)
         await world.wait_for(
-            lambda: sum(r.busy for r in world.runners.values())
+            lambda: sum(
+                runner_stub.busy for runner_stub in world.runners.values()
+            )
         )
-        return await _reserve(world, document=_SLOW)
+        return await _reserve(world, document=_SLOW_BODY)
 
 
-async def _customer_limit(world):
+async def _cause_customer_limit(world):
     await world.put_template(max_in_flight=1)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_match, world, _SLOW)
+        nursery.start_soon(_match, world, _SLOW_BODY)
         await world.wait_for(
-            lambda: sum(r.busy for r in world.runners.values())
+            lambda: sum(
+                runner_stub.busy for runner_stub in world.runners.values()
+            )
         )
         return await _match(world)
 
 
-async def _no_endpoint(world):
+async def _cause_no_endpoint(world):
     for name in world.runners:
         world.unlist_vm(name)
     entry = world.entries["e1"].entry
@@ -151,47 +155,49 @@
     return await _match(world)
 
 
-async def _retry_budget_spent(world):
+async def _cause_retry_budget_spent(world):
     await world.put_template(retry_share=0.02)
-    for held in world.runners.values():
-        held.slots = 0
+    for runner_stub in world.runners.values():
+        runner_stub.slots = 0
     return await _match(world)
 
 
-async def _not_ready(world):
-    _set_store(world, store_standin.Fault.DOWN)
-    # A peer would vouch as well, so the newcomer knows none.
+async def _cause_not_ready(world):
+    _set_store_fault(world, store_standin.Fault.DOWN)
+    # A peer could confirm the configuration too, so the new entry has no peer.
     world.unlist_vm("e1")
     await world.add_entry("e2", wait=False)
     return await world.ask("POST", "/v1/requests/match", {}, entry="e2")
 
 
-async def _store_unavailable(world):
-    _set_store(world, store_standin.Fault.DOWN)
+async def _cause_store_unavailable(world):
+    _set_store_fault(world, store_standin.Fault.DOWN)
     return await _reserve(world)
 
 
-async def _owner_unavailable(world):
-    _write(world, "crocusrouter/control/owners/dc", OwnerRecord("e9", 9, 0))
+async def _cause_owner_unavailable(world):
+    _write_record(
+        world, "crocusrouter/control/owners/dc", OwnerRecord("e9", 9, 0)
+    )
     entry = world.entries["e1"].entry
     await world.wait_for(lambda: entry.configuration.find_owner("dc") == "e9")
     await world.wait_for(lambda: not entry.owned)
     return await _submit(world)
 
 
-async def _never_fits(world):
+async def _cause_never_fits(world):
     await world.wait_owned()
     return await _submit(world, accelerators=64, level="rack")
 
 
-async def _queue_full(world):
+async def _cause_queue_full(world):
     await world.put_template(max_jobs=1)
     await world.wait_owned()
     await _submit(world, run_time_s=60.0)
     return await _submit(world)
 
 
-async def _revision_conflict(world):
+async def _cause_revision_conflict(world):
     return await world.ask(
         "PUT",
         "/v1/templates/a",
@@ -201,29 +207,29 @@
     )
 
 
-async def _guarantees_do_not_fit(world):
+async def _cause_guarantees_do_not_fit(world):
     cell = {"data_centre": "dc", "level": "worker", "accelerators": 9}
     return await world.put_template(guarantee=[cell])
 
 
-async def _answer_lost(world):
-    for held in world.runners.values():
-        held.fault = runner.Fault.SILENT
+async def _cause_answer_lost(world):
+    for runner_stub in world.runners.values():
+        runner_stub.fault = runner.Fault.SILENT
     return await _reserve(world, Request_Timeout="0.2")
 
 
-async def _answer_mismatched(world):
-    for held in world.runners.values():
-        held.fault = runner.Fault.MISDIRECT
+async def _cause_answer_mismatched(world):
+    for runner_stub in world.runners.values():
+        runner_stub.fault = runner.Fault.MISDIRECT
     return await _reserve(world)
 
 
-async def _earlier_try_unknown(world):
+async def _cause_earlier_try_unknown(world):
     call = world.entries["e1"].entry.identify(
         _incoming(world, b'{"item":1}', "k1")
     )
     claim = Claim("e9", "life", call.digest)
-    _write(world, f"crocusrouter/claims/{name_claim('a', 'k1')}", claim)
+    _write_record(world, f"crocusrouter/claims/{name_claim('a', 'k1')}", claim)
     return await _reserve(world)
 
 
@@ -234,63 +240,83 @@
     return Incoming("reserve", bearer, None, key, body)
 
 
-async def _commit_unknown(world):
+async def _cause_commit_unknown(world):
     await world.wait_owned()
-    _set_store(world, store_standin.Fault.LOSE_ANSWERS)
+    _set_store_fault(world, store_standin.Fault.LOSE_ANSWERS)
     return await _submit(world)
 
 
 _REFUSALS = {
-    RefusalReason.MALFORMED_HTTP: (_malformed_http, 400, "not-run"),
-    RefusalReason.MALFORMED_JSON: (_malformed_json, 400, "not-run"),
-    RefusalReason.MALFORMED_HEADER: (_malformed_header, 400, "not-run"),
-    RefusalReason.INVALID_DOCUMENT: (_invalid_document, 422, None),
-    RefusalReason.BODY_TOO_LARGE: (_body_too_large, 413, "not-run"),
-    RefusalReason.UNAUTHENTICATED: (_unauthenticated, 401, "not-run"),
-    RefusalReason.UNKNOWN_KIND: (_unknown_kind, 404, "not-run"),
-    RefusalReason.UNKNOWN_CUSTOMER: (_unknown_customer, 404, None),
-    RefusalReason.UNKNOWN_JOB: (_unknown_job, 404, None),
-    RefusalReason.DEADLINE_PASSED: (_deadline_passed, 408, "not-run"),
-    RefusalReason.DEADLINE_UNMEETABLE: (_deadline_unmeetable, 503, "not-run"),
-    RefusalReason.KEY_REUSED: (_key_reused, 422, "not-run"),
-    RefusalReason.KEY_IN_PROGRESS: (_key_in_progress, 409, "unknown"),
-    RefusalReason.CUSTOMER_LIMIT: (_customer_limit, 429, "not-run"),
-    RefusalReason.NO_ENDPOINT: (_no_endpoint, 503, "not-run"),
-    RefusalReason.RETRY_BUDGET_SPENT: (_retry_budget_spent, 503, "not-run"),
-    RefusalReason.NOT_READY: (_not_ready, 503, "not-run"),
-    RefusalReason.STORE_UNAVAILABLE: (_store_unavailable, 503, "unknown"),
-    RefusalReason.OWNER_UNAVAILABLE: (_owner_unavailable, 503, None),
-    RefusalReason.NEVER_FITS: (_never_fits, 422, None),
-    RefusalReason.QUEUE_FULL: (_queue_full, 429, None),
-    RefusalReason.REVISION_CONFLICT: (_revision_conflict, 412, None),
-    RefusalReason.GUARANTEES_DO_NOT_FIT: (_guarantees_do_not_fit, 422, None),
-    RefusalReason.ANSWER_LOST: (_answer_lost, 504, "unknown"),
-    RefusalReason.ANSWER_MISMATCHED: (_answer_mismatched, 502, "unknown"),
-    RefusalReason.EARLIER_TRY_UNKNOWN: (_earlier_try_unknown, 502, "unknown"),
-    RefusalReason.COMMIT_UNKNOWN: (_commit_unknown, 503, None),
+    RefusalReason.MALFORMED_HTTP: (_cause_malformed_http, 400, "not-run"),
+    RefusalReason.MALFORMED_JSON: (_cause_malformed_json, 400, "not-run"),
+    RefusalReason.MALFORMED_HEADER: (_cause_malformed_header, 400, "not-run"),
+    RefusalReason.INVALID_DOCUMENT: (_cause_invalid_document, 422, None),
+    RefusalReason.BODY_TOO_LARGE: (_cause_body_too_large, 413, "not-run"),
+    RefusalReason.UNAUTHENTICATED: (_cause_unauthenticated, 401, "not-run"),
+    RefusalReason.UNKNOWN_KIND: (_cause_unknown_kind, 404, "not-run"),
+    RefusalReason.UNKNOWN_CUSTOMER: (_cause_unknown_customer, 404, None),
+    RefusalReason.UNKNOWN_JOB: (_cause_unknown_job, 404, None),
+    RefusalReason.DEADLINE_PASSED: (_cause_deadline_passed, 408, "not-run"),
+    RefusalReason.DEADLINE_UNMEETABLE: (
+        _cause_deadline_unmeetable,
+        503,
+        "not-run",
+    ),
+    RefusalReason.KEY_REUSED: (_cause_key_reused, 422, "not-run"),
+    RefusalReason.KEY_IN_PROGRESS: (_cause_key_in_progress, 409, "unknown"),
+    RefusalReason.CUSTOMER_LIMIT: (_cause_customer_limit, 429, "not-run"),
+    RefusalReason.NO_ENDPOINT: (_cause_no_endpoint, 503, "not-run"),
+    RefusalReason.RETRY_BUDGET_SPENT: (
+        _cause_retry_budget_spent,
+        503,
+        "not-run",
+    ),
+    RefusalReason.NOT_READY: (_cause_not_ready, 503, "not-run"),
+    RefusalReason.STORE_UNAVAILABLE: (_cause_store_unavailable, 503, "unknown"),
+    RefusalReason.OWNER_UNAVAILABLE: (_cause_owner_unavailable, 503, None),
+    RefusalReason.NEVER_FITS: (_cause_never_fits, 422, None),
+    RefusalReason.QUEUE_FULL: (_cause_queue_full, 429, None),
+    RefusalReason.REVISION_CONFLICT: (_cause_revision_conflict, 412, None),
+    RefusalReason.GUARANTEES_DO_NOT_FIT: (
+        _cause_guarantees_do_not_fit,
+        422,
+        None,
+    ),
+    RefusalReason.ANSWER_LOST: (_cause_answer_lost, 504, "unknown"),
+    RefusalReason.ANSWER_MISMATCHED: (_cause_answer_mismatched, 502, "unknown"),
+    RefusalReason.EARLIER_TRY_UNKNOWN: (
+        _cause_earlier_try_unknown,
+        502,
+        "unknown",
+    ),
+    RefusalReason.COMMIT_UNKNOWN: (_cause_commit_unknown, 503, None),
 }
 
 
-# The other reasons are in the table of the calls on queues.
+# test_queue_calls covers the other reasons.
 @pytest.mark.parametrize(
     "reason",
-    [r for r in RefusalReason if r not in test_queue_calls.REASONS],
+    [
+        reason
+        for reason in RefusalReason
+        if reason not in test_queue_calls.REASONS
+    ],
 )
 async def test_refusal_is_typed_and_counted(reason):
-    cause, status, outcome = _REFUSALS[reason]
+    cause_refusal, status, outcome = _REFUSALS[reason]
     options = {}
     if reason is RefusalReason.OWNER_UNAVAILABLE:
         options = {"owner_ttl_s": 5.0, "task_lease_s": 10.0}
     async with worlds.open_world(**options) as world:
         await world.put_template()
-        reply = await cause(world)
+        reply = await cause_refusal(world)
         assert reply.status == status, reply.document
         assert reply.document["reason"] == str(reason)
         assert reply.document["remedy"]
         assert reply.document.get("outcome") == outcome
         counts = sum(
-            served.entry.metrics.counts[f"refused:{reason}"]
-            for served in world.entries.values()
+            emulated_entry.entry.metrics.counts[f"refused:{reason}"]
+            for emulated_entry in world.entries.values()
         )
         assert counts == 1
         exposed = await world.ask(
@@ -301,53 +327,55 @@
         )
 
 
-async def _close_unread(stream):
+async def _close_without_answer(stream):
     async with stream:
         await stream.receive_some(1)
 
 
-async def _endpoint_unreachable(world):
+async def _cause_endpoint_unreachable(world):
     [port] = ports.find_ports(1)
     world.list_vm("run0", "runner", port, service="matching", slots=8)
     world.unlist_vm("run1")
-    await _wait_one_runner(world)
+    await _wait_for_one_runner(world)
     return await _match(world, Request_Timeout="0.5")
 
 
-async def _wait_one_runner(world):
+async def _wait_for_one_runner(world):
     entry = world.entries["e1"].entry
     await world.wait_for(lambda: len(entry.runners.list_loads("matching")) == 1)
 
 
-async def _endpoint_refused(world):
-    for held in world.runners.values():
-        held.slots = 0
+async def _cause_endpoint_refused(world):
+    for runner_stub in world.runners.values():
+        runner_stub.slots = 0
     return await _match(world, Request_Timeout="0.3")
 
 
-async def _retry_answer_lost(world):
+async def _cause_retry_answer_lost(world):
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
-    world.nursery.start_soon(trio.serve_listeners, _close_unread, listeners)
+    world.nursery.start_soon(
+        trio.serve_listeners, _close_without_answer, listeners
+    )
     world.list_vm("run0", "runner", port, service="matching", slots=8)
     world.unlist_vm("run1")
-    await _wait_one_runner(world)
+    await _wait_for_one_runner(world)
     return await _match(world, Request_Timeout="0.5")
 
 
-async def _retry_mismatched(world):
-    for held in world.runners.values():
-        held.fault = runner.Fault.MISDIRECT
+async def _cause_retry_mismatched(world):
+    for runner_stub in world.runners.values():
+        runner_stub.fault = runner.Fault.MISDIRECT
     return await _match(world, Request_Timeout="0.3")
 
 
-async def _store_answer_lost(world):
-    _set_store(world, store_standin.Fault.LOSE_ANSWERS, share=0.5)
+async def _cause_store_answer_lost(world):
+    _set_store_fault(world, store_standin.Fault.LOSE_ANSWERS, share=0.5)
     for number in range(8):
         await _reserve(world, f"key-{number}")
 
 
-async def _worker_lost(world):
+async def _cause_worker_lost(world):
     await world.wait_owned()
     reply = await _submit(world, run_time_s=60.0)
     owner = world.entries["e1"].entry.owned["dc"]
@@ -357,36 +385,36 @@
     await world.wait_for(lambda: owner.book.jobs[job_id].losses == 1)
 
 
-async def _worker_declined(world):
-    for held in world.workers.values():
-        held.accelerators = 0
+async def _cause_worker_declined(world):
+    for worker_stub in world.workers.values():
+        worker_stub.accelerators = 0
     await world.wait_owned()
     await _submit(world)
-    await _wait_retried(world, RetryReason.WORKER_DECLINED)
+    await _wait_for_retry(world, RetryReason.WORKER_DECLINED)
 
 
-async def _task_failed(world):
-    for held in world.workers.values():
-        held.fault = worker.Fault.FAIL_TASKS
+async def _cause_task_failed(world):
+    for worker_stub in world.workers.values():
+        worker_stub.fault = worker.Fault.FAIL_TASKS
     await world.wait_owned()
     await _submit(world)
-    await _wait_retried(world, RetryReason.TASK_FAILED)
+    await _wait_for_retry(world, RetryReason.TASK_FAILED)
 
 
-async def _wait_retried(world, reason):
+async def _wait_for_retry(world, reason):
     counts = world.entries["e1"].entry.metrics.counts
     await world.wait_for(lambda: counts[f"retried:{reason}"])
 
 
 _RETRIES = {
-    RetryReason.ENDPOINT_UNREACHABLE: _endpoint_unreachable,
-    RetryReason.ENDPOINT_REFUSED: _endpoint_refused,
-    RetryReason.ANSWER_LOST: _retry_answer_lost,
-    RetryReason.ANSWER_MISMATCHED: _retry_mismatched,
-    RetryReason.STORE_ANSWER_LOST: _store_answer_lost,
-    RetryReason.WORKER_LOST: _worker_lost,
-    RetryReason.WORKER_DECLINED: _worker_declined,
-    RetryReason.TASK_FAILED: _task_failed,
+    RetryReason.ENDPOINT_UNREACHABLE: _cause_endpoint_unreachable,
+    RetryReason.ENDPOINT_REFUSED: _cause_endpoint_refused,
+    RetryReason.ANSWER_LOST: _cause_retry_answer_lost,
+    RetryReason.ANSWER_MISMATCHED: _cause_retry_mismatched,
+    RetryReason.STORE_ANSWER_LOST: _cause_store_answer_lost,
+    RetryReason.WORKER_LOST: _cause_worker_lost,
+    RetryReason.WORKER_DECLINED: _cause_worker_declined,
+    RetryReason.TASK_FAILED: _cause_task_failed,
 }
 
 
