--- a/crocusrouter/cli/__init__.py
+++ b/crocusrouter/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line for operators and callers."""
+"""Command line: serves entries, and calls them for operators and callers."""
--- a/crocusrouter/cli/client.py
+++ b/crocusrouter/cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the command line."""
+"""HTTP client of the commands that call an entry."""
 
 import dataclasses
 from typing import Any
@@ -7,16 +7,16 @@
 import orjson
 
 _TIMEOUT_S = 10.0
-_FIRST_ERROR = 400
+_FIRST_ERROR_STATUS = 400
 
 
 class UnreachableError(Exception):
-    """The entry gave no answer; the message names the remedy."""
+    """The entry didn't answer; the message names the remedy."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """An answer of an entry.
+    """The HTTP response of an entry.
 
     Attributes:
         status: HTTP status.
@@ -30,18 +30,18 @@
 
     @property
     def is_refusal(self) -> bool:
-        """Whether the entry refused."""
-        return self.status >= _FIRST_ERROR
+        """Whether the entry refused the request."""
+        return self.status >= _FIRST_ERROR_STATUS
 
 
 class Client:
-    """Asks one entry, or the balancer before all of them."""
+    """Sends requests to one entry, or to the balancer of all entries."""
 
     def __init__(self, entry: str, key: str) -> None:
         self._entry = entry.rstrip("/")
         self._key = key
 
-    def ask(
+    def send(
         self,
         method: str,
         path: str,
@@ -51,19 +51,19 @@
         """Send one request and return the answer.
 
         Raises:
-            UnreachableError: No answer.
+            UnreachableError: The entry didn't answer.
         """
-        sent = {"Authorization": f"Bearer {self._key}"} | (headers or {})
+        all_headers = {"Authorization": f"Bearer {self._key}"} | (headers or {})
         if body is not None:
-            sent["Content-Type"] = "application/json"
-        names = ("connect", "read", "write", "pool")
+            all_headers["Content-Type"] = "application/json"
+        phases = ("connect", "read", "write", "pool")
         try:
             response = httpcore.request(
                 method,
                 self._entry + path,
-                headers=list(sent.items()),
+                headers=list(all_headers.items()),
                 content=body,
-                extensions={"timeout": dict.fromkeys(names, _TIMEOUT_S)},
+                extensions={"timeout": dict.fromkeys(phases, _TIMEOUT_S)},
             )
         except (
             httpcore.NetworkError,
@@ -72,7 +72,7 @@
             httpcore.UnsupportedProtocol,
         ) as error:
             raise UnreachableError(
-                f"{self._entry} gave no answer ({type(error).__name__}). "
+                f"{self._entry} didn't answer ({type(error).__name__}). "
                 "Check --entry or CROCUSROUTER_ENTRY."
             ) from error
         return Reply(
--- a/crocusrouter/cli/entry.py
+++ b/crocusrouter/cli/entry.py
@@ -1,15 +1,15 @@
-"""The `entry` command: one entry on the users' platform."""
+"""The `entry` command: runs one entry on the users' platform."""
 
 import sys
 from typing import Annotated
 
 import typer
 
-from crocusrouter.cli import exits
+from crocusrouter.cli import exit_codes
 
 
 def add_entry(app: typer.Typer) -> None:
-    """Add the command."""
+    """Add the `entry` command."""
     app.command("entry")(run_entry)
 
 
@@ -24,8 +24,8 @@
     """Run one entry on the users' platform.
 
     Settings come from the file named by CROCUSROUTER_CONFIG and from
-    CROCUSROUTER_* variables, which go first. All are checked before a port
-    is opened.
+    CROCUSROUTER_* variables, which take precedence. All are checked before a
+    port is opened.
 
     Example: CROCUSROUTER_CONFIG=/etc/crocusrouter/boot.toml crocusrouter entry
     """
@@ -34,11 +34,11 @@
     from crocusrouter import settings
     from crocusrouter.cli import entry_service
 
-    given = {"name": name} if name is not None else {}
+    given_flags = {"name": name} if name is not None else {}
     try:
-        loaded = settings.load_entry_settings(given)
+        entry_settings = settings.load_entry_settings(given_flags)
     except settings.WrongSettingsError as error:
         print(f"wrong settings:\n{error}", file=sys.stderr)
-        raise typer.Exit(exits.Exit.WRONG_USAGE) from error
+        raise typer.Exit(exit_codes.ExitCode.WRONG_USAGE) from error
     if not check:
-        trio.run(entry_service.serve, loaded)
+        trio.run(entry_service.serve, entry_settings)
--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -1,4 +1,4 @@
-"""The life of one `entry` process, from start to planned stop."""
+"""Runs the process of `crocusrouter entry` from start to planned stop."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -22,39 +22,40 @@
 from crocusrouter.telemetry import open_log
 from crocusrouter.work import orders
 
-_STOPS = (signal.SIGTERM, signal.SIGINT)
-# The balancer asks each second and drops an entry after two misses; callers
-# whom it still sends are served meanwhile.
-_LAME_DUCK_S = 2.6
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+# The balancer checks readiness each second and removes an entry after two
+# failed checks; callers that it sends in that time are still served.
+_DRAIN_S = 2.6
 _STOP_TIMEOUT_S = 1.5
-_SETTINGS_POLL_S = 2.0
-_RETRY_S = 0.2
+_SETTINGS_POLL_INTERVAL_S = 2.0
+_SECRET_RETRY_S = 0.2
 
 
-async def serve(loaded: settings.EntrySettings) -> None:
-    """Serve until SIGTERM, then stop without cutting a request."""
-    open_log(loaded.name, sys.stdout)
+async def serve(entry_settings: settings.EntrySettings) -> None:
+    """Serve until SIGTERM or SIGINT, then stop once open requests end."""
+    open_log(entry_settings.name, sys.stdout)
     metrics = Metrics()
-    store = platform.PlatformStore(loaded.store_address, metrics)
-    log("entry:starting", settings=loaded.model_dump())
-    stopped = trio.Event()
-    with trio.open_signal_receiver(*_STOPS, signal.SIGHUP) as signals:
+    store = platform.PlatformStore(entry_settings.store_address, metrics)
+    log("entry:starting", settings=entry_settings.model_dump())
+    stop_event = trio.Event()
+    with trio.open_signal_receiver(*_STOP_SIGNALS, signal.SIGHUP) as signals:
         async with trio.open_nursery() as nursery:
-            entry = _build_entry(loaded, store, metrics)
-            nursery.start_soon(_run_entry, entry, loaded, store)
-            nursery.start_soon(_take_signals, signals, entry, stopped)
-            nursery.start_soon(_watch_settings, loaded)
-            # Callers are answered before the store is: while it was away, an
-            # entry that came up took no connection, and callers had used their
-            # tries up within a second instead of hearing when to come back.
+            entry = _build_entry(entry_settings, store, metrics)
+            nursery.start_soon(_run_entry, entry, entry_settings, store)
+            nursery.start_soon(_handle_signals, signals, entry, stop_event)
+            nursery.start_soon(_watch_settings, entry_settings)
+            # Callers are answered even if the store can't be reached yet. If
+            # an entry that starts during an outage of the store accepted no
+            # connections, callers would use up their tries within a second
+            # instead of receiving a Retry-After.
             await http.serve_http(
                 entry_app.build_entry_app(
                     entry,
-                    settings.parse_address(loaded.ready_listen)[1],
-                    loaded.metrics_port,
+                    settings.parse_address(entry_settings.ready_listen)[1],
+                    entry_settings.metrics_port,
                 ),
-                _build_http(loaded, metrics),
-                stopped.wait,
+                _build_http_config(entry_settings, metrics),
+                stop_event.wait,
             )
             nursery.cancel_scope.cancel()
     metrics.close()
@@ -63,60 +64,62 @@
 
 async def _run_entry(
     entry: pools.PoolEntry,
-    loaded: settings.EntrySettings,
+    entry_settings: settings.EntrySettings,
     store: platform.PlatformStore,
 ) -> None:
-    """Join the other entries as soon as the secret can be read."""
-    entry.secret = await _find_secret(store)
+    """Join the mesh of entries once the secret can be read, then run."""
+    entry.secret = await _wait_for_secret(store)
     async with trio.open_nursery() as nursery:
         await nursery.start(
             mesh.serve_mesh,
             entry.answer_peer,
-            loaded.ip,
-            loaded.mesh_port,
+            entry_settings.ip,
+            entry_settings.mesh_port,
             entry.secret,
         )
-        log("entry:started", listen=loaded.listen)
+        log("entry:started", listen=entry_settings.listen)
         await entry.run()
 
 
 def _build_entry(
-    loaded: settings.EntrySettings,
+    entry_settings: settings.EntrySettings,
     store: platform.PlatformStore,
     metrics: Metrics,
 ) -> pools.PoolEntry:
     return pools.PoolEntry(
         pools.Identity(
-            loaded.name,
-            f"{loaded.ip}:{loaded.mesh_port}",
-            loaded.cpu_share * loaded.cores,
+            entry_settings.name,
+            f"{entry_settings.ip}:{entry_settings.mesh_port}",
+            entry_settings.cpu_share * entry_settings.cores,
         ),
         store,
         pools.ConfigSource(
             platform.CONFIG_PREFIX,
             platform.CONFIG_KEY,
             platform.parse_config,
-            loaded.config_apply_ms / 1000,
+            entry_settings.config_apply_ms / 1000,
         ),
         pools.Platform(
             platform.WORKERS_PREFIX,
             platform.parse_worker,
             platform.PlatformConnection,
-            loaded.keep_jobs_s,
-            _find_policy(loaded.policy_address),
-            _find_upkeeping(loaded.vms_address),
+            entry_settings.keep_jobs_s,
+            _build_policy_factory(entry_settings.policy_address),
+            _build_upkeeping(entry_settings.vms_address),
         ),
         metrics,
     )
 
 
-def _find_policy(address: str) -> Callable[[], orders.PolicyPort] | None:
+def _build_policy_factory(
+    address: str,
+) -> Callable[[], orders.PolicyPort] | None:
     if not address:
         return None
     return lambda: platform.PlatformPolicy(address)
 
 
-def _find_upkeeping(address: str) -> pools.Upkeeping | None:
+def _build_upkeeping(address: str) -> pools.Upkeeping | None:
     if not address:
         return None
     return pools.Upkeeping(
@@ -127,82 +130,81 @@
     )
 
 
-def _build_http(
-    loaded: settings.EntrySettings, metrics: Metrics
+def _build_http_config(
+    entry_settings: settings.EntrySettings, metrics: Metrics
 ) -> hypercorn.Config:
-    config = http.build_config(loaded.listen, _STOP_TIMEOUT_S, metrics)
+    config = http.build_config(entry_settings.listen, _STOP_TIMEOUT_S, metrics)
     config.bind = [
-        loaded.listen,
-        loaded.ready_listen,
-        f"{loaded.ip}:{loaded.metrics_port}",
+        entry_settings.listen,
+        entry_settings.ready_listen,
+        f"{entry_settings.ip}:{entry_settings.metrics_port}",
     ]
     return config
 
 
-async def _find_secret(store: platform.PlatformStore) -> str:
+async def _wait_for_secret(store: platform.PlatformStore) -> str:
     while True:
         try:
             return await pools.find_secret(store)
         except stores.StoreUnavailableError as error:
             log("entry:no-secret", cause=str(error))
-            await trio.sleep(_RETRY_S)
+            await trio.sleep(_SECRET_RETRY_S)
 
 
-async def _take_signals(
-    signals: AsyncIterator[int], entry: pools.PoolEntry, stopped: trio.Event
+async def _handle_signals(
+    signals: AsyncIterator[int], entry: pools.PoolEntry, stop_event: trio.Event
 ) -> None:
-    """Turn the first stop signal into a planned stop.
+    """Start a planned stop at the first stop signal.
 
-    Supervisors send a second one. It must not cut what the first one
-    promised to finish.
+    Supervisors send a second signal; it must not abort the planned stop.
     """
     async with trio.open_nursery() as nursery:
-        async for number in signals:
-            log("entry:signal", signal=signal.Signals(number).name)
-            if number == signal.SIGHUP or entry.is_stopping:
+        async for signal_number in signals:
+            log("entry:signal", signal=signal.Signals(signal_number).name)
+            if signal_number == signal.SIGHUP or entry.is_stopping:
                 continue
             entry.is_stopping = True
-            nursery.start_soon(_stop, entry, stopped)
+            nursery.start_soon(_stop_entry, entry, stop_event)
 
 
-async def _stop(entry: pools.PoolEntry, stopped: trio.Event) -> None:
-    """Go unready, hand the pools over, serve who still comes, then close."""
-    with trio.move_on_after(_LAME_DUCK_S):
+async def _stop_entry(entry: pools.PoolEntry, stop_event: trio.Event) -> None:
+    """Release the pools, serve until the drain time ends, then close."""
+    with trio.move_on_after(_DRAIN_S):
         await entry.release_all()
         await trio.sleep_forever()
-    stopped.set()
+    stop_event.set()
 
 
-async def _watch_settings(loaded: settings.EntrySettings) -> None:
-    """Tell of changed settings.
+async def _watch_settings(entry_settings: settings.EntrySettings) -> None:
+    """Log changes of the settings file and its errors; apply nothing.
 
     Addresses of a running process don't change, and peers and store keys are
-    found in the store, so nothing has to be taken over before a restart; a
-    file that fails its checks is told at once, not at the next start.
+    found in the store, so no setting has to be applied before a restart. A file
+    that fails its checks is reported at once, not at the next start.
     """
     path = os.environ.get(settings.FILE_VARIABLE)
     if not path:
         return
-    source = pathlib.Path(path)
-    before = source.read_bytes()
+    settings_path = pathlib.Path(path)
+    known_content = settings_path.read_bytes()
     while True:
-        await trio.sleep(_SETTINGS_POLL_S)
+        await trio.sleep(_SETTINGS_POLL_INTERVAL_S)
         try:
-            text = source.read_bytes()
+            content = settings_path.read_bytes()
         except OSError as error:
             log("settings:unreadable", error=str(error))
             continue
-        if text == before:
+        if content == known_content:
             continue
-        before = text
+        known_content = content
         try:
-            fresh = settings.load_entry_settings({})
+            new_settings = settings.load_entry_settings({})
         except settings.WrongSettingsError as error:
             log("settings:wrong", error=str(error))
             continue
-        changed = {
+        changed_fields = {
             name: value
-            for name, value in fresh.model_dump().items()
-            if value != getattr(loaded, name)
+            for name, value in new_settings.model_dump().items()
+            if value != getattr(entry_settings, name)
         }
-        log("settings:reloaded", changed=changed)
+        log("settings:reloaded", changed=changed_fields)
--- a/crocusrouter/cli/job.py
+++ b/crocusrouter/cli/job.py
@@ -1,4 +1,4 @@
-"""Commands for jobs."""
+"""The `job` commands: submit, show, list, cancel and explain jobs."""
 
 import time
 from typing import Annotated
@@ -8,15 +8,15 @@
 import typer
 
 from crocusrouter.cli import client
-from crocusrouter.cli import exits
+from crocusrouter.cli import exit_codes
 from crocusrouter.cli import options
 from crocusrouter.cli import output
 from crocusrouter.templates import Level
 
 app = typer.Typer(no_args_is_help=True, help="Submit and follow jobs.")
 
-_POLL_S = 0.2
-_FINAL = ("done", "failed", "cancelled")
+_POLL_INTERVAL_S = 0.2
+_FINAL_STATES = ("done", "failed", "cancelled")
 _COLUMNS = ("id", "kind", "state", "accelerators", "attempt", "waiting_for")
 
 
@@ -34,15 +34,15 @@
     data_centre: Annotated[str | None, typer.Option()] = None,
     payload: Annotated[str, typer.Option(help="JSON for the tasks.")] = "null",
     idempotency_key: Annotated[
-        str | None, typer.Option(help="The same key is the same job.")
+        str | None, typer.Option(help="Repeating a key returns the same job.")
     ] = None,
     as_json: options.AsJson = False,
 ) -> None:
-    """Submit a job; what is left out comes from the template.
+    """Submit a job; omitted options take the template's defaults.
 
     Example: crocusrouter job submit render --accelerators 16 --level rack
     """
-    asked = {
+    fields = {
         "kind": kind,
         "accelerators": accelerators,
         "level": level,
@@ -51,14 +51,14 @@
         "data_centre": data_centre,
         "payload": _parse_payload(payload),
     }
-    body = {name: value for name, value in asked.items() if value is not None}
+    body = {name: value for name, value in fields.items() if value is not None}
     headers = {}
     if idempotency_key is not None:
         headers["Idempotency-Key"] = idempotency_key
-    reply = client.Client(entry, key).ask(
+    reply = client.Client(entry, key).send(
         "POST", "/v1/jobs", orjson.dumps(body), headers
     )
-    _show(reply, as_json)
+    _print_reply(reply, as_json)
 
 
 @app.command("status")
@@ -66,7 +66,9 @@
     job_id: str,
     entry: options.Entry = options.DEFAULT_ENTRY,
     key: options.Key = "",
-    wait: Annotated[bool, typer.Option(help="Wait for the end.")] = False,
+    wait: Annotated[
+        bool, typer.Option(help="Wait until the job ends.")
+    ] = False,
     timeout: options.Timeout = 3600.0,
     as_json: options.AsJson = False,
 ) -> None:
@@ -74,13 +76,13 @@
 
     Example: crocusrouter job status liege.0a1b2c3d4e5f6071 --wait
     """
-    asked = client.Client(entry, key)
-    limit = time.monotonic() + timeout
-    reply = asked.ask("GET", f"/v1/jobs/{job_id}")
-    while wait and time.monotonic() < limit and not _is_final(reply):
-        time.sleep(_POLL_S)
-        reply = asked.ask("GET", f"/v1/jobs/{job_id}")
-    _show(reply, as_json)
+    api_client = client.Client(entry, key)
+    deadline = time.monotonic() + timeout
+    reply = api_client.send("GET", f"/v1/jobs/{job_id}")
+    while wait and time.monotonic() < deadline and not _is_final(reply):
+        time.sleep(_POLL_INTERVAL_S)
+        reply = api_client.send("GET", f"/v1/jobs/{job_id}")
+    _print_reply(reply, as_json)
 
 
 @app.command("list")
@@ -93,12 +95,14 @@
 
     Example: crocusrouter job list --json
     """
-    asked = client.Client(entry, key)
-    reply = output.fetch(asked, "GET", "/v1/jobs", as_json)
+    api_client = client.Client(entry, key)
+    reply = output.send_or_exit(api_client, "GET", "/v1/jobs", as_json)
     if as_json:
-        output.show_json(reply.document)
+        output.print_json(reply.document)
         return
-    rows = [[job[c] for c in _COLUMNS] for job in reply.document["jobs"]]
+    rows = [
+        [job[column] for column in _COLUMNS] for job in reply.document["jobs"]
+    ]
     output.show_table(_COLUMNS, rows)
 
 
@@ -113,8 +117,8 @@
 
     Example: crocusrouter job cancel liege.0a1b2c3d4e5f6071
     """
-    reply = client.Client(entry, key).ask("DELETE", f"/v1/jobs/{job_id}")
-    _show(reply, as_json)
+    reply = client.Client(entry, key).send("DELETE", f"/v1/jobs/{job_id}")
+    _print_reply(reply, as_json)
 
 
 @app.command("explain")
@@ -124,23 +128,23 @@
     key: options.Key = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Tell why a job waits and what happened to it.
+    """Explain why a job waits and list its events.
 
     Example: crocusrouter job explain liege.0a1b2c3d4e5f6071
     """
-    asked = client.Client(entry, key)
+    api_client = client.Client(entry, key)
     path = f"/v1/jobs/{job_id}/explain"
-    reply = output.fetch(asked, "GET", path, as_json)
+    reply = output.send_or_exit(api_client, "GET", path, as_json)
     if as_json:
-        output.show_json(reply.document)
+        output.print_json(reply.document)
         return
     job = dict(reply.document)
     events = job.pop("events")
-    output.show_fields(job)
+    output.print_fields(job)
     print()
     output.show_table(
         ["at", "what"],
-        [(output.show_time(event["at"]), event["what"]) for event in events],
+        [(output.format_time(event["at"]), event["what"]) for event in events],
     )
 
 
@@ -148,19 +152,24 @@
     try:
         return orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        output.fail(f"--payload is no JSON: {error}", exits.Exit.WRONG_USAGE)
+        output.exit_with_error(
+            f"--payload is not JSON: {error}", exit_codes.ExitCode.WRONG_USAGE
+        )
 
 
 def _is_final(reply: client.Reply) -> bool:
-    """Tell whether asking again can change nothing."""
+    """Tell whether polling again can't change the reply."""
     if reply.is_refusal:
-        return exits.choose_exit(reply.status) is exits.Exit.NOT_FOUND
-    return reply.document["state"] in _FINAL
+        return (
+            exit_codes.choose_exit_code(reply.status)
+            is exit_codes.ExitCode.NOT_FOUND
+        )
+    return reply.document["state"] in _FINAL_STATES
 
 
-def _show(reply: client.Reply, as_json: bool) -> None:
-    output.check_reply(reply, as_json)
+def _print_reply(reply: client.Reply, as_json: bool) -> None:
+    output.exit_if_refused(reply, as_json)
     if as_json:
-        output.show_json(reply.document)
+        output.print_json(reply.document)
     else:
-        output.show_fields(reply.document)
+        output.print_fields(reply.document)
--- a/crocusrouter/cli/main.py
+++ b/crocusrouter/cli/main.py
@@ -1,4 +1,4 @@
-"""The `crocusrouter` command."""
+"""The `crocusrouter` command and its subcommands."""
 
 import sys
 
@@ -7,7 +7,7 @@
 import crocusrouter
 from crocusrouter.cli import client
 from crocusrouter.cli import entry
-from crocusrouter.cli import exits
+from crocusrouter.cli import exit_codes
 from crocusrouter.cli import job
 from crocusrouter.cli import options
 from crocusrouter.cli import output
@@ -46,12 +46,14 @@
 
     Example: crocusrouter status --entry http://10.0.0.1:8080
     """
-    asked = client.Client(entry, key)
-    document = output.fetch(asked, "GET", "/v1/status", as_json).document
+    api_client = client.Client(entry, key)
+    document = output.send_or_exit(
+        api_client, "GET", "/v1/status", as_json
+    ).document
     if as_json:
-        output.show_json(document)
+        output.print_json(document)
         return
-    output.show_fields({name: document[name] for name in _STATUS_FIELDS})
+    output.print_fields({name: document[name] for name in _STATUS_FIELDS})
     print()
     output.show_table(
         ["entry", "revision"], sorted(document["revisions"].items())
@@ -59,7 +61,10 @@
     print()
     output.show_table(
         ["data centre", "owner", "epoch"],
-        [(n, o["owner"], o["epoch"]) for n, o in document["owners"].items()],
+        [
+            (name, owner["owner"], owner["epoch"])
+            for name, owner in document["owners"].items()
+        ],
     )
     print()
     output.show_table(["count", "value"], document["counts"].items())
@@ -79,9 +84,9 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line; exit with a code of `exit_codes.ExitCode`."""
     try:
         app()
     except client.UnreachableError as error:
         print(f"unreachable: {error}", file=sys.stderr)
-        sys.exit(exits.Exit.UNREACHABLE)
+        sys.exit(exit_codes.ExitCode.UNREACHABLE)
--- a/crocusrouter/cli/options.py
+++ b/crocusrouter/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Command-line options that several commands share."""
 
 from typing import Annotated
 
--- a/crocusrouter/cli/output.py
+++ b/crocusrouter/cli/output.py
@@ -1,4 +1,4 @@
-"""Output for people (tables) and for programs (JSON)."""
+"""Prints replies and errors: tables for people, JSON for programs."""
 
 from collections.abc import Sequence
 import sys
@@ -10,11 +10,11 @@
 import typer
 
 from crocusrouter.cli import client
-from crocusrouter.cli import exits
+from crocusrouter.cli import exit_codes
 
 
 def show_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print rows under column names, aligned.
+    """Print rows as an aligned table under column names.
 
     >>> show_table(["id", "state"], [["a", "done"]])
     ID  STATE
@@ -24,14 +24,16 @@
     cells += [[str(value) for value in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     for row in cells:
-        padded = (c.ljust(w) for c, w in zip(row, widths, strict=True))
+        padded = (
+            cell.ljust(width) for cell, width in zip(row, widths, strict=True)
+        )
         print("  ".join(padded).rstrip())
 
 
-def show_fields(document: dict[str, Any]) -> None:
+def print_fields(document: dict[str, Any]) -> None:
     """Print a document as "name  value" lines.
 
-    >>> show_fields({"id": "a", "state": "done"})
+    >>> print_fields({"id": "a", "state": "done"})
     id     a
     state  done
     """
@@ -40,49 +42,49 @@
         print(f"{name.ljust(width)}  {value}")
 
 
-def show_json(document: Any) -> None:
+def print_json(document: Any) -> None:
     """Print a document as one line of JSON."""
     print(orjson.dumps(document).decode())
 
 
-def show_time(at: float) -> str:
-    """Return a Unix time as UTC text.
+def format_time(at: float) -> str:
+    """Format a Unix time as UTC text.
 
-    >>> show_time(0.0)
+    >>> format_time(0.0)
     '1970-01-01 00:00:00'
     """
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(at))
 
 
-def fetch(
-    asked: client.Client,
+def send_or_exit(
+    api_client: client.Client,
     method: str,
     path: str,
     as_json: bool,
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
 ) -> client.Reply:
-    """Ask an entry; leave with the fitting exit code if it refuses."""
-    reply = asked.ask(method, path, body, headers)
-    check_reply(reply, as_json)
+    """Send a request; exit with the code of the refusal if it is refused."""
+    reply = api_client.send(method, path, body, headers)
+    exit_if_refused(reply, as_json)
     return reply
 
 
-def check_reply(reply: client.Reply, as_json: bool) -> None:
-    """Leave with the fitting exit code if the entry refused."""
+def exit_if_refused(reply: client.Reply, as_json: bool) -> None:
+    """Exit with the code of the refusal if the entry refused the request."""
     if not reply.is_refusal:
         return
     problem = reply.document if isinstance(reply.document, dict) else {}
     if as_json:
-        show_json(problem)
+        print_json(problem)
     title = problem.get("title", f"status {reply.status}")
     detail = f": {problem['detail']}" if problem.get("detail") else ""
     remedy = problem.get("remedy", "")
     print(f"refused: {title}{detail}. {remedy}".strip(), file=sys.stderr)
-    raise typer.Exit(exits.choose_exit(reply.status))
+    raise typer.Exit(exit_codes.choose_exit_code(reply.status))
 
 
-def fail(message: str, code: exits.Exit) -> NoReturn:
-    """Print a message and leave."""
+def exit_with_error(message: str, code: exit_codes.ExitCode) -> NoReturn:
+    """Print a message to stderr and exit."""
     print(message, file=sys.stderr)
     raise typer.Exit(code)
--- a/crocusrouter/cli/service.py
+++ b/crocusrouter/cli/service.py
@@ -1,4 +1,4 @@
-"""The life of one `serve` process, from start to planned stop."""
+"""Runs the process of `crocusrouter serve` from start to planned stop."""
 
 from collections.abc import AsyncIterator
 import signal
@@ -15,16 +15,17 @@
 from crocusrouter.telemetry import log
 from crocusrouter.telemetry import open_log
 
-_LAME_DUCK_S = 1.0
-_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+# Time for the balancer to stop sending callers to an entry that isn't ready.
+_DRAIN_S = 1.0
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 async def serve(settings: Settings) -> None:
-    """Serve until SIGTERM or SIGINT, then stop without cutting a request."""
+    """Serve until SIGTERM or SIGINT, then stop once open requests end."""
     open_log(settings.name)
     metrics = Metrics()
     entry = controllers.Entry(settings, metrics)
-    stopped = trio.Event()
+    stop_event = trio.Event()
     host, port = parse_address(settings.mesh_listen)
     config = http.build_config(
         settings.listen, settings.stop_timeout_s, metrics
@@ -38,38 +39,39 @@
             settings.mesh_secret,
         )
         nursery.start_soon(entry.run)
-        nursery.start_soon(_wait_for_signal, entry, stopped)
+        nursery.start_soon(_wait_for_signal, entry, stop_event)
         log("entry:started", listen=settings.listen)
-        await http.serve_http(app.build_app(entry), config, stopped.wait)
+        await http.serve_http(app.build_app(entry), config, stop_event.wait)
         nursery.cancel_scope.cancel()
-    for number in _SIGNALS:
-        signal.signal(number, signal.SIG_IGN)
+    for signal_number in _STOP_SIGNALS:
+        signal.signal(signal_number, signal.SIG_IGN)
     metrics.close()
     log("entry:stopped")
 
 
 async def _wait_for_signal(
-    entry: controllers.Entry, stopped: trio.Event
+    entry: controllers.Entry, stop_event: trio.Event
 ) -> None:
-    """Turn a signal into a planned stop.
+    """Start a planned stop at the first signal.
 
-    First not ready, so that the balancer sends new callers elsewhere, and
-    ownership given up; only then are the listeners closed. Closing at once
-    would refuse callers whom the balancer still sends here.
+    The entry first reports that it isn't ready, so that the balancer sends new
+    callers elsewhere, and releases its ownerships; only then are the
+    listeners closed. Closing them at once would refuse callers that the
+    balancer still sends to this entry.
     """
-    with trio.open_signal_receiver(*_SIGNALS) as signals:
+    with trio.open_signal_receiver(*_STOP_SIGNALS) as signals:
         async with trio.open_nursery() as nursery:
-            number = await anext(signals)
-            log("entry:stopping", signal=signal.Signals(number).name)
-            # Supervisors send a second signal. It must not cut what the first
-            # one promised to finish; trio would deliver one that nobody took
-            # to the default handler, which ends the process.
-            nursery.start_soon(_take_signals, signals)
+            signal_number = await anext(signals)
+            log("entry:stopping", signal=signal.Signals(signal_number).name)
+            # Supervisors send a second signal, which mustn't abort the planned
+            # stop. trio would pass a signal that nobody received on to the
+            # default handler, which ends the process.
+            nursery.start_soon(_log_further_signals, signals)
             await entry.release_all()
-            await trio.sleep(_LAME_DUCK_S)
-            stopped.set()
+            await trio.sleep(_DRAIN_S)
+            stop_event.set()
 
 
-async def _take_signals(signals: AsyncIterator[int]) -> None:
-    async for number in signals:
-        log("entry:already-stopping", signal=signal.Signals(number).name)
+async def _log_further_signals(signals: AsyncIterator[int]) -> None:
+    async for signal_number in signals:
+        log("entry:already-stopping", signal=signal.Signals(signal_number).name)
--- a/crocusrouter/cli/template.py
+++ b/crocusrouter/cli/template.py
@@ -1,4 +1,4 @@
-"""Commands for templates."""
+"""The `template` commands: show, check, change and restore templates."""
 
 import pathlib
 import time
@@ -9,7 +9,7 @@
 import typer
 
 from crocusrouter.cli import client
-from crocusrouter.cli import exits
+from crocusrouter.cli import exit_codes
 from crocusrouter.cli import options
 from crocusrouter.cli import output
 from crocusrouter.templates import InvalidTemplateError
@@ -20,27 +20,28 @@
 
 app = typer.Typer(no_args_is_help=True, help="Edit customers' templates.")
 
-File = Annotated[
+TemplateFile = Annotated[
     pathlib.Path,
     typer.Argument(exists=True, dir_okay=False, help="Template as JSON."),
 ]
-_POLL_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 
 @app.command("apply")
 def apply_template(
-    file: File,
+    file: TemplateFile,
     entry: options.Entry = options.DEFAULT_ENTRY,
     key: options.Key = "",
     if_match: Annotated[
         int | None,
         typer.Option(
-            help="Revision that you read; 0 for a new customer. Default: "
-            "the revision at this moment."
+            help="Revision that the edit is based on; 0 for a new customer. "
+            "Default: the current revision."
         ),
     ] = None,
     wait: Annotated[
-        bool, typer.Option(help="Wait until every live entry has it.")
+        bool,
+        typer.Option(help="Wait until every live entry applies the template."),
     ] = False,
     timeout: options.Timeout = 10.0,
     as_json: options.AsJson = False,
@@ -49,30 +50,32 @@
 
     Example: crocusrouter template apply fbusw.json --if-match 7 --wait
     """
-    template = _read(file)
-    asked = client.Client(entry, key)
-    expected = if_match
-    if expected is None:
-        expected = _find_revision(asked, template.customer, as_json)
-    reply = asked.ask(
+    template = _read_template(file)
+    api_client = client.Client(entry, key)
+    expected_revision = if_match
+    if expected_revision is None:
+        expected_revision = _find_revision(
+            api_client, template.customer, as_json
+        )
+    reply = api_client.send(
         "PUT",
         f"/v1/templates/{template.customer}",
         dump_template(template),
-        {"If-Match": f'"{expected}"'},
+        {"If-Match": f'"{expected_revision}"'},
     )
-    output.check_reply(reply, as_json)
+    output.exit_if_refused(reply, as_json)
     revision = reply.document["revision"]
     if wait:
-        _wait_in_force(asked, revision, timeout)
+        _wait_until_applied(api_client, revision, timeout)
     if as_json:
-        output.show_json({"revision": revision, "in_force": wait})
+        output.print_json({"revision": revision, "in_force": wait})
     else:
         print(f"{template.customer} is at revision {revision}")
 
 
 @app.command("check")
 def check_template(
-    file: File,
+    file: TemplateFile,
     entry: options.Entry = options.DEFAULT_ENTRY,
     key: options.Key = "",
     as_json: options.AsJson = False,
@@ -81,15 +84,15 @@
 
     Example: crocusrouter template check fbusw.json
     """
-    template = _read(file)
-    reply = client.Client(entry, key).ask(
+    template = _read_template(file)
+    reply = client.Client(entry, key).send(
         "PUT",
         f"/v1/templates/{template.customer}?check",
         dump_template(template),
     )
-    output.check_reply(reply, as_json)
+    output.exit_if_refused(reply, as_json)
     if as_json:
-        output.show_json(reply.document)
+        output.print_json(reply.document)
     else:
         print(f"{template.customer}: the template passes all checks")
 
@@ -104,10 +107,10 @@
 
     Example: crocusrouter template get fbusw > fbusw.json
     """
-    asked = client.Client(entry, key)
+    api_client = client.Client(entry, key)
     path = f"/v1/templates/{customer}"
-    reply = output.fetch(asked, "GET", path, as_json=False)
-    output.show_json(reply.document)
+    reply = output.send_or_exit(api_client, "GET", path, as_json=False)
+    output.print_json(reply.document)
 
 
 @app.command("list")
@@ -120,10 +123,10 @@
 
     Example: crocusrouter template list
     """
-    asked = client.Client(entry, key)
-    reply = output.fetch(asked, "GET", "/v1/templates", as_json)
+    api_client = client.Client(entry, key)
+    reply = output.send_or_exit(api_client, "GET", "/v1/templates", as_json)
     if as_json:
-        output.show_json(reply.document)
+        output.print_json(reply.document)
         return
     rows = sorted(reply.document["templates"].items())
     output.show_table(["customer", "revision"], rows)
@@ -131,7 +134,7 @@
 
 @app.command("diff")
 def diff_template(
-    file: File,
+    file: TemplateFile,
     entry: options.Entry = options.DEFAULT_ENTRY,
     key: options.Key = "",
     as_json: options.AsJson = False,
@@ -140,18 +143,24 @@
 
     Example: crocusrouter template diff fbusw.json
     """
-    template = _read(file)
+    template = _read_template(file)
     path = f"/v1/templates/{template.customer}"
-    reply = client.Client(entry, key).ask("GET", path)
-    held = None
-    if exits.choose_exit(reply.status) is not exits.Exit.NOT_FOUND:
-        output.check_reply(reply, as_json)
-        held = parse_template(orjson.dumps(reply.document))
-    found = compare_templates(held, template)
+    reply = client.Client(entry, key).send("GET", path)
+    current = None
+    if (
+        exit_codes.choose_exit_code(reply.status)
+        is not exit_codes.ExitCode.NOT_FOUND
+    ):
+        output.exit_if_refused(reply, as_json)
+        current = parse_template(orjson.dumps(reply.document))
+    differences = compare_templates(current, template)
     if as_json:
-        output.show_json([vars(difference) for difference in found])
+        output.print_json([vars(difference) for difference in differences])
         return
-    rows = [(d.path, d.before, d.after) for d in found]
+    rows = [
+        (difference.path, difference.before, difference.after)
+        for difference in differences
+    ]
     output.show_table(["field", "in force", "file"], rows)
 
 
@@ -168,11 +177,15 @@
     """
     versions = _fetch_history(client.Client(entry, key), customer, as_json)
     if as_json:
-        output.show_json(versions)
+        output.print_json(versions)
         return
     rows = [
-        (v["revision"], output.show_time(v["at"]), ", ".join(v["changed"]))
-        for v in versions
+        (
+            version["revision"],
+            output.format_time(version["at"]),
+            ", ".join(version["changed"]),
+        )
+        for version in versions
     ]
     output.show_table(["revision", "at", "changed"], rows)
 
@@ -189,68 +202,84 @@
 
     Example: crocusrouter template restore fbusw 7
     """
-    asked = client.Client(entry, key)
-    versions = _fetch_history(asked, customer, as_json)
-    wanted = [v for v in versions if v["revision"] == revision]
-    if not wanted:
-        output.fail(
+    api_client = client.Client(entry, key)
+    versions = _fetch_history(api_client, customer, as_json)
+    matching_versions = [
+        version for version in versions if version["revision"] == revision
+    ]
+    if not matching_versions:
+        output.exit_with_error(
             f"{customer} has no version {revision} among its last "
             f"{len(versions)}. See: crocusrouter template history {customer}",
-            exits.Exit.NOT_FOUND,
+            exit_codes.ExitCode.NOT_FOUND,
         )
-    reply = asked.ask(
+    reply = api_client.send(
         "PUT",
         f"/v1/templates/{customer}",
-        orjson.dumps(wanted[0]["template"]),
+        orjson.dumps(matching_versions[0]["template"]),
         {"If-Match": f'"{versions[0]["revision"]}"'},
     )
-    output.check_reply(reply, as_json)
+    output.exit_if_refused(reply, as_json)
     if as_json:
-        output.show_json(reply.document)
+        output.print_json(reply.document)
     else:
         print(f"{customer} is at revision {reply.document['revision']}")
 
 
 def _fetch_history(
-    asked: client.Client, customer: str, as_json: bool
+    api_client: client.Client, customer: str, as_json: bool
 ) -> list[dict[str, Any]]:
     path = f"/v1/templates/{customer}/history"
-    reply = output.fetch(asked, "GET", path, as_json)
+    reply = output.send_or_exit(api_client, "GET", path, as_json)
     versions: list[dict[str, Any]] = reply.document["versions"]
     return versions
 
 
-def _read(file: pathlib.Path) -> Template:
+def _read_template(file: pathlib.Path) -> Template:
     try:
         return parse_template(file.read_bytes())
     except InvalidTemplateError as error:
-        output.fail(
-            f"{file}: {error}. Correct the fields named.",
-            exits.Exit.WRONG_USAGE,
+        output.exit_with_error(
+            f"{file}: {error}. Correct the named fields.",
+            exit_codes.ExitCode.WRONG_USAGE,
         )
 
 
-def _find_revision(asked: client.Client, customer: str, as_json: bool) -> int:
-    reply = asked.ask("GET", f"/v1/templates/{customer}")
-    if exits.choose_exit(reply.status) is exits.Exit.NOT_FOUND:
+def _find_revision(
+    api_client: client.Client, customer: str, as_json: bool
+) -> int:
+    reply = api_client.send("GET", f"/v1/templates/{customer}")
+    if (
+        exit_codes.choose_exit_code(reply.status)
+        is exit_codes.ExitCode.NOT_FOUND
+    ):
         return 0
-    output.check_reply(reply, as_json)
+    output.exit_if_refused(reply, as_json)
     return int(reply.headers["etag"].strip('"'))
 
 
-def _wait_in_force(asked: client.Client, revision: int, timeout: float) -> None:
-    """Wait until every live entry reports the revision, or name the others."""
-    limit = time.monotonic() + timeout
-    behind: list[str] = []
-    while time.monotonic() < limit:
-        reply = output.fetch(asked, "GET", "/v1/status", as_json=False)
+def _wait_until_applied(
+    api_client: client.Client, revision: int, timeout: float
+) -> None:
+    """Wait until every live entry reports the revision; at a timeout, fail."""
+    deadline = time.monotonic() + timeout
+    lagging_entries: list[str] = []
+    while time.monotonic() < deadline:
+        reply = output.send_or_exit(
+            api_client, "GET", "/v1/status", as_json=False
+        )
         revisions = reply.document["revisions"]
-        behind = sorted(n for n, held in revisions.items() if held < revision)
-        if not behind:
+        lagging_entries = sorted(
+            name
+            for name, entry_revision in revisions.items()
+            if entry_revision < revision
+        )
+        if not lagging_entries:
             return
-        time.sleep(_POLL_S)
-    output.fail(
-        f"revision {revision} is accepted but not yet in force at: "
-        f"{', '.join(behind)}. Look at their logs, or wait longer.",
-        exits.Exit.FAILED,
+        time.sleep(_POLL_INTERVAL_S)
+    output.exit_with_error(
+        f"revision {revision} is accepted, but these entries don't apply it "
+        f"yet: {', '.join(lagging_entries)}. Check their logs, or use a "
+        "longer --timeout.",
+        exit_codes.ExitCode.FAILED,
     )
--- a/crocusrouter/cli/tests/test_entry_service.py
+++ b/crocusrouter/cli/tests/test_entry_service.py
@@ -1,4 +1,4 @@
-"""An entry that comes up while the key-value service is away."""
+"""Tests an entry that starts while the key-value service is unreachable."""
 
 import signal
 
@@ -10,25 +10,27 @@
 from crocusrouter.cli import entry_service
 from standins import ports
 
-_JOB = "/q/00000000000000aa"
+_JOB_PATH = "/q/00000000000000aa"
 
 
-def _make_settings():
-    """Return settings whose store nobody listens for."""
-    front, ready, mesh, metrics, store = ports.find_ports(5)
+def _build_settings():
+    """Return settings with a store address on which nothing listens."""
+    call_port, ready_port, mesh_port, metrics_port, store_port = (
+        ports.find_ports(5)
+    )
     return settings.EntrySettings(
         name="e0",
         ip="127.0.0.1",
-        listen=f"127.0.0.1:{front}",
-        ready_listen=f"127.0.0.1:{ready}",
-        mesh_port=mesh,
-        metrics_port=metrics,
-        store_address=f"127.0.0.1:{store}",
+        listen=f"127.0.0.1:{call_port}",
+        ready_listen=f"127.0.0.1:{ready_port}",
+        mesh_port=mesh_port,
+        metrics_port=metrics_port,
+        store_address=f"127.0.0.1:{store_port}",
     )
 
 
 async def _ask(address, method, path):
-    """Ask until the entry listens."""
+    """Send a request; retry until the entry listens."""
     async with httpcore.AsyncConnectionPool() as pool:
         while True:
             try:
@@ -38,30 +40,32 @@
 
 
 @pytest.mark.parametrize("method", ["POST", "GET", "DELETE"])
-async def test_callers_hear_when_to_come_back(method):
-    """All VMs lose power while the store is away, and come up before it.
+async def test_callers_get_retry_after_without_a_store(method):
+    """After a power loss, entries may start before the store.
 
-    Callers found no connection and had used up their tries in a second. They
-    are told that the job never runs, and when to ask again.
+    If callers couldn't connect, they would use up their tries in a second. So
+    they get 503, which says that the job never runs, with a Retry-After.
     """
-    loaded = _make_settings()
+    entry_settings = _build_settings()
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(entry_service.serve, loaded)
-            answer = await _ask(loaded.listen, method, _JOB)
-            ready = await _ask(loaded.ready_listen, "GET", "/ready")
+            nursery.start_soon(entry_service.serve, entry_settings)
+            response = await _ask(entry_settings.listen, method, _JOB_PATH)
+            ready_response = await _ask(
+                entry_settings.ready_listen, "GET", "/ready"
+            )
             nursery.cancel_scope.cancel()
-    headers = {name.lower(): value for name, value in answer.headers}
-    assert answer.status == 503
+    headers = {name.lower(): value for name, value in response.headers}
+    assert response.status == 503
     assert float(headers[b"retry-after"]) >= 1.0
-    assert ready.status == 503
+    assert ready_response.status == 503
 
 
 async def test_planned_stop_needs_no_store():
-    """The platform kills what has not stopped within its time of grace."""
-    loaded = _make_settings()
-    with trio.fail_after(loaded.grace_s):
+    """The platform kills a process that doesn't stop within `grace_s`."""
+    entry_settings = _build_settings()
+    with trio.fail_after(entry_settings.grace_s):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(entry_service.serve, loaded)
-            await _ask(loaded.ready_listen, "GET", "/ready")
+            nursery.start_soon(entry_service.serve, entry_settings)
+            await _ask(entry_settings.ready_listen, "GET", "/ready")
             signal.raise_signal(signal.SIGTERM)
--- a/crocusrouter/cli/tests/test_main.py
+++ b/crocusrouter/cli/tests/test_main.py
@@ -9,15 +9,15 @@
 from standins import world as worlds
 
 _RUNNER = testing.CliRunner()
-_KEY = ("--key", worlds.CUSTOMER_KEY)
-_STAFF = ("--key", worlds.OPERATOR_KEY)
+_CUSTOMER_OPTIONS = ("--key", worlds.CUSTOMER_KEY)
+_OPERATOR_OPTIONS = ("--key", worlds.OPERATOR_KEY)
 
 
-async def _run(world, *words):
+async def _run(world, *arguments):
     """Run a command against the world's entry, in a thread."""
     url = f"http://127.0.0.1:{world.entries['e1'].port}"
     return await trio.to_thread.run_sync(
-        lambda: _RUNNER.invoke(main.app, [*words, "--entry", url])
+        lambda: _RUNNER.invoke(main.app, [*arguments, "--entry", url])
     )
 
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("serve",),
         ("template", "apply"),
@@ -47,35 +47,42 @@
         ("version",),
     ],
 )
-def test_every_command_has_an_example(words):
-    shown = _RUNNER.invoke(main.app, [*words, "--help"])
-    assert shown.exit_code == 0
-    assert "Example: crocusrouter" in shown.stdout
+def test_every_command_has_an_example(arguments):
+    result = _RUNNER.invoke(main.app, [*arguments, "--help"])
+    assert result.exit_code == 0
+    assert "Example: crocusrouter" in result.stdout
 
 
 def test_wrong_settings_exit_with_2_before_a_port_opens(monkeypatch):
     import trio
 
     monkeypatch.setattr(trio, "run", lambda *_: pytest.fail("started"))
-    done = _RUNNER.invoke(main.app, ["serve", "--name", "Upper"])
-    assert done.exit_code == 2
-    assert "Set --name or CROCUSROUTER_NAME" in done.stderr
+    result = _RUNNER.invoke(main.app, ["serve", "--name", "Upper"])
+    assert result.exit_code == 2
+    assert "Set --name or CROCUSROUTER_NAME" in result.stderr
 
 
-def test_port_in_use_is_named():
+def test_port_in_use_is_reported():
     import socket
 
-    with socket.socket() as busy:
-        busy.bind(("127.0.0.1", 0))
-        busy.listen()
-        address = f"127.0.0.1:{busy.getsockname()[1]}"
-        words = ["--name=e1", "--data-centre=dc", f"--mesh-listen={address}"]
-        words += [f"--listen={address}", "--store-url=http://127.0.0.1:1"]
-        words += ["--vms-url=http://127.0.0.1:1", "--mesh-secret=secretsecret"]
-        words += ["--operator-key=secretsecret"]
-        done = _RUNNER.invoke(main.app, ["serve", *words])
-    assert done.exit_code == 1
-    assert f"can't listen on {address}" in done.stderr
+    with socket.socket() as bound_socket:
+        bound_socket.bind(("127.0.0.1", 0))
+        bound_socket.listen()
+        address = f"127.0.0.1:{bound_socket.getsockname()[1]}"
+        arguments = [
+            "--name=e1",
+            "--data-centre=dc",
+            f"--mesh-listen={address}",
+        ]
+        arguments += [f"--listen={address}", "--store-url=http://127.0.0.1:1"]
+        arguments += [
+            "--vms-url=http://127.0.0.1:1",
+            "--mesh-secret=secretsecret",
+        ]
+        arguments += ["--operator-key=secretsecret"]
+        result = _RUNNER.invoke(main.app, ["serve", *arguments])
+    assert result.exit_code == 1
+    assert f"can't listen on {address}" in result.stderr
 
 
 async def test_templates_through_the_command_line(tmp_path):
@@ -85,7 +92,7 @@
     other.write_text(json.dumps(worlds.build_template() | {"max_jobs": 5}))
     wrong = tmp_path / "c.json"
     wrong.write_text('{"customer": "a", "surprise": 1}')
-    table = [
+    cases = [
         (("template", "get", "a"), 4, ""),
         (("template", "check", str(path)), 0, "passes all checks"),
         (("template", "apply", str(path), "--wait"), 0, "a is at revision 1"),
@@ -102,19 +109,21 @@
         (("template", "history", "nobody"), 4, ""),
     ]
     async with worlds.open_world(runners=0) as world:
-        for words, code, said in table:
-            done = await _run(world, *words, *_STAFF)
-            assert done.exit_code == code, (words, done.output)
-            assert said in done.stdout
+        for arguments, exit_code, expected_output in cases:
+            result = await _run(world, *arguments, *_OPERATOR_OPTIONS)
+            assert result.exit_code == exit_code, (arguments, result.output)
+            assert expected_output in result.stdout
 
 
 async def test_jobs_through_the_command_line():
     async with worlds.open_world(runners=0) as world:
         await world.put_template()
         await world.wait_owned()
-        done = await _run(world, "job", "submit", "tag", "--json", *_KEY)
-        job_id = json.loads(done.stdout)["id"]
-        table = [
+        result = await _run(
+            world, "job", "submit", "tag", "--json", *_CUSTOMER_OPTIONS
+        )
+        job_id = json.loads(result.stdout)["id"]
+        cases = [
             (("job", "status", job_id, "--wait"), 0, "done"),
             (("job", "list"), 0, job_id),
             (("job", "explain", job_id), 0, "accepted"),
@@ -124,31 +133,31 @@
             (("job", "submit", "tag", "--accelerators", "99"), 3, ""),
             (("job", "submit", "tag", "--payload", "{"), 2, ""),
         ]
-        for words, code, said in table:
-            done = await _run(world, *words, *_KEY)
-            assert done.exit_code == code, (words, done.output)
-            assert said in done.stdout
+        for arguments, exit_code, expected_output in cases:
+            result = await _run(world, *arguments, *_CUSTOMER_OPTIONS)
+            assert result.exit_code == exit_code, (arguments, result.output)
+            assert expected_output in result.stdout
 
 
 async def test_status_shows_entry_owner_and_counts():
     async with worlds.open_world(runners=0) as world:
         await world.put_template()
         await world.wait_owned()
-        done = await _run(world, "status", *_STAFF)
-        assert done.exit_code == 0
-        assert "dc           e1     1" in done.stdout
+        result = await _run(world, "status", *_OPERATOR_OPTIONS)
+        assert result.exit_code == 0
+        assert "dc           e1     1" in result.stdout
 
 
 async def test_wrong_key_is_refused():
     async with worlds.open_world(runners=0, workers=0) as world:
-        done = await _run(world, "status", "--key", "wrong")
-        assert done.exit_code == 3
-        assert "bearer key" in done.stderr
+        result = await _run(world, "status", "--key", "wrong")
+        assert result.exit_code == 3
+        assert "bearer key" in result.stderr
 
 
 def test_unreachable_entry(monkeypatch, capsys):
-    words = ["crocusrouter", "status", "--entry", "http://127.0.0.1:1"]
-    monkeypatch.setattr("sys.argv", words)
+    arguments = ["crocusrouter", "status", "--entry", "http://127.0.0.1:1"]
+    monkeypatch.setattr("sys.argv", arguments)
     with pytest.raises(SystemExit) as caught:
         main.main()
     assert caught.value.code == 6
