--- a/crocusrouter/settings/__init__.py
+++ b/crocusrouter/settings/__init__.py
@@ -1,12 +1,12 @@
-"""Checked settings of a process."""
+"""Settings of an entry's process, checked when they are loaded."""
 
-from crocusrouter.settings.model import Settings
-from crocusrouter.settings.model import WrongSettingsError
-from crocusrouter.settings.model import load_settings
-from crocusrouter.settings.model import parse_address
-from crocusrouter.settings.pools import FILE_VARIABLE
-from crocusrouter.settings.pools import EntrySettings
-from crocusrouter.settings.pools import load_entry_settings
+from crocusrouter.settings.entry_settings import FILE_VARIABLE
+from crocusrouter.settings.entry_settings import EntrySettings
+from crocusrouter.settings.entry_settings import load_entry_settings
+from crocusrouter.settings.serve_settings import Settings
+from crocusrouter.settings.serve_settings import WrongSettingsError
+from crocusrouter.settings.serve_settings import load_settings
+from crocusrouter.settings.serve_settings import parse_address
 
 __all__ = [
     "FILE_VARIABLE",
--- a/crocusrouter/settings/pools.py
+++ b/crocusrouter/settings/entry_settings.py
@@ -1,7 +1,7 @@
-"""Settings of an entry on the users' platform, from a file it fills in.
+"""Settings of `crocusrouter entry`, from the platform's file and environment.
 
-The file has the form of environment variables, a line a setting, so that the
-same names serve as flags, as variables and in the file.
+The platform writes the file. It holds one environment variable a line, so that
+a setting has the same name in the file and in the environment.
 """
 
 import os
@@ -11,19 +11,19 @@
 import pydantic
 import pydantic_settings
 
-from crocusrouter.settings import model
+from crocusrouter.settings import serve_settings
 
 FILE_VARIABLE = "CROCUSROUTER_CONFIG"
 
 
 class EntrySettings(pydantic_settings.BaseSettings):
-    """What one `crocusrouter entry` process needs to know.
+    """Settings of one `crocusrouter entry` process.
 
-    A variable of the environment goes before the file.
+    Environment variables override the file.
     """
 
     model_config = pydantic_settings.SettingsConfigDict(
-        env_prefix=model.PREFIX, extra="ignore", frozen=True
+        env_prefix=serve_settings.PREFIX, extra="ignore", frozen=True
     )
 
     name: str = pydantic.Field(
@@ -32,10 +32,10 @@
     data_centre: str = pydantic.Field(
         "", description="Data centre of this entry."
     )
-    ip: str = pydantic.Field(description="IP number of this VM.")
+    ip: str = pydantic.Field(description="IP address of this VM.")
     listen: str = pydantic.Field(description="IP:port for callers.")
     ready_listen: str = pydantic.Field(
-        description="IP:port on which the balancer asks for readiness."
+        description="IP:port on which the balancer checks readiness."
     )
     mesh_port: int = pydantic.Field(
         7000, ge=1, le=65535, description="Port for other entries."
@@ -51,47 +51,51 @@
     )
     vms_address: str = pydantic.Field(
         "",
-        description="IP:port of the platform's control of VMs; empty for none.",
+        description="IP:port of the platform's VM service; empty for none.",
     )
     cpu_share: float = pydantic.Field(
         1.0, gt=0, description="Share of each core that this VM may use."
     )
     cores: float = pydantic.Field(
-        1.0, gt=0, description="How many times a plain core is as fast."
+        1.0, gt=0, description="Speed of this VM as a multiple of a plain core."
     )
     keep_jobs_s: float = pydantic.Field(
         600.0,
         gt=0,
-        description="Seconds for which a job that is over can be asked for.",
+        description="Seconds for which a finished job can still be queried.",
     )
     grace_s: float = pydantic.Field(
-        6.0, gt=0, description="Seconds from SIGTERM to the kill."
+        6.0,
+        gt=0,
+        description="Seconds from SIGTERM until the platform's kill.",
     )
 
     config_apply_ms: float = pydantic.Field(
         2000.0,
         gt=0,
-        description="Milliseconds in which a confirmed change of the "
-        "configuration has to be in force.",
+        description="Milliseconds within which a confirmed change of the "
+        "configuration must take effect.",
     )
 
     @pydantic.field_validator("name")
     @classmethod
     def _check_name(cls, value: str) -> str:
-        """Refuse a name that an owner's key could not be read back from."""
+        """Reject white space: a name must be readable from an owner's key."""
         if any(character.isspace() for character in value):
-            raise ValueError("must have no spaces, such as front-liege-1")
+            raise ValueError(
+                "must have no white space; a valid name is front-liege-1"
+            )
         return value
 
     @pydantic.field_validator("listen", "ready_listen", "store_address")
     @classmethod
     def _check_address(cls, value: str) -> str:
-        model.parse_address(value)
+        serve_settings.parse_address(value)
         return value
 
 
 def load_entry_settings(flags: dict[str, Any]) -> EntrySettings:
-    """Read and check the settings.
+    """Load and check the settings; flags override environment and file.
 
     Args:
         flags: Values given on the command line, by field name.
@@ -100,11 +104,11 @@
         WrongSettingsError: Names each setting, its value and the remedy.
     """
     path = os.environ.get(FILE_VARIABLE)
-    source = pathlib.Path(path) if path else None
+    settings_path = pathlib.Path(path) if path else None
     try:
         return EntrySettings(
-            _env_file=source,
+            _env_file=settings_path,
             **flags,
         )
     except pydantic.ValidationError as error:
-        raise model.describe_settings(error) from error
+        raise serve_settings.build_settings_error(error) from error
--- a/crocusrouter/settings/model.py
+++ b/crocusrouter/settings/serve_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry, from flags and environment variables."""
+"""Settings of `crocusrouter serve`, from flags and environment variables."""
 
 import ipaddress
 from typing import Annotated
@@ -13,10 +13,10 @@
 
 
 class Settings(pydantic_settings.BaseSettings):
-    """What one `crocusrouter serve` process needs to know.
+    """Settings of one `crocusrouter serve` process.
 
     Each field is a flag (`--store-url`) and an environment variable
-    (`CROCUSROUTER_STORE_URL`); the flag goes first.
+    (`CROCUSROUTER_STORE_URL`); the flag takes precedence.
     """
 
     model_config = pydantic_settings.SettingsConfigDict(
@@ -57,10 +57,11 @@
         2.0, description="Seconds without renewal until a takeover."
     )
     task_lease_s: Seconds = pydantic.Field(
-        6.0, description="Seconds a task lives after the last renewal."
+        6.0,
+        description="Seconds that a task runs on after the last lease renewal.",
     )
     vms_poll_s: Seconds = pydantic.Field(
-        1.0, description="Seconds between readings of the VM list."
+        1.0, description="Seconds between polls of the VM list."
     )
     heartbeat_s: Seconds = pydantic.Field(
         1.0, description="Seconds between heartbeats to other entries."
@@ -72,7 +73,8 @@
         86400.0, description="Seconds that finished jobs are kept."
     )
     store_calls_per_s: Annotated[float, pydantic.Field(gt=0)] = pydantic.Field(
-        50.0, description="Calls a second to the key-value service."
+        50.0,
+        description="Largest number of calls per second to the store.",
     )
     max_body: Annotated[int, pydantic.Field(ge=1024)] = pydantic.Field(
         1 << 20, description="Largest body of a request in bytes."
@@ -88,18 +90,18 @@
     def _check_leases(self) -> "Settings":
         if self.task_lease_s < 2 * self.owner_ttl_s:
             raise ValueError(
-                "task_lease_s must be at least twice owner_ttl_s, or running "
-                "tasks would lapse during a takeover"
+                "task_lease_s must be at least twice owner_ttl_s, or leases of "
+                "running tasks would expire during a takeover"
             )
         return self
 
 
 class WrongSettingsError(Exception):
-    """Settings that fail their checks; one line for each."""
+    """Some settings fail their checks; the message has a line for each."""
 
 
 def load_settings(flags: dict[str, Any]) -> Settings:
-    """Check the settings; flags go before the environment.
+    """Load and check the settings; flags override the environment.
 
     Args:
         flags: Values given on the command line, by field name.
@@ -110,17 +112,17 @@
     try:
         return Settings(**flags)
     except pydantic.ValidationError as error:
-        raise describe_settings(error) from error
+        raise build_settings_error(error) from error
 
 
-def describe_settings(error: pydantic.ValidationError) -> WrongSettingsError:
-    """Name each wrong setting, its value and the remedy."""
-    lines = [_describe(dict(item)) for item in error.errors()]
+def build_settings_error(error: pydantic.ValidationError) -> WrongSettingsError:
+    """Return an error that names each wrong setting, its value and remedy."""
+    lines = [_describe_error(dict(error_item)) for error_item in error.errors()]
     return WrongSettingsError("\n".join(lines))
 
 
 def parse_address(value: str) -> tuple[str, int]:
-    """Split "IP:port".
+    """Split "IP:port" into the IP address and the port number.
 
     >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
@@ -128,28 +130,28 @@
     ('::1', 80)
 
     Raises:
-        ValueError: Not an IP number and a port.
+        ValueError: The value isn't an IP address and a port.
     """
     host, _, port = value.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     try:
         ipaddress.ip_address(host)
-        number = int(port)
+        port_number = int(port)
     except ValueError:
-        raise ValueError("must be an IP number and a port") from None
-    if not 0 < number < 65536:
+        raise ValueError("must be an IP address and a port") from None
+    if not 0 < port_number < 65536:
         raise ValueError("the port must be from 1 to 65535")
-    return host, number
+    return host, port_number
 
 
-def _describe(item: dict[str, Any]) -> str:
-    field = ".".join(map(str, item["loc"]))
+def _describe_error(error_item: dict[str, Any]) -> str:
+    field = ".".join(map(str, error_item["loc"]))
     if not field:
-        return f"settings: {item['msg']}."
+        return f"settings: {error_item['msg']}."
     flag = "--" + field.replace("_", "-")
     variable = PREFIX + field.upper()
-    if item["type"] == "missing":
+    if error_item["type"] == "missing":
         value = "not set"
     else:
-        value = f"value {item['input']!r}: {item['msg']}"
+        value = f"value {error_item['input']!r}: {error_item['msg']}"
     return f"{field}: {value}. Set {flag} or {variable}."
--- a/crocusrouter/settings/tests/test_pools.py
+++ b/crocusrouter/settings/tests/test_entry_settings.py
@@ -2,7 +2,7 @@
 
 from crocusrouter import settings
 
-_FILE = {
+_FILE_SETTINGS = {
     "NAME": "front-1",
     "IP": "10.0.0.1",
     "LISTEN": "10.0.0.1:8521",
@@ -13,10 +13,10 @@
 }
 
 
-def _write(tmp_path, monkeypatch, **changes):
+def _write_settings_file(tmp_path, monkeypatch, **changes):
     lines = [
         f"CROCUSROUTER_{name}={value}"
-        for name, value in (_FILE | changes).items()
+        for name, value in (_FILE_SETTINGS | changes).items()
         if value is not None
     ]
     path = tmp_path / "entry.env"
@@ -24,21 +24,21 @@
     monkeypatch.setenv(settings.FILE_VARIABLE, str(path))
 
 
-def test_file_of_the_platform(tmp_path, monkeypatch):
-    _write(tmp_path, monkeypatch)
-    loaded = settings.load_entry_settings({})
-    assert loaded.name == "front-1"
-    assert loaded.mesh_port == 7000
+def test_settings_load_from_the_platform_file(tmp_path, monkeypatch):
+    _write_settings_file(tmp_path, monkeypatch)
+    loaded_settings = settings.load_entry_settings({})
+    assert loaded_settings.name == "front-1"
+    assert loaded_settings.mesh_port == 7000
 
 
-def test_variable_goes_before_the_file(tmp_path, monkeypatch):
-    _write(tmp_path, monkeypatch)
+def test_environment_overrides_the_file(tmp_path, monkeypatch):
+    _write_settings_file(tmp_path, monkeypatch)
     monkeypatch.setenv("CROCUSROUTER_MESH_PORT", "7005")
     assert settings.load_entry_settings({}).mesh_port == 7005
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"LISTEN": "front:80"}, "listen"),
         ({"MESH_PORT": "0"}, "mesh_port"),
@@ -48,10 +48,10 @@
     ],
 )
 def test_wrong_setting_is_named_with_its_remedy(
-    change, named, tmp_path, monkeypatch
+    change, field, tmp_path, monkeypatch
 ):
-    _write(tmp_path, monkeypatch, **change)
+    _write_settings_file(tmp_path, monkeypatch, **change)
     with pytest.raises(settings.WrongSettingsError) as caught:
         settings.load_entry_settings({})
-    assert named in str(caught.value)
-    assert f"CROCUSROUTER_{named.upper()}" in str(caught.value)
+    assert field in str(caught.value)
+    assert f"CROCUSROUTER_{field.upper()}" in str(caught.value)
--- a/crocusrouter/templates/__init__.py
+++ b/crocusrouter/templates/__init__.py
@@ -1,4 +1,4 @@
-"""Templates of customers, their catalog and their differences."""
+"""Customers' templates, their catalog, history and differences."""
 
 from crocusrouter.templates.catalog import Catalog
 from crocusrouter.templates.catalog import Versioned
--- a/crocusrouter/templates/catalog.py
+++ b/crocusrouter/templates/catalog.py
@@ -1,8 +1,8 @@
-"""The catalog: every customer's template, at one revision.
+"""The catalog: the templates of all customers, at one revision.
 
-One document holds all templates. An edit is one compare-and-swap, so the
-check that all guarantees fit together can't be raced: two edits that fit
-alone but not together never both win.
+One document holds all templates, and an edit is one compare-and-swap of it. So
+of two concurrent edits whose guarantees fit separately but not together, at
+most one succeeds.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
     Attributes:
         revision: Catalog revision of the last change.
         template: The template.
-        version: Name of its record in the history.
+        version: Name of the template's record in the history.
     """
 
     revision: int
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Catalog:
-    """Every template.
+    """The templates of all customers.
 
     Attributes:
-        revision: Rises by one with each edit and lives in the document, so
+        revision: Incremented by each edit. It is stored in the document, so
             that it survives a repair of the store that resets the store's own
             revisions.
         templates: Templates by customer.
@@ -43,36 +43,36 @@
 
     def find(self, customer: str) -> model.Template | None:
         """Return the customer's template, or None."""
-        held = self.templates.get(customer)
-        return held.template if held is not None else None
+        versioned = self.templates.get(customer)
+        return versioned.template if versioned is not None else None
 
     def revision_of(self, customer: str) -> int:
         """Return the revision of the customer's template, 0 if none."""
-        held = self.templates.get(customer)
-        return held.revision if held is not None else 0
+        versioned = self.templates.get(customer)
+        return versioned.revision if versioned is not None else 0
 
 
-_ADAPTER = pydantic.TypeAdapter(Catalog)
+_CATALOG_ADAPTER = pydantic.TypeAdapter(Catalog)
 
 
 def dump_catalog(catalog: Catalog) -> bytes:
     """Return the catalog as JSON."""
-    return _ADAPTER.dump_json(catalog)
+    return _CATALOG_ADAPTER.dump_json(catalog)
 
 
 def parse_catalog(data: bytes) -> Catalog:
-    """Check and return a catalog.
+    """Check a JSON document and return the catalog.
 
     Raises:
-        InvalidTemplateError: The document is no catalog.
+        InvalidTemplateError: The document isn't a catalog.
     """
-    return model.parse_json(_ADAPTER, data)
+    return model.parse_json(_CATALOG_ADAPTER, data)
 
 
 def replace_template(
     catalog: Catalog, template: model.Template, version: str = ""
 ) -> Catalog:
-    """Return the next catalog, in which the customer has `template`.
+    """Return the catalog's next revision, with `template` for its customer.
 
     >>> key = "0" * 64
     >>> after = replace_template(Catalog(3), model.Template("a", key))
@@ -80,5 +80,7 @@
     (4, 4)
     """
     revision = catalog.revision + 1
-    changed = {template.customer: Versioned(revision, template, version)}
-    return Catalog(revision, catalog.templates | changed)
+    changed_template = {
+        template.customer: Versioned(revision, template, version)
+    }
+    return Catalog(revision, catalog.templates | changed_template)
--- a/crocusrouter/templates/differences.py
+++ b/crocusrouter/templates/differences.py
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Difference:
-    """One field that differs; None stands for "not there"."""
+    """One field that differs; None if the field is absent."""
 
     path: str
     before: Any
@@ -28,10 +28,10 @@
     >>> compare_templates(old, new)
     (Difference(path='max_jobs', before=1000, after=5),)
     """
-    return tuple(_compare("", _flatten(before), _flatten(after)))
+    return tuple(_compare("", _to_json_value(before), _to_json_value(after)))
 
 
-def _flatten(template: model.Template | None) -> Any:
+def _to_json_value(template: model.Template | None) -> Any:
     if template is None:
         return None
     return orjson.loads(model.dump_template(template))
@@ -42,8 +42,8 @@
         return []
     if not (isinstance(before, dict) and isinstance(after, dict)):
         return [Difference(path or "template", before, after)]
-    found = []
+    differences = []
     for name in sorted(before.keys() | after.keys()):
-        inner = f"{path}.{name}" if path else name
-        found += _compare(inner, before.get(name), after.get(name))
-    return found
+        inner_path = f"{path}.{name}" if path else name
+        differences += _compare(inner_path, before.get(name), after.get(name))
+    return differences
--- a/crocusrouter/templates/history.py
+++ b/crocusrouter/templates/history.py
@@ -1,9 +1,9 @@
-"""Earlier versions of a template.
+"""History of a template: a linked list of version records.
 
-Each version is a record of its own, named by revision and digest, that points
-to the one before it. The catalog names the latest. A version is written
-before the catalog that names it, so what is in force always has its record;
-records of edits that lost a race are never pointed to.
+Each version is a separate record, named by revision and digest, that names the
+previous version. The catalog names the latest version. A version is written
+before the catalog that names it, so the current template always has a record.
+The record of an edit that lost a compare-and-swap is never referenced.
 """
 
 import dataclasses
@@ -19,9 +19,9 @@
     """One version of a customer's template.
 
     Attributes:
-        revision: Catalog revision that put it in force.
+        revision: Catalog revision at which it took effect.
         at: Unix time of the edit.
-        previous: Name of the version before; empty for the first.
+        previous: Name of the previous version; empty for the first.
         template: The template.
     """
 
@@ -31,11 +31,11 @@
     template: model.Template
 
 
-_ADAPTER = pydantic.TypeAdapter(Version)
+_VERSION_ADAPTER = pydantic.TypeAdapter(Version)
 
 
 def name_version(version: Version) -> str:
-    """Return the name under which a version is kept.
+    """Return the name under which a version is stored.
 
     >>> version = Version(7, 0.0, "", model.Template("a", "0" * 64))
     >>> name_version(version).partition("-")[0]
@@ -47,13 +47,13 @@
 
 def dump_version(version: Version) -> bytes:
     """Return a version as JSON."""
-    return _ADAPTER.dump_json(version)
+    return _VERSION_ADAPTER.dump_json(version)
 
 
 def parse_version(data: bytes) -> Version:
-    """Check and return a version.
+    """Check a JSON document and return the version.
 
     Raises:
-        InvalidTemplateError: The document is no version.
+        InvalidTemplateError: The document isn't a version.
     """
-    return model.parse_json(_ADAPTER, data)
+    return model.parse_json(_VERSION_ADAPTER, data)
--- a/crocusrouter/templates/model.py
+++ b/crocusrouter/templates/model.py
@@ -1,4 +1,4 @@
-"""The template of a customer: a checked document."""
+"""The template of a customer: a JSON document with checked fields."""
 
 import enum
 from typing import Annotated
@@ -8,7 +8,7 @@
 from pydantic import dataclasses
 
 _Document = TypeVar("_Document")
-_FORBID = pydantic.ConfigDict(extra="forbid")
+_FORBID_UNKNOWN_FIELDS = pydantic.ConfigDict(extra="forbid")
 
 Name = Annotated[
     str, pydantic.StringConstraints(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")
@@ -21,7 +21,7 @@
 
 
 class Level(enum.StrEnum):
-    """The smallest unit that must hold all accelerators of a shape."""
+    """The unit within which all accelerators of a job or cell must lie."""
 
     WORKER = "worker"
     RACK = "rack"
@@ -29,22 +29,22 @@
 
 
 class Loss(enum.StrEnum):
-    """The loss that a guarantee must survive."""
+    """The failure that a guarantee must survive."""
 
     NONE = "none"
     WORKER = "worker"
     RACK = "rack"
 
 
-@dataclasses.dataclass(frozen=True, config=_FORBID)
+@dataclasses.dataclass(frozen=True, config=_FORBID_UNKNOWN_FIELDS)
 class Cell:
     """A guaranteed number of accelerators, adjacent within one unit.
 
     Attributes:
-        data_centre: Where the cell lives.
-        level: The unit that must hold it whole.
-        accelerators: How many accelerators it has.
-        count: How many such cells are guaranteed.
+        data_centre: Data centre of the cell.
+        level: Unit within which the whole cell must lie.
+        accelerators: Number of accelerators in the cell.
+        count: Number of such cells that are guaranteed.
     """
 
     data_centre: Name
@@ -53,17 +53,17 @@
     count: Count = 1
 
 
-@dataclasses.dataclass(frozen=True, config=_FORBID)
+@dataclasses.dataclass(frozen=True, config=_FORBID_UNKNOWN_FIELDS)
 class JobKind:
     """Defaults and limits of one kind of job.
 
     Attributes:
-        accelerators: Default size.
-        level: Default adjacency.
+        accelerators: Default number of accelerators.
+        level: Default unit within which they must lie.
         run_time_s: Declared run time in seconds.
-        deadline_s: Seconds from submission to the wanted end.
-        max_attempts: Attempts that may fail before the job does.
-        urgent: Whether it goes before everything else of its customer.
+        deadline_s: Seconds from submission to the deadline.
+        max_attempts: Failed attempts after which the job fails.
+        urgent: Whether it precedes all other jobs of its customer.
     """
 
     accelerators: Count = 1
@@ -74,14 +74,14 @@
     urgent: bool = False
 
 
-@dataclasses.dataclass(frozen=True, config=_FORBID)
+@dataclasses.dataclass(frozen=True, config=_FORBID_UNKNOWN_FIELDS)
 class RequestKind:
     """One kind of small request.
 
     Attributes:
         service: The service whose endpoints serve it.
-        idempotent: Whether it may run more than once.
-        timeout_s: Deadline in seconds when the caller names none.
+        idempotent: Whether a request may run more than once.
+        timeout_s: Deadline in seconds if the caller gives none.
         max_body: Largest body in bytes.
     """
 
@@ -91,30 +91,30 @@
     max_body: Annotated[int, pydantic.Field(ge=1, le=8 << 20)] = 1 << 20
 
 
-@dataclasses.dataclass(frozen=True, config=_FORBID)
+@dataclasses.dataclass(frozen=True, config=_FORBID_UNKNOWN_FIELDS)
 class Weights:
-    """What placement leans on: FBUSW completion, Kilima fragmentation."""
+    """Placement weights; FBUSW stresses completion, Kilima fragmentation."""
 
     completion: Weight = 1.0
     fragmentation: Weight = 1.0
 
 
-@dataclasses.dataclass(frozen=True, config=_FORBID)
+@dataclasses.dataclass(frozen=True, config=_FORBID_UNKNOWN_FIELDS)
 class Template:
-    """All that the operators say of one customer.
+    """Guarantees, limits and kinds of work of one customer.
 
     Attributes:
         customer: The customer's name.
         key_sha256: SHA-256 of the customer's bearer key, in hex.
-        guarantee: The guaranteed shape.
-        survive: The loss after which the guarantee must still embed.
+        guarantee: The guaranteed cells.
+        survive: The failure after which the guarantee must still fit.
         job_kinds: Kinds of jobs by name.
         request_kinds: Kinds of small requests by name.
-        max_in_flight: Small requests in flight per entry.
-        max_jobs: Unfinished jobs.
-        retry_share: Retries allowed per request, as a share.
-        fair_share: Weight in sharing what isn't guaranteed.
-        weights: What placement leans on.
+        max_in_flight: Limit of small requests in flight per entry.
+        max_jobs: Limit of unfinished jobs.
+        retry_share: Allowed retries as a share of requests.
+        fair_share: Weight in the fair share of capacity that isn't guaranteed.
+        weights: Weights of the placement criteria.
     """
 
     customer: Name
@@ -132,11 +132,11 @@
     weights: Weights = pydantic.Field(default_factory=Weights)
 
 
-_ADAPTER = pydantic.TypeAdapter(Template)
+_TEMPLATE_ADAPTER = pydantic.TypeAdapter(Template)
 
 
 class InvalidTemplateError(Exception):
-    """The document is no template; the message names each wrong field."""
+    """The document isn't valid; the message names each wrong field."""
 
 
 def parse_template(data: bytes) -> Template:
@@ -151,13 +151,13 @@
     Raises:
         InvalidTemplateError: A field is missing, unknown or wrong.
     """
-    return parse_json(_ADAPTER, data)
+    return parse_json(_TEMPLATE_ADAPTER, data)
 
 
 def parse_json(
     adapter: pydantic.TypeAdapter[_Document], data: bytes
 ) -> _Document:
-    """Check a JSON document of any model.
+    """Check a JSON document against a model and return the value.
 
     Raises:
         InvalidTemplateError: The document doesn't fit the model.
@@ -170,11 +170,11 @@
 
 def dump_template(template: Template) -> bytes:
     """Return the template as JSON."""
-    return _ADAPTER.dump_json(template)
+    return _TEMPLATE_ADAPTER.dump_json(template)
 
 
 def describe_errors(error: pydantic.ValidationError) -> str:
-    """Put a validation error on one line: field and what is wrong."""
+    """Return a validation error as one line with each field and its error."""
     return "; ".join(
         f"{'.'.join(map(str, item['loc'])) or 'document'}: {item['msg']}"
         for item in error.errors()
