--- a/crocusrouter/http/entry_app.py
+++ b/crocusrouter/http/entry_app.py
@@ -35,7 +35,7 @@
         ready_port: Port on which the balancer checks readiness.
         metrics_port: Port on which metrics are exposed.
     """
-    queue_api = queue_calls.QueueCalls(entry)
+    queue_api = queue_calls.QueueEndpoints(entry)
 
     async def respond(request: starlette_requests.Request) -> Rendered:
         server_address = request.scope.get("server")
--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -81,7 +81,7 @@
 Handler = Callable[[starlette_requests.Request, QueueCall], Awaitable[Rendered]]
 
 
-class QueueCalls:
+class QueueEndpoints:
     """Answers the calls on queues that one entry receives."""
 
     def __init__(self, entry: pools.PoolEntry) -> None:
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -393,7 +393,7 @@
         life = self._started[name]
         asked = change_rules.Asked(name, life, route, key, trio.current_time())
         await self.suspensions.wait_awake(name)
-        calls = queue_calls.QueueCalls(entry)
+        calls = queue_calls.QueueEndpoints(entry)
         rendered = await calls.handle(_build_request(route, key))
         if self._started[name] != life or name not in self.entries:
             return
