--- a/crocusrouter/http/queue_calls.py
+++ b/crocusrouter/http/queue_calls.py
@@ -50,7 +50,7 @@
     basis: pools.Basis
 
 
-async def identify(
+async def authorize_call(
     entry: pools.PoolEntry, request: starlette_requests.Request
 ) -> QueueCall:
     """Find the queue and the customer of a call, and authorise it.
@@ -100,7 +100,9 @@
                 raise refuse(
                     RefusalReason.MALFORMED_HTTP, f"method {request.method}"
                 )
-            return await handler(request, await identify(self._entry, request))
+            return await handler(
+                request, await authorize_call(self._entry, request)
+            )
         except RefusedError as error:
             reason = error.refusal.reason
             self._entry.metrics.count_refusal(reason)
