--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -133,7 +133,9 @@
 def _build_http_config(
     entry_settings: settings.EntrySettings, metrics: Metrics
 ) -> hypercorn.Config:
-    config = http.build_config(entry_settings.listen, _STOP_TIMEOUT_S, metrics)
+    config = http.build_server_config(
+        entry_settings.listen, _STOP_TIMEOUT_S, metrics
+    )
     config.bind = [
         entry_settings.listen,
         entry_settings.ready_listen,
--- a/crocusrouter/cli/service.py
+++ b/crocusrouter/cli/service.py
@@ -27,7 +27,7 @@
     entry = controllers.Entry(settings, metrics)
     stop_event = trio.Event()
     host, port = parse_address(settings.mesh_listen)
-    config = http.build_config(
+    config = http.build_server_config(
         settings.listen, settings.stop_timeout_s, metrics
     )
     async with trio.open_nursery() as nursery:
--- a/crocusrouter/http/__init__.py
+++ b/crocusrouter/http/__init__.py
@@ -5,7 +5,7 @@
 keeps its start fast.
 """
 
-from crocusrouter.http.server import build_config
+from crocusrouter.http.server import build_server_config
 from crocusrouter.http.server import serve_http
 
-__all__ = ["build_config", "serve_http"]
+__all__ = ["build_server_config", "serve_http"]
--- a/crocusrouter/http/server.py
+++ b/crocusrouter/http/server.py
@@ -34,7 +34,7 @@
 _SERVER_CLASS = "TCPServer"
 
 
-def build_config(
+def build_server_config(
     listen: str, stop_timeout_s: float, metrics: Metrics
 ) -> hypercorn.Config:
     """Return the server's configuration.
--- a/crocusrouter/http/tests/test_server.py
+++ b/crocusrouter/http/tests/test_server.py
@@ -23,7 +23,7 @@
 
     monkeypatch.setattr(hypercorn.trio.tcp_server.TCPServer, "run", fail)
     metrics = Metrics()
-    config = server.build_config("127.0.0.1:1", 1.0, metrics)
+    config = server.build_server_config("127.0.0.1:1", 1.0, metrics)
     stream, peer = trio.testing.memory_stream_pair()
     guarded_server = server.GuardedServer(None, config, None, None, stream)
     await guarded_server
@@ -68,7 +68,7 @@
 # the connection were reset, the caller couldn't tell whether its request ran.
 @pytest.mark.parametrize("send_delay_s", [0.0, 0.1])
 async def test_stop_serves_connections_made_before_it(send_delay_s):
-    config = server.build_config("127.0.0.1:0", 1.0, Metrics())
+    config = server.build_server_config("127.0.0.1:0", 1.0, Metrics())
     stopped = trio.Event()
     answers = []
 
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -114,7 +114,7 @@
 
     async def _serve_platform(self, nursery: trio.Nursery) -> None:
         listed = self._ports.take(len(self.entries) + len(self.workers))
-        config = server.build_config("127.0.0.1:0", 1.0, Metrics())
+        config = server.build_server_config("127.0.0.1:0", 1.0, Metrics())
         config.bind = [f"127.0.0.1:{number}" for number in listed]
         await nursery.start(
             server.serve_http, self._platform, config, trio.sleep_forever
--- a/standins/world.py
+++ b/standins/world.py
@@ -139,7 +139,9 @@
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         entry = served.entry
-        config = http.build_config(entry.settings.listen, 0.2, entry.metrics)
+        config = http.build_server_config(
+            entry.settings.listen, 0.2, entry.metrics
+        )
         with served.scope:
             async with trio.open_nursery() as nursery:
                 await nursery.start(
