--- a/crocusrouter/cli/job.py
+++ b/crocusrouter/cli/job.py
@@ -103,7 +103,7 @@
     rows = [
         [job[column] for column in _COLUMNS] for job in reply.document["jobs"]
     ]
-    output.show_table(_COLUMNS, rows)
+    output.print_table(_COLUMNS, rows)
 
 
 @app.command("cancel")
@@ -142,7 +142,7 @@
     events = job.pop("events")
     output.print_fields(job)
     print()
-    output.show_table(
+    output.print_table(
         ["at", "what"],
         [(output.format_time(event["at"]), event["what"]) for event in events],
     )
--- a/crocusrouter/cli/main.py
+++ b/crocusrouter/cli/main.py
@@ -55,11 +55,11 @@
         return
     output.print_fields({name: document[name] for name in _STATUS_FIELDS})
     print()
-    output.show_table(
+    output.print_table(
         ["entry", "revision"], sorted(document["revisions"].items())
     )
     print()
-    output.show_table(
+    output.print_table(
         ["data centre", "owner", "epoch"],
         [
             (name, owner["owner"], owner["epoch"])
@@ -67,7 +67,7 @@
         ],
     )
     print()
-    output.show_table(["count", "value"], document["counts"].items())
+    output.print_table(["count", "value"], document["counts"].items())
 
 
 @app.command("version")
--- a/crocusrouter/cli/output.py
+++ b/crocusrouter/cli/output.py
@@ -13,7 +13,7 @@
 from crocusrouter.cli import exit_codes
 
 
-def show_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
+def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
     """Print rows as an aligned table under column names.
 
     >>> show_table(["id", "state"], [["a", "done"]])
--- a/crocusrouter/cli/template.py
+++ b/crocusrouter/cli/template.py
@@ -129,7 +129,7 @@
         output.print_json(reply.document)
         return
     rows = sorted(reply.document["templates"].items())
-    output.show_table(["customer", "revision"], rows)
+    output.print_table(["customer", "revision"], rows)
 
 
 @app.command("diff")
@@ -161,7 +161,7 @@
         (difference.path, difference.before, difference.after)
         for difference in differences
     ]
-    output.show_table(["field", "in force", "file"], rows)
+    output.print_table(["field", "in force", "file"], rows)
 
 
 @app.command("history")
@@ -187,7 +187,7 @@
         )
         for version in versions
     ]
-    output.show_table(["revision", "at", "changed"], rows)
+    output.print_table(["revision", "at", "changed"], rows)
 
 
 @app.command("restore")
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -271,7 +271,7 @@
     finally:
         demo.cluster.processes.stop_all()
     print()
-    output.show_table(["what", "count"], demo.rows)
+    output.print_table(["what", "count"], demo.rows)
     took_s = time.monotonic() - started_at
     print()
     for failure in demo.failures:
