--- a/crocusrouter/cli/output.py
+++ b/crocusrouter/cli/output.py
@@ -16,7 +16,7 @@
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
     """Print rows as an aligned table under column names.
 
-    >>> show_table(["id", "state"], [["a", "done"]])
+    >>> print_table(["id", "state"], [["a", "done"]])
     ID  STATE
     a   done
     """
