--- a/crocusrouter/templates/__init__.py
+++ b/crocusrouter/templates/__init__.py
@@ -1,7 +1,7 @@
 """Customers' templates, their catalog, history and differences."""
 
 from crocusrouter.templates.catalog import Catalog
-from crocusrouter.templates.catalog import Versioned
+from crocusrouter.templates.catalog import VersionedTemplate
 from crocusrouter.templates.catalog import dump_catalog
 from crocusrouter.templates.catalog import parse_catalog
 from crocusrouter.templates.catalog import replace_template
@@ -34,7 +34,7 @@
     "RequestKind",
     "Template",
     "Version",
-    "Versioned",
+    "VersionedTemplate",
     "Weights",
     "compare_templates",
     "describe_errors",
--- a/crocusrouter/templates/catalog.py
+++ b/crocusrouter/templates/catalog.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Versioned:
+class VersionedTemplate:
     """A template and the catalog revision of its last change.
 
     Attributes:
@@ -39,7 +39,9 @@
     """
 
     revision: int = 0
-    templates: dict[str, Versioned] = dataclasses.field(default_factory=dict)
+    templates: dict[str, VersionedTemplate] = dataclasses.field(
+        default_factory=dict
+    )
 
     def find(self, customer: str) -> model.Template | None:
         """Return the customer's template, or None."""
@@ -81,6 +83,6 @@
     """
     revision = catalog.revision + 1
     changed_template = {
-        template.customer: Versioned(revision, template, version)
+        template.customer: VersionedTemplate(revision, template, version)
     }
     return Catalog(revision, catalog.templates | changed_template)
