--- a/crocusrouter/controllers/edits.py
+++ b/crocusrouter/controllers/edits.py
@@ -189,7 +189,7 @@
 ) -> Refusal:
     """Refuse an edit and name the fields that differ from the current ones."""
     current_revision = catalog.revision_of(template.customer)
-    current_template = catalog.find(template.customer)
+    current_template = catalog.find_template(template.customer)
     changed_paths = [
         difference.path
         for difference in compare_templates(current_template, template)
--- a/crocusrouter/http/operator_endpoints.py
+++ b/crocusrouter/http/operator_endpoints.py
@@ -45,7 +45,7 @@
         self._check_operator(request)
         customer = request.path_params["customer"]
         catalog = self._entry.configuration.catalog
-        template = catalog.find(customer)
+        template = catalog.find_template(customer)
         if template is None:
             raise refuse(RefusalReason.UNKNOWN_CUSTOMER, customer)
         headers = {
@@ -104,7 +104,7 @@
         """List a template's versions, the current one first."""
         self._check_operator(request)
         customer = request.path_params["customer"]
-        if self._entry.configuration.catalog.find(customer) is None:
+        if self._entry.configuration.catalog.find_template(customer) is None:
             raise refuse(RefusalReason.UNKNOWN_CUSTOMER, customer)
         try:
             versions = await controllers.list_versions(
--- a/crocusrouter/jobs/book.py
+++ b/crocusrouter/jobs/book.py
@@ -169,7 +169,7 @@
 
     def _check_queue_limit(self, job: model.Job) -> Refusal | None:
         """Refuse a job if its customer has too many unfinished jobs."""
-        template = self.catalog.find(job.customer)
+        template = self.catalog.find_template(job.customer)
         limit = template.max_jobs if template is not None else 0
         unfinished_count = sum(
             1
--- a/crocusrouter/jobs/queue.py
+++ b/crocusrouter/jobs/queue.py
@@ -49,7 +49,7 @@
     def build_sort_key(
         job: model.Job,
     ) -> tuple[bool, bool, int, float, str]:
-        template = catalog.find(job.customer)
+        template = catalog.find_template(job.customer)
         share = template.fair_share if template is not None else 1.0
         weights = template.weights if template is not None else Weights()
         expected_s = estimate_job_run_time(run_time_history, job)
--- a/crocusrouter/templates/catalog.py
+++ b/crocusrouter/templates/catalog.py
@@ -43,7 +43,7 @@
         default_factory=dict
     )
 
-    def find(self, customer: str) -> model.Template | None:
+    def find_template(self, customer: str) -> model.Template | None:
         """Return the customer's template, or None."""
         versioned = self.templates.get(customer)
         return versioned.template if versioned is not None else None
