--- a/crocusrouter/controllers/edits.py
+++ b/crocusrouter/controllers/edits.py
@@ -51,7 +51,7 @@
             operator read; 0 if there was none; None to skip this check.
         current_fleet: The fleet in which all guarantees must fit together.
     """
-    current_revision = catalog.revision_of(template.customer)
+    current_revision = catalog.find_revision(template.customer)
     if expected_revision is not None and expected_revision != current_revision:
         return _build_conflict_refusal(catalog, template, expected_revision)
     misfit = jobs.check_guarantees(
@@ -188,7 +188,7 @@
     catalog: Catalog, template: Template, expected_revision: int
 ) -> Refusal:
     """Refuse an edit and name the fields that differ from the current ones."""
-    current_revision = catalog.revision_of(template.customer)
+    current_revision = catalog.find_revision(template.customer)
     current_template = catalog.find_template(template.customer)
     changed_paths = [
         difference.path
--- a/crocusrouter/http/operator_endpoints.py
+++ b/crocusrouter/http/operator_endpoints.py
@@ -50,7 +50,7 @@
             raise refuse(RefusalReason.UNKNOWN_CUSTOMER, customer)
         headers = {
             "Content-Type": _JSON_TYPE,
-            "ETag": f'"{catalog.revision_of(customer)}"',
+            "ETag": f'"{catalog.find_revision(customer)}"',
         }
         return Rendered(_HTTP_OK, headers, dump_template(template))
 
--- a/crocusrouter/templates/catalog.py
+++ b/crocusrouter/templates/catalog.py
@@ -48,7 +48,7 @@
         versioned = self.templates.get(customer)
         return versioned.template if versioned is not None else None
 
-    def revision_of(self, customer: str) -> int:
+    def find_revision(self, customer: str) -> int:
         """Return the revision of the customer's template, 0 if none."""
         versioned = self.templates.get(customer)
         return versioned.revision if versioned is not None else 0
