--- a/crocusrouter/templates/catalog.py
+++ b/crocusrouter/templates/catalog.py
@@ -78,7 +78,7 @@
 
     >>> key = "0" * 64
     >>> after = replace_template(Catalog(3), model.Template("a", key))
-    >>> after.revision, after.revision_of("a")
+    >>> after.revision, after.find_revision("a")
     (4, 4)
     """
     revision = catalog.revision + 1
