--- a/crocusrouter/controllers/edits.py
+++ b/crocusrouter/controllers/edits.py
@@ -10,7 +10,7 @@
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.templates import Catalog
 from crocusrouter.templates import Template
-from crocusrouter.templates import Version
+from crocusrouter.templates import TemplateVersion
 from crocusrouter.templates import compare_templates
 from crocusrouter.templates import dump_catalog
 from crocusrouter.templates import dump_version
@@ -140,7 +140,9 @@
     """
     versioned = catalog.templates.get(template.customer)
     previous_name = versioned.version if versioned is not None else ""
-    version = Version(catalog.revision + 1, now, previous_name, template)
+    version = TemplateVersion(
+        catalog.revision + 1, now, previous_name, template
+    )
     name = name_version(version)
     outcome = await store_client.swap(
         configuration.history_prefix + name, None, dump_version(version)
@@ -157,7 +159,7 @@
     store_client: store.StoreClient,
     customer: str,
     limit: int,
-) -> list[Version]:
+) -> list[TemplateVersion]:
     """Return a template's versions, starting with the one in force.
 
     Raises:
@@ -165,7 +167,7 @@
     """
     versioned = configuration.catalog.templates.get(customer)
     name = versioned.version if versioned is not None else ""
-    versions: list[Version] = []
+    versions: list[TemplateVersion] = []
     while name and len(versions) < limit:
         record = await store_client.read(configuration.history_prefix + name)
         if record is None:
--- a/crocusrouter/http/operator_endpoints.py
+++ b/crocusrouter/http/operator_endpoints.py
@@ -19,7 +19,7 @@
 from crocusrouter.outcomes import refuse
 from crocusrouter.templates import InvalidTemplateError
 from crocusrouter.templates import Template
-from crocusrouter.templates import Version
+from crocusrouter.templates import TemplateVersion
 from crocusrouter.templates import compare_templates
 from crocusrouter.templates import dump_template
 from crocusrouter.templates import parse_template
@@ -199,7 +199,7 @@
         return _render_json({"revision": catalog.revision})
 
 
-def _render_versions(versions: list[Version]) -> list[dict[str, Any]]:
+def _render_versions(versions: list[TemplateVersion]) -> list[dict[str, Any]]:
     """Return each version with the fields that it changed."""
     older = [version.template for version in versions[1:]]
     return [
--- a/crocusrouter/templates/__init__.py
+++ b/crocusrouter/templates/__init__.py
@@ -7,7 +7,7 @@
 from crocusrouter.templates.catalog import replace_template
 from crocusrouter.templates.differences import Difference
 from crocusrouter.templates.differences import compare_templates
-from crocusrouter.templates.history import Version
+from crocusrouter.templates.history import TemplateVersion
 from crocusrouter.templates.history import dump_version
 from crocusrouter.templates.history import name_version
 from crocusrouter.templates.history import parse_version
@@ -33,7 +33,7 @@
     "Loss",
     "RequestKind",
     "Template",
-    "Version",
+    "TemplateVersion",
     "VersionedTemplate",
     "Weights",
     "compare_templates",
--- a/crocusrouter/templates/history.py
+++ b/crocusrouter/templates/history.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Version:
+class TemplateVersion:
     """One version of a customer's template.
 
     Attributes:
@@ -31,10 +31,10 @@
     template: model.Template
 
 
-_VERSION_ADAPTER = pydantic.TypeAdapter(Version)
+_VERSION_ADAPTER = pydantic.TypeAdapter(TemplateVersion)
 
 
-def name_version(version: Version) -> str:
+def name_version(version: TemplateVersion) -> str:
     """Return the name under which a version is stored.
 
     >>> version = Version(7, 0.0, "", model.Template("a", "0" * 64))
@@ -45,12 +45,12 @@
     return f"{version.template.customer}/{version.revision:012d}-{digest}"
 
 
-def dump_version(version: Version) -> bytes:
+def dump_version(version: TemplateVersion) -> bytes:
     """Return a version as JSON."""
     return _VERSION_ADAPTER.dump_json(version)
 
 
-def parse_version(data: bytes) -> Version:
+def parse_version(data: bytes) -> TemplateVersion:
     """Check a JSON document and return the version.
 
     Raises:
