--- a/crocusrouter/templates/history.py
+++ b/crocusrouter/templates/history.py
@@ -37,7 +37,7 @@
 def name_version(version: TemplateVersion) -> str:
     """Return the name under which a version is stored.
 
-    >>> version = Version(7, 0.0, "", model.Template("a", "0" * 64))
+    >>> version = TemplateVersion(7, 0.0, "", model.Template("a", "0" * 64))
     >>> name_version(version).partition("-")[0]
     'a/000000000007'
     """
