--- a/crocusrouter/controllers/edits.py
+++ b/crocusrouter/controllers/edits.py
@@ -11,10 +11,10 @@
 from crocusrouter.templates import Catalog
 from crocusrouter.templates import Template
 from crocusrouter.templates import TemplateVersion
+from crocusrouter.templates import build_version_name
 from crocusrouter.templates import compare_templates
 from crocusrouter.templates import dump_catalog
 from crocusrouter.templates import dump_version
-from crocusrouter.templates import name_version
 from crocusrouter.templates import parse_catalog
 from crocusrouter.templates import parse_version
 from crocusrouter.templates import replace_template
@@ -143,7 +143,7 @@
     version = TemplateVersion(
         catalog.revision + 1, now, previous_name, template
     )
-    name = name_version(version)
+    name = build_version_name(version)
     outcome = await store_client.swap(
         configuration.history_prefix + name, None, dump_version(version)
     )
--- a/crocusrouter/templates/__init__.py
+++ b/crocusrouter/templates/__init__.py
@@ -8,8 +8,8 @@
 from crocusrouter.templates.differences import Difference
 from crocusrouter.templates.differences import compare_templates
 from crocusrouter.templates.history import TemplateVersion
+from crocusrouter.templates.history import build_version_name
 from crocusrouter.templates.history import dump_version
-from crocusrouter.templates.history import name_version
 from crocusrouter.templates.history import parse_version
 from crocusrouter.templates.model import Cell
 from crocusrouter.templates.model import InvalidTemplateError
@@ -41,7 +41,7 @@
     "dump_catalog",
     "dump_template",
     "dump_version",
-    "name_version",
+    "build_version_name",
     "parse_catalog",
     "parse_template",
     "parse_version",
--- a/crocusrouter/templates/history.py
+++ b/crocusrouter/templates/history.py
@@ -34,7 +34,7 @@
 _VERSION_ADAPTER = pydantic.TypeAdapter(TemplateVersion)
 
 
-def name_version(version: TemplateVersion) -> str:
+def build_version_name(version: TemplateVersion) -> str:
     """Return the name under which a version is stored.
 
     >>> version = TemplateVersion(7, 0.0, "", model.Template("a", "0" * 64))
