--- a/crocusrouter/templates/history.py
+++ b/crocusrouter/templates/history.py
@@ -38,7 +38,7 @@
     """Return the name under which a version is stored.
 
     >>> version = TemplateVersion(7, 0.0, "", model.Template("a", "0" * 64))
-    >>> name_version(version).partition("-")[0]
+    >>> build_version_name(version).partition("-")[0]
     'a/000000000007'
     """
     digest = hashlib.blake2b(dump_version(version), digest_size=4).hexdigest()
