--- a/bench/policy.py
+++ b/bench/policy.py
@@ -53,7 +53,7 @@
 
     name: str
     workers_per_rack: int
-    weights: templates.Weights
+    weights: templates.PlacementWeights
     jobs_per_hour: float
     kinds: tuple[tuple[str, float, int, Level, float], ...]
 
@@ -61,7 +61,7 @@
 FBUSW = Load(
     "fbusw",
     6,
-    templates.Weights(completion=3.0, fragmentation=1.0),
+    templates.PlacementWeights(completion=3.0, fragmentation=1.0),
     78.0,
     (
         ("match", 0.70, 1, Level.WORKER, 240.0),
@@ -72,7 +72,7 @@
 KILIMA = Load(
     "kilima",
     8,
-    templates.Weights(completion=1.0, fragmentation=3.0),
+    templates.PlacementWeights(completion=1.0, fragmentation=3.0),
     46.0,
     (
         ("verify", 0.70, 1, Level.WORKER, 300.0),
--- a/crocusrouter/jobs/queue.py
+++ b/crocusrouter/jobs/queue.py
@@ -7,7 +7,7 @@
 from crocusrouter.jobs import model
 from crocusrouter.jobs import run_times
 from crocusrouter.templates import Catalog
-from crocusrouter.templates import Weights
+from crocusrouter.templates import PlacementWeights
 
 _BORROWED_SHARE_STEPS = 8
 
@@ -51,7 +51,9 @@
     ) -> tuple[bool, bool, int, float, str]:
         template = catalog.find_template(job.customer)
         share = template.fair_share if template is not None else 1.0
-        weights = template.weights if template is not None else Weights()
+        weights = (
+            template.weights if template is not None else PlacementWeights()
+        )
         expected_s = estimate_job_run_time(run_time_history, job)
         return (
             not job.spec.urgent,
--- a/crocusrouter/jobs/tests/test_backfill.py
+++ b/crocusrouter/jobs/tests/test_backfill.py
@@ -60,7 +60,9 @@
 def test_large_job_is_not_starved_by_small_jobs():
     machine = machines.BookMachine()
     machine.scheduler_state.catalog = build.build_catalog(
-        build.build_template("c", weights=templates.Weights(completion=1.0))
+        build.build_template(
+            "c", weights=templates.PlacementWeights(completion=1.0)
+        )
     )
     machine.submit([("c", (1, "worker"), 6.0)] * 24)
     machine.run_on(2)
--- a/crocusrouter/templates/__init__.py
+++ b/crocusrouter/templates/__init__.py
@@ -16,9 +16,9 @@
 from crocusrouter.templates.model import JobKind
 from crocusrouter.templates.model import Level
 from crocusrouter.templates.model import Loss
+from crocusrouter.templates.model import PlacementWeights
 from crocusrouter.templates.model import RequestKind
 from crocusrouter.templates.model import Template
-from crocusrouter.templates.model import Weights
 from crocusrouter.templates.model import describe_errors
 from crocusrouter.templates.model import dump_template
 from crocusrouter.templates.model import parse_template
@@ -35,7 +35,7 @@
     "Template",
     "TemplateVersion",
     "VersionedTemplate",
-    "Weights",
+    "PlacementWeights",
     "compare_templates",
     "describe_errors",
     "dump_catalog",
--- a/crocusrouter/templates/model.py
+++ b/crocusrouter/templates/model.py
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True, config=_FORBID_UNKNOWN_FIELDS)
-class Weights:
+class PlacementWeights:
     """Placement weights; FBUSW stresses completion, Kilima fragmentation."""
 
     completion: Weight = 1.0
@@ -129,7 +129,7 @@
     max_jobs: Count = 1000
     retry_share: Share = 0.2
     fair_share: Annotated[float, pydantic.Field(gt=0, le=1000)] = 1.0
-    weights: Weights = pydantic.Field(default_factory=Weights)
+    weights: PlacementWeights = pydantic.Field(default_factory=PlacementWeights)
 
 
 _TEMPLATE_ADAPTER = pydantic.TypeAdapter(Template)
