--- a/crocusrouter/cli/serve.py
+++ b/crocusrouter/cli/serve.py
@@ -44,7 +44,7 @@
                 ),
             ],
         )
-        for name, field in settings.Settings.model_fields.items()
+        for name, field in settings.ServeSettings.model_fields.items()
     ]
 
     def serve(**flags: Any) -> None:
--- a/crocusrouter/cli/service.py
+++ b/crocusrouter/cli/service.py
@@ -9,7 +9,7 @@
 from crocusrouter import http
 from crocusrouter import mesh
 from crocusrouter.http import app
-from crocusrouter.settings import Settings
+from crocusrouter.settings import ServeSettings
 from crocusrouter.settings import parse_address
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
@@ -20,7 +20,7 @@
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-async def serve(settings: Settings) -> None:
+async def serve(settings: ServeSettings) -> None:
     """Serve until SIGTERM or SIGINT, then stop once open requests end."""
     open_log(settings.name)
     metrics = Metrics()
--- a/crocusrouter/controllers/entry.py
+++ b/crocusrouter/controllers/entry.py
@@ -24,7 +24,7 @@
 from crocusrouter.mesh import messages
 from crocusrouter.outcomes import Answer
 from crocusrouter.requests import pool
-from crocusrouter.settings import Settings
+from crocusrouter.settings import ServeSettings
 from crocusrouter.telemetry import Metrics
 from crocusrouter.telemetry import log
 from crocusrouter.templates import dump_catalog
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: ServeSettings,
         metrics: Metrics,
         *,
         seed: int | None = None,
--- a/crocusrouter/settings/__init__.py
+++ b/crocusrouter/settings/__init__.py
@@ -3,7 +3,7 @@
 from crocusrouter.settings.entry_settings import FILE_VARIABLE
 from crocusrouter.settings.entry_settings import EntrySettings
 from crocusrouter.settings.entry_settings import load_entry_settings
-from crocusrouter.settings.serve_settings import Settings
+from crocusrouter.settings.serve_settings import ServeSettings
 from crocusrouter.settings.serve_settings import WrongSettingsError
 from crocusrouter.settings.serve_settings import load_settings
 from crocusrouter.settings.serve_settings import parse_address
@@ -11,7 +11,7 @@
 __all__ = [
     "FILE_VARIABLE",
     "EntrySettings",
-    "Settings",
+    "ServeSettings",
     "WrongSettingsError",
     "load_entry_settings",
     "load_settings",
--- a/crocusrouter/settings/serve_settings.py
+++ b/crocusrouter/settings/serve_settings.py
@@ -12,7 +12,7 @@
 Seconds = Annotated[float, pydantic.Field(gt=0, le=3600)]
 
 
-class Settings(pydantic_settings.BaseSettings):
+class ServeSettings(pydantic_settings.BaseSettings):
     """Settings of one `crocusrouter serve` process.
 
     Each field is a flag (`--store-url`) and an environment variable
@@ -87,7 +87,7 @@
         return value
 
     @pydantic.model_validator(mode="after")
-    def _check_leases(self) -> "Settings":
+    def _check_leases(self) -> "ServeSettings":
         if self.task_lease_s < 2 * self.owner_ttl_s:
             raise ValueError(
                 "task_lease_s must be at least twice owner_ttl_s, or leases of "
@@ -100,7 +100,7 @@
     """Some settings fail their checks; the message has a line for each."""
 
 
-def load_settings(flags: dict[str, Any]) -> Settings:
+def load_settings(flags: dict[str, Any]) -> ServeSettings:
     """Load and check the settings; flags override the environment.
 
     Args:
@@ -110,7 +110,7 @@
         WrongSettingsError: Names each setting, its value and the remedy.
     """
     try:
-        return Settings(**flags)
+        return ServeSettings(**flags)
     except pydantic.ValidationError as error:
         raise build_settings_error(error) from error
 
