--- a/crocusrouter/cli/serve.py
+++ b/crocusrouter/cli/serve.py
@@ -77,7 +77,7 @@
         name: value for name, value in flags.items() if value is not None
     }
     try:
-        serve_settings = settings.load_settings(given_flags)
+        serve_settings = settings.load_serve_settings(given_flags)
     except settings.WrongSettingsError as error:
         print(f"wrong settings:\n{error}", file=sys.stderr)
         raise typer.Exit(exit_codes.ExitCode.WRONG_USAGE) from error
--- a/crocusrouter/settings/__init__.py
+++ b/crocusrouter/settings/__init__.py
@@ -5,7 +5,7 @@
 from crocusrouter.settings.entry_settings import load_entry_settings
 from crocusrouter.settings.serve_settings import ServeSettings
 from crocusrouter.settings.serve_settings import WrongSettingsError
-from crocusrouter.settings.serve_settings import load_settings
+from crocusrouter.settings.serve_settings import load_serve_settings
 from crocusrouter.settings.serve_settings import parse_address
 
 __all__ = [
@@ -14,6 +14,6 @@
     "ServeSettings",
     "WrongSettingsError",
     "load_entry_settings",
-    "load_settings",
+    "load_serve_settings",
     "parse_address",
 ]
--- a/crocusrouter/settings/serve_settings.py
+++ b/crocusrouter/settings/serve_settings.py
@@ -100,7 +100,7 @@
     """Some settings fail their checks; the message has a line for each."""
 
 
-def load_settings(flags: dict[str, Any]) -> ServeSettings:
+def load_serve_settings(flags: dict[str, Any]) -> ServeSettings:
     """Load and check the settings; flags override the environment.
 
     Args:
--- a/crocusrouter/settings/tests/test_serve_settings.py
+++ b/crocusrouter/settings/tests/test_serve_settings.py
@@ -15,13 +15,13 @@
 
 
 def test_valid_settings_load():
-    assert settings.load_settings(_VALID_SETTINGS).task_lease_s == 6.0
+    assert settings.load_serve_settings(_VALID_SETTINGS).task_lease_s == 6.0
 
 
 def test_flags_override_the_environment(monkeypatch):
     monkeypatch.setenv("CROCUSROUTER_NAME", "from-env")
     monkeypatch.setenv("CROCUSROUTER_HEARTBEAT_S", "0.5")
-    loaded_settings = settings.load_settings(_VALID_SETTINGS)
+    loaded_settings = settings.load_serve_settings(_VALID_SETTINGS)
     assert (loaded_settings.name, loaded_settings.heartbeat_s) == ("e1", 0.5)
 
 
@@ -41,7 +41,7 @@
 )
 def test_wrong_setting_names_itself_and_the_remedy(field, value, expected_text):
     with pytest.raises(settings.WrongSettingsError) as caught:
-        settings.load_settings(_VALID_SETTINGS | {field: value})
+        settings.load_serve_settings(_VALID_SETTINGS | {field: value})
     message = str(caught.value)
     assert expected_text in message
     if "twice" not in expected_text:
@@ -51,5 +51,5 @@
 
 def test_missing_settings_are_all_named():
     with pytest.raises(settings.WrongSettingsError) as caught:
-        settings.load_settings({})
+        settings.load_serve_settings({})
     assert len(str(caught.value).splitlines()) == len(_VALID_SETTINGS)
--- a/standins/world.py
+++ b/standins/world.py
@@ -123,7 +123,9 @@
         } | self.options
         self.list_vm(name, "entry", mesh_port)
         entry = controllers.Entry(
-            settings.load_settings(chosen), Metrics(), seed=len(self.entries)
+            settings.load_serve_settings(chosen),
+            Metrics(),
+            seed=len(self.entries),
         )
         served = Served(entry, port, trio.CancelScope())
         self.entries[name] = served
