--- a/crocusrouter/cli/entry_service.py
+++ b/crocusrouter/cli/entry_service.py
@@ -184,7 +184,7 @@
     found in the store, so no setting has to be applied before a restart. A file
     that fails its checks is reported at once, not at the next start.
     """
-    path = os.environ.get(settings.FILE_VARIABLE)
+    path = os.environ.get(settings.SETTINGS_FILE_VARIABLE)
     if not path:
         return
     settings_path = pathlib.Path(path)
--- a/crocusrouter/settings/__init__.py
+++ b/crocusrouter/settings/__init__.py
@@ -1,6 +1,6 @@
 """Settings of an entry's process, checked when they are loaded."""
 
-from crocusrouter.settings.entry_settings import FILE_VARIABLE
+from crocusrouter.settings.entry_settings import SETTINGS_FILE_VARIABLE
 from crocusrouter.settings.entry_settings import EntrySettings
 from crocusrouter.settings.entry_settings import load_entry_settings
 from crocusrouter.settings.serve_settings import ServeSettings
@@ -9,7 +9,7 @@
 from crocusrouter.settings.serve_settings import parse_address
 
 __all__ = [
-    "FILE_VARIABLE",
+    "SETTINGS_FILE_VARIABLE",
     "EntrySettings",
     "ServeSettings",
     "WrongSettingsError",
--- a/crocusrouter/settings/entry_settings.py
+++ b/crocusrouter/settings/entry_settings.py
@@ -13,7 +13,7 @@
 
 from crocusrouter.settings import serve_settings
 
-FILE_VARIABLE = "CROCUSROUTER_CONFIG"
+SETTINGS_FILE_VARIABLE = "CROCUSROUTER_CONFIG"
 
 
 class EntrySettings(pydantic_settings.BaseSettings):
@@ -103,7 +103,7 @@
     Raises:
         WrongSettingsError: Names each setting, its value and the remedy.
     """
-    path = os.environ.get(FILE_VARIABLE)
+    path = os.environ.get(SETTINGS_FILE_VARIABLE)
     settings_path = pathlib.Path(path) if path else None
     try:
         return EntrySettings(
--- a/crocusrouter/settings/tests/test_entry_settings.py
+++ b/crocusrouter/settings/tests/test_entry_settings.py
@@ -21,7 +21,7 @@
     ]
     path = tmp_path / "entry.env"
     path.write_text("\n".join(lines))
-    monkeypatch.setenv(settings.FILE_VARIABLE, str(path))
+    monkeypatch.setenv(settings.SETTINGS_FILE_VARIABLE, str(path))
 
 
 def test_settings_load_from_the_platform_file(tmp_path, monkeypatch):
