--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -293,7 +293,7 @@
 }
 
 
-# test_queue_calls covers the other reasons.
+# test_queue_endpoints covers the other reasons.
 @pytest.mark.parametrize(
     "reason",
     [
