--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -5,7 +5,7 @@
 
 from crocusrouter import codec
 from crocusrouter.controllers.configuration import OwnerRecord
-from crocusrouter.http.tests import test_queue_calls
+from crocusrouter.http.tests import test_queue_endpoints
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.outcomes import RetryReason
 from crocusrouter.requests.claims import Claim
@@ -299,7 +299,7 @@
     [
         reason
         for reason in RefusalReason
-        if reason not in test_queue_calls.REASONS
+        if reason not in test_queue_endpoints.REASONS
     ],
 )
 async def test_refusal_is_typed_and_counted(reason):
