--- a/crocusrouter/http/entry_app.py
+++ b/crocusrouter/http/entry_app.py
@@ -8,7 +8,7 @@
 from starlette.types import Send
 
 from crocusrouter import pools
-from crocusrouter.http import queue_calls
+from crocusrouter.http import queue_endpoints
 from crocusrouter.outcomes import Rendered
 
 READY_PATH = "/ready"
@@ -35,7 +35,7 @@
         ready_port: Port on which the balancer checks readiness.
         metrics_port: Port on which metrics are exposed.
     """
-    queue_api = queue_calls.QueueEndpoints(entry)
+    queue_api = queue_endpoints.QueueEndpoints(entry)
 
     async def respond(request: starlette_requests.Request) -> Rendered:
         server_address = request.scope.get("server")
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -15,7 +15,7 @@
 from crocusrouter import platform
 from crocusrouter import pools
 from crocusrouter import work
-from crocusrouter.http import queue_calls
+from crocusrouter.http import queue_endpoints
 from crocusrouter.store import port
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
@@ -393,7 +393,7 @@
         life = self._started[name]
         asked = change_rules.Asked(name, life, route, key, trio.current_time())
         await self.suspensions.wait_awake(name)
-        calls = queue_calls.QueueEndpoints(entry)
+        calls = queue_endpoints.QueueEndpoints(entry)
         rendered = await calls.handle(_build_request(route, key))
         if self._started[name] != life or name not in self.entries:
             return
