--- a/crocusrouter/controllers/template_edits.py
+++ b/crocusrouter/controllers/template_edits.py
@@ -10,11 +10,11 @@
 from crocusrouter.outcomes import RefusalReason
 from crocusrouter.templates import Catalog
 from crocusrouter.templates import Template
-from crocusrouter.templates import Version
+from crocusrouter.templates import TemplateVersion
+from crocusrouter.templates import build_version_name
 from crocusrouter.templates import compare_templates
 from crocusrouter.templates import dump_catalog
 from crocusrouter.templates import dump_version
-from crocusrouter.templates import name_version
 from crocusrouter.templates import parse_catalog
 from crocusrouter.templates import parse_version
 from crocusrouter.templates import replace_template
@@ -51,7 +51,7 @@
             operator read; 0 if there was none; None to skip this check.
         current_fleet: The fleet in which all guarantees must fit together.
     """
-    current_revision = catalog.revision_of(template.customer)
+    current_revision = catalog.find_revision(template.customer)
     if expected_revision is not None and expected_revision != current_revision:
         return _build_conflict_refusal(catalog, template, expected_revision)
     misfit = jobs.check_guarantees(
@@ -140,8 +140,10 @@
     """
     versioned = catalog.templates.get(template.customer)
     previous_name = versioned.version if versioned is not None else ""
-    version = Version(catalog.revision + 1, now, previous_name, template)
-    name = name_version(version)
+    version = TemplateVersion(
+        catalog.revision + 1, now, previous_name, template
+    )
+    name = build_version_name(version)
     outcome = await store_client.compare_and_swap(
         configuration.history_prefix + name, None, dump_version(version)
     )
@@ -157,7 +159,7 @@
     store_client: store.StoreClient,
     customer: str,
     limit: int,
-) -> list[Version]:
+) -> list[TemplateVersion]:
     """Return a template's versions, starting with the one in force.
 
     Raises:
@@ -165,7 +167,7 @@
     """
     versioned = configuration.catalog.templates.get(customer)
     name = versioned.version if versioned is not None else ""
-    versions: list[Version] = []
+    versions: list[TemplateVersion] = []
     while name and len(versions) < limit:
         record = await store_client.read(configuration.history_prefix + name)
         if record is None:
@@ -188,8 +190,8 @@
     catalog: Catalog, template: Template, expected_revision: int
 ) -> Refusal:
     """Refuse an edit and name the fields that differ from the current ones."""
-    current_revision = catalog.revision_of(template.customer)
-    current_template = catalog.find(template.customer)
+    current_revision = catalog.find_revision(template.customer)
+    current_template = catalog.find_template(template.customer)
     changed_paths = [
         difference.path
         for difference in compare_templates(current_template, template)
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -15,7 +15,7 @@
 from crocusrouter import platform
 from crocusrouter import pools
 from crocusrouter import work
-from crocusrouter.http import queue_calls
+from crocusrouter.http import queue_endpoints
 from crocusrouter.store import key_value
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
@@ -416,7 +416,7 @@
             name, incarnation, route, key, trio.current_time()
         )
         await self.suspensions.wait_until_resumed(name)
-        calls = queue_calls.QueueCalls(entry)
+        calls = queue_endpoints.QueueEndpoints(entry)
         response = await calls.handle(_build_request(route, key))
         if self._start_counts[name] != incarnation or name not in self.entries:
             return
--- a/standins/world.py
+++ b/standins/world.py
@@ -123,7 +123,9 @@
         } | self.options
         self.list_vm(name, "entry", mesh_port)
         entry = controllers.Entry(
-            settings.load_settings(chosen), Metrics(), seed=len(self.entries)
+            settings.load_serve_settings(chosen),
+            Metrics(),
+            seed=len(self.entries),
         )
         served = Served(entry, port, trio.CancelScope())
         self.entries[name] = served
@@ -139,7 +141,9 @@
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         entry = served.entry
-        config = http.build_config(entry.settings.listen, 0.2, entry.metrics)
+        config = http.build_server_config(
+            entry.settings.listen, 0.2, entry.metrics
+        )
         with served.scope:
             async with trio.open_nursery() as nursery:
                 await nursery.start(
