--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Asked:
+class SentCall:
     """A call that a caller has sent.
 
     Attributes:
@@ -89,7 +89,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Call(Asked):
+class Call(SentCall):
     """A call and its answer, as the caller sees them.
 
     Attributes:
@@ -147,7 +147,7 @@
         self._versions.append((now, version))
 
     def note_answer(
-        self, sent_call: Asked, status: int | None, now: float
+        self, sent_call: SentCall, status: int | None, now: float
     ) -> None:
         """Check a call by the HTTP status of its answer."""
         fields = dataclasses.asdict(sent_call)
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -412,7 +412,7 @@
         if entry is None:
             return
         incarnation = self._start_counts[name]
-        sent_call = change_rules.Asked(
+        sent_call = change_rules.SentCall(
             name, incarnation, route, key, trio.current_time()
         )
         await self.suspensions.wait_until_resumed(name)
--- a/standins/soak/changing.py
+++ b/standins/soak/changing.py
@@ -54,7 +54,7 @@
         """
         life = self._world.lives[name]
         sent_at = trio.current_time()
-        asked = change_rules.Asked(name, life, route, key, sent_at)
+        asked = change_rules.SentCall(name, life, route, key, sent_at)
         try:
             response = await self._pool.request(
                 "GET",
