--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -89,7 +89,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Call(SentCall):
+class AnsweredCall(SentCall):
     """A call and its answer, as the caller sees them.
 
     Attributes:
@@ -152,9 +152,11 @@
         """Check a call by the HTTP status of its answer."""
         fields = dataclasses.asdict(sent_call)
         handling = read_status(status)
-        self.note_call(Call(**fields, answered_at=now, handling=handling))
+        self.note_call(
+            AnsweredCall(**fields, answered_at=now, handling=handling)
+        )
 
-    def note_call(self, call: Call) -> None:
+    def note_call(self, call: AnsweredCall) -> None:
         """Check one answered call."""
         if call.handling is Handling.NOT_DECIDED:
             self.undecided += 1
@@ -169,7 +171,7 @@
         self._check_delay(call, matching)
         self._check_rollback(call, matching)
 
-    def _find_matching_versions(self, call: Call) -> list[int]:
+    def _find_matching_versions(self, call: AnsweredCall) -> list[int]:
         """Return the versions under which a call may have been handled."""
         return [
             version.version
@@ -179,7 +181,7 @@
             and version.handle(call.route, call.key) is call.handling
         ]
 
-    def _check_delay(self, call: Call, matching: list[int]) -> None:
+    def _check_delay(self, call: AnsweredCall, matching: list[int]) -> None:
         later_confirmed_at = [
             at
             for at, version in self._versions
@@ -203,7 +205,7 @@
                 f"sent {delay_s:.2f} s after a later version was confirmed",
             )
 
-    def _check_rollback(self, call: Call, matching: list[int]) -> None:
+    def _check_rollback(self, call: AnsweredCall, matching: list[int]) -> None:
         reason = self._touch.explain(call.entry, call.sent_at)
         seen_before = call.sent_at - (
             _IMPAIRED_ROLLBACK_SLACK_S if reason else _ROLLBACK_SLACK_S
@@ -218,7 +220,7 @@
         if not seen or min(matching) > seen[-1][1]:
             seen.append((call.answered_at, min(matching)))
 
-    def _report(self, call: Call, violation: str) -> None:
+    def _report(self, call: AnsweredCall, violation: str) -> None:
         self.broken.append(
             f"{call.sent_at:.3f} config: {call.entry} answered {call.handling} "
             f"to {call.route} with key {call.key}: {violation}"
