--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -82,7 +82,7 @@
     """
 
     entry: str
-    life: int
+    incarnation: int
     route: str
     key: str
     sent_at: float
@@ -210,7 +210,7 @@
         seen_before = call.sent_at - (
             _IMPAIRED_ROLLBACK_SLACK_S if reason else _ROLLBACK_SLACK_S
         )
-        seen = self._versions_seen[call.entry, call.life]
+        seen = self._versions_seen[call.entry, call.incarnation]
         newest_seen = max((v for at, v in seen if at < seen_before), default=0)
         if max(matching) < newest_seen:
             self._report(
