--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -75,7 +75,7 @@
 
     Attributes:
         entry: Name of the called entry.
-        life: Number of the incarnation of the entry's process.
+        incarnation: Number of the incarnation of the entry's process.
         route: Prefix of the path.
         key: The API key of the call.
         sent_at: Seconds.
