--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -101,7 +101,7 @@
     handling: Handling
 
 
-class Changes:
+class ConfigOracle:
     """Checks the rules on the configuration and collects the broken ones.
 
     `Touch` defines when an entry is in touch.
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -178,7 +178,7 @@
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
         self.touch = touches.Touch()
-        self.changes = change_rules.Changes(self.touch)
+        self.changes = change_rules.ConfigOracle(self.touch)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
             self.store, CONFIG_KEY, self.changes, _build_config(guaranteed)
--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -32,7 +32,7 @@
         self,
         store: stores.Store,
         key: str,
-        changes: change_rules.Changes,
+        changes: change_rules.ConfigOracle,
         base: dict[str, Any],
     ) -> None:
         """Prepare without writing.
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -40,7 +40,7 @@
     touch = touches.Touch()
     if impaired_at is not None:
         touch.note_impaired("e0", impaired_at)
-    changes = change_rules.Changes(touch)
+    changes = change_rules.ConfigOracle(touch)
     for at, version, routes, keys, valid in (
         (0.0, 2, {_ROUTE}, set(), True),
         (10.0, 3, {_ROUTE}, {_KEY}, True),
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -110,7 +110,7 @@
     accepted: int
     crashes: int
     faults: list[str]
-    changes: change_rules.Changes
+    changes: change_rules.ConfigOracle
     cuts: cuts.Cuts
 
     @property
--- a/standins/soak/tests/test_soak.py
+++ b/standins/soak/tests/test_soak.py
@@ -78,7 +78,7 @@
     """Entries that never served anybody passed for ones that kept all."""
     seen = touch.Touch()
     result = soak.Result(
-        broken, accepted, 0, [], changes.Changes(seen), cuts.Cuts(seen)
+        broken, accepted, 0, [], changes.ConfigOracle(seen), cuts.Cuts(seen)
     )
     assert result.verdict == verdict
     assert ("jobs" in result.list_idle_checks()) is (accepted == 0)
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -56,7 +56,7 @@
         """
         self.oracle = oracles.Oracle()
         self.touch = touches.Touch()
-        self.changes = change_rules.Changes(self.touch)
+        self.changes = change_rules.ConfigOracle(self.touch)
         # The same without planned stops.
         self.unplanned = touches.Touch()
         self.cuts = cuts.Cuts(self.unplanned)
