--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -146,7 +146,7 @@
             }
         self._versions.append((now, version))
 
-    def note_answer(
+    def check_answer(
         self, sent_call: SentCall, status: int | None, now: float
     ) -> None:
         """Check a call by the HTTP status of its answer."""
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -421,7 +421,7 @@
         if self._start_counts[name] != incarnation or name not in self.entries:
             return
         now = trio.current_time()
-        self.changes.note_answer(sent_call, response.status, now)
+        self.changes.check_answer(sent_call, response.status, now)
 
     # Clock steps.
 
--- a/standins/soak/changing.py
+++ b/standins/soak/changing.py
@@ -75,7 +75,7 @@
         if self._world.lives[name] != life:
             return
         now = trio.current_time()
-        self._world.changes.note_answer(asked, response.status, now)
+        self._world.changes.check_answer(asked, response.status, now)
 
     async def aclose(self) -> None:
         """Close all connections."""
