--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -152,11 +152,11 @@
         """Check a call by the HTTP status of its answer."""
         fields = dataclasses.asdict(sent_call)
         handling = read_status(status)
-        self.note_call(
+        self.check_call(
             AnsweredCall(**fields, answered_at=now, handling=handling)
         )
 
-    def note_call(self, call: AnsweredCall) -> None:
+    def check_call(self, call: AnsweredCall) -> None:
         """Check one answered call."""
         if call.handling is Handling.NOT_DECIDED:
             self.undecided += 1
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -53,7 +53,7 @@
             at,
         )
     for at, call_handling in (*earlier, (sent_at, handling)):
-        changes.note_call(
+        changes.check_call(
             change_rules.AnsweredCall(
                 "e0", 1, _ROUTE, _KEY, at, at + 0.01, call_handling
             )
