--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -124,7 +124,7 @@
         self.excused: collections.Counter[str] = collections.Counter()
         self.undecided = 0
         self.unready = 0
-        self.latest_s = 0.0
+        self.max_delay_s = 0.0
         self._touch = touch
         self._versions: list[tuple[float, ConfigVersion]] = []
         self._withdrawn: set[int] = set()
@@ -194,7 +194,7 @@
         delay_s = call.sent_at - min(later_confirmed_at)
         reason = self._touch.explain(call.entry, call.sent_at)
         if not reason:
-            self.latest_s = max(self.latest_s, delay_s)
+            self.max_delay_s = max(self.max_delay_s, delay_s)
         if delay_s <= CONFIG_APPLY_S:
             return
         if reason:
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -34,7 +34,7 @@
         seen = result.changes
         counts = f"{result.accepted} jobs, {result.crashes} crashes"
         counts += f", {seen.judged} calls on changes"
-        counts += f" (latest {seen.latest_s:.2f} s, excused"
+        counts += f" (latest {seen.max_delay_s:.2f} s, excused"
         counts += f" {dict(seen.excused)}, not ready {seen.unready})"
         cut = result.cuts
         counts += (
