--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -113,7 +113,7 @@
             that were not in touch, by the reason why they were not.
         undecided: How many answers tell nothing about the configuration.
         unready: How many of these came from entries in touch.
-        latest_s: Longest time from a version's confirmation to a call that
+        max_delay_s: Longest time from a version's confirmation to a call that
             an entry in touch handled by an earlier version.
     """
 
