--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -44,7 +44,7 @@
             base: The document without its version. Added routes are copies of
                 its first route, and added keys belong to its first customer.
         """
-        self.changes = changes
+        self.config_oracle = changes
         self._store = store
         self._key = key
         self._base = base
@@ -83,7 +83,7 @@
         prefixes = (route["prefix"] for route in document["routes"])
         customers = document["tenants"]
         keys = (key for row in customers for key in row["api_keys"])
-        self.changes.note_confirmed(
+        self.config_oracle.note_confirmed(
             change_rules.ConfigVersion(
                 self._version, frozenset(prefixes), frozenset(keys)
             ),
@@ -95,7 +95,7 @@
         self._version += 1
         document = template.replace(b"%d", str(self._version).encode())
         self._store.put(self._key, document)
-        self.changes.note_confirmed(
+        self.config_oracle.note_confirmed(
             change_rules.ConfigVersion(
                 self._version, frozenset(), frozenset(), valid=False
             ),
