--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -32,7 +32,7 @@
         self,
         store: stores.Store,
         key: str,
-        changes: change_rules.ConfigOracle,
+        config_oracle: change_rules.ConfigOracle,
         base: dict[str, Any],
     ) -> None:
         """Prepare without writing.
@@ -44,7 +44,7 @@
             base: The document without its version. Added routes are copies of
                 its first route, and added keys belong to its first customer.
         """
-        self.config_oracle = changes
+        self.config_oracle = config_oracle
         self._store = store
         self._key = key
         self._base = base
