--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -25,7 +25,7 @@
     """Writes whole configurations, one version after another.
 
     Attributes:
-        changes: The oracle that is told of each confirmed version.
+        config_oracle: The oracle that is told of each confirmed version.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         Args:
             store: The key-value service.
             key: Key of the configuration in the store.
-            changes: The oracle that is told of each confirmed version.
+            config_oracle: The oracle that is told of each confirmed version.
             base: The document without its version. Added routes are copies of
                 its first route, and added keys belong to its first customer.
         """
