--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -178,10 +178,13 @@
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
         self.touch = touches.Touch()
-        self.changes = change_rules.ConfigOracle(self.touch)
+        self.config_oracle = change_rules.ConfigOracle(self.touch)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
-            self.store, CONFIG_KEY, self.changes, _build_config(guaranteed)
+            self.store,
+            CONFIG_KEY,
+            self.config_oracle,
+            _build_config(guaranteed),
         )
         self._start_counts: collections.Counter[str] = collections.Counter()
         self._last_fault_at = 0.0
@@ -421,7 +424,7 @@
         if self._start_counts[name] != incarnation or name not in self.entries:
             return
         now = trio.current_time()
-        self.changes.check_answer(sent_call, response.status, now)
+        self.config_oracle.check_answer(sent_call, response.status, now)
 
     # Clock steps.
 
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -230,7 +230,7 @@
         await _wait_until_idle(cluster)
         cluster.oracle.check_over(await cluster.read_states())
         cluster.oracle.broken += cluster.list_owner_failures()
-        cluster.oracle.broken += cluster.changes.broken
+        cluster.oracle.broken += cluster.config_oracle.broken
         nursery.cancel_scope.cancel()
     return cluster
 
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -122,7 +122,7 @@
                     nursery.start_soon(cluster.call_route, name, _ROUTE, _KEY)
                 await trio.sleep(_CALL_INTERVAL_S)
         nursery.cancel_scope.cancel()
-    assert cluster.changes.judged > 50
+    assert cluster.config_oracle.judged > 50
     return cluster
 
 
@@ -196,8 +196,8 @@
     disturb, delay_s, autojump_clock
 ):
     cluster = await _play(disturb, delay_s)
-    assert cluster.changes.broken == []
-    assert cluster.changes.unready == 0
+    assert cluster.config_oracle.broken == []
+    assert cluster.config_oracle.unready == 0
 
 
 # Every entry answers 503 from then on, because operators have written an
@@ -217,8 +217,8 @@
         cluster.operators.toggle(_ROUTE, _KEY, trio.current_time())
         await _call_entries_for(cluster, 4.0)
         nursery.cancel_scope.cancel()
-    assert cluster.changes.broken == []
-    assert cluster.changes.unready == 0
+    assert cluster.config_oracle.broken == []
+    assert cluster.config_oracle.unready == 0
 
 
 # Any history of changes and faults, checked by the answers to callers.
@@ -239,7 +239,7 @@
         clock=trio.testing.MockClock(autojump_threshold=0),
     )
     assert cluster.oracle.broken == []
-    assert cluster.changes.judged > 50
+    assert cluster.config_oracle.judged > 50
 
 
 @pytest.mark.parametrize("seed", range(_SEED_COUNT))
@@ -250,4 +250,4 @@
     )
     cluster = await emulator.play(seed, load, events, changes_per_s=1.0)
     assert cluster.oracle.broken == []
-    assert cluster.changes.judged > 50
+    assert cluster.config_oracle.judged > 50
