--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -117,7 +117,7 @@
             an entry in touch handled by an earlier version.
     """
 
-    def __init__(self, touch: touches.Touch) -> None:
+    def __init__(self, touch: touches.ImpairmentLog) -> None:
         """Prepare without any version."""
         self.broken: list[str] = []
         self.judged = 0
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -177,7 +177,7 @@
         self._cancel_scopes: dict[str, trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
-        self.touch = touches.Touch()
+        self.touch = touches.ImpairmentLog()
         self.config_oracle = change_rules.ConfigOracle(self.touch)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -37,7 +37,7 @@
 def _check_calls(
     sent_at, handling, *, impaired_at=None, earlier=(), invalid_at=12.0
 ):
-    touch = touches.Touch()
+    touch = touches.ImpairmentLog()
     if impaired_at is not None:
         touch.note_impaired("e0", impaired_at)
     changes = change_rules.ConfigOracle(touch)
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -266,7 +266,7 @@
 )
 def test_gang_that_stays_incomplete(impaired_at, cancel_sent, broken):
     oracle = _make_oracle()
-    touch = touches.Touch()
+    touch = touches.ImpairmentLog()
     if impaired_at is not None:
         touch.note_impaired("w0", impaired_at)
     if cancel_sent:
--- a/standins/emulator/touch.py
+++ b/standins/emulator/touch.py
@@ -4,7 +4,7 @@
 STABLE_S = 3.0
 
 
-class Touch:
+class ImpairmentLog:
     """Records when entries, workers and the key-value service were impaired.
 
     An entry is in touch if neither it nor the service has been impaired for
--- a/standins/soak/cuts.py
+++ b/standins/soak/cuts.py
@@ -37,7 +37,7 @@
         excused: How many of these had something unplanned beside them.
     """
 
-    def __init__(self, unplanned: touches.Touch) -> None:
+    def __init__(self, unplanned: touches.ImpairmentLog) -> None:
         """Begin with none.
 
         Args:
--- a/standins/soak/tests/test_soak.py
+++ b/standins/soak/tests/test_soak.py
@@ -76,7 +76,7 @@
 )
 def test_soak_without_a_case_is_not_kept(broken, accepted, verdict):
     """Entries that never served anybody passed for ones that kept all."""
-    seen = touch.Touch()
+    seen = touch.ImpairmentLog()
     result = soak.Result(
         broken, accepted, 0, [], changes.ConfigOracle(seen), cuts.Cuts(seen)
     )
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -55,10 +55,10 @@
             folder: Where the processes' logs go.
         """
         self.oracle = oracles.Oracle()
-        self.touch = touches.Touch()
+        self.touch = touches.ImpairmentLog()
         self.changes = change_rules.ConfigOracle(self.touch)
         # The same without planned stops.
-        self.unplanned = touches.Touch()
+        self.unplanned = touches.ImpairmentLog()
         self.cuts = cuts.Cuts(self.unplanned)
         self.store = stores.Store(seed)
         self.operators = operators.Operators(
