--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -104,7 +104,7 @@
 class ConfigOracle:
     """Checks the rules on the configuration and collects the broken ones.
 
-    `Touch` defines when an entry is in touch.
+    `ImpairmentLog` defines when an entry is in touch.
 
     Attributes:
         broken: The broken rules, each as one line.
