--- a/standins/emulator/touch.py
+++ b/standins/emulator/touch.py
@@ -23,7 +23,7 @@
         """Record that the key-value service is impaired."""
         self._store_impaired_at = now
 
-    def explain(self, entry: str, at: float) -> str:
+    def explain_impairment(self, entry: str, at: float) -> str:
         """Return why an entry was not in touch at a time; empty if it was.
 
         Args:
--- a/standins/soak/cuts.py
+++ b/standins/soak/cuts.py
@@ -64,7 +64,7 @@
         ):
             return
         self.judged += 1
-        if self._unplanned.explain(cut.entry, cut.sent_at):
+        if self._unplanned.explain_impairment(cut.entry, cut.sent_at):
             self.excused += 1
             return
         self.broken.append(
