--- a/standins/emulator/touch.py
+++ b/standins/emulator/touch.py
@@ -36,7 +36,7 @@
         impaired_at = self._impaired_at.get(entry, float("-inf"))
         return "entry impaired" if impaired_at >= at - STABLE_S else ""
 
-    def is_calm(self, since: float) -> bool:
+    def is_unimpaired_since(self, since: float) -> bool:
         """Tell whether nothing has been impaired since a time."""
         latest = max(self._impaired_at.values(), default=float("-inf"))
         return max(latest, self._store_impaired_at) < since
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -191,7 +191,7 @@
                     nursery.start_soon(self._return_crashed, name, worker)
             self._note_impairments(now)
             self._check_drains()
-            self.oracle.judge_alone(self.touch.is_calm)
+            self.oracle.judge_alone(self.touch.is_unimpaired_since)
             self.store.note_silences(self.entries, now)
             self.store.expire(now)
             await trio.sleep(_STEP_S)
@@ -226,7 +226,7 @@
             if since is None:
                 continue
             for key, at in starts:
-                calm = self.touch.is_calm(at - touches.STABLE_S)
+                calm = self.touch.is_unimpaired_since(at - touches.STABLE_S)
                 if at > since + _DRAIN_S and calm:
                     self.oracle.broken.append(
                         f"{at:.3f} drain: {key} on {name}, which drains since "
