--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -238,7 +238,7 @@
         for at, key in gangs:
             if key.job in self.asked_to_cancel:
                 continue
-            if is_calm(at - GANG_WAIT_S - touches.STABLE_S):
+            if is_calm(at - GANG_WAIT_S - touches.STABLE_WINDOW_S):
                 self.broken.append(
                     f"{at:.3f} gang: {key} waited for missing members"
                 )
--- a/standins/emulator/touch.py
+++ b/standins/emulator/touch.py
@@ -1,7 +1,7 @@
 """Tells which entries are in touch, as the platform's rules define it."""
 
 # `stable_window_ms` of the users' sites.
-STABLE_S = 3.0
+STABLE_WINDOW_S = 3.0
 
 
 class ImpairmentLog:
@@ -31,10 +31,10 @@
             at: The time, in seconds. An impairment counts if its latest record
                 is at most `STABLE_S` older than this time, or newer.
         """
-        if self._store_impaired_at >= at - STABLE_S:
+        if self._store_impaired_at >= at - STABLE_WINDOW_S:
             return "store impaired"
         impaired_at = self._impaired_at.get(entry, float("-inf"))
-        return "entry impaired" if impaired_at >= at - STABLE_S else ""
+        return "entry impaired" if impaired_at >= at - STABLE_WINDOW_S else ""
 
     def is_unimpaired_since(self, since: float) -> bool:
         """Tell whether nothing has been impaired since a time."""
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -226,7 +226,9 @@
             if since is None:
                 continue
             for key, at in starts:
-                calm = self.touch.is_unimpaired_since(at - touches.STABLE_S)
+                calm = self.touch.is_unimpaired_since(
+                    at - touches.STABLE_WINDOW_S
+                )
                 if at > since + _DRAIN_S and calm:
                     self.oracle.broken.append(
                         f"{at:.3f} drain: {key} on {name}, which drains since "
