--- a/standins/emulator/touch.py
+++ b/standins/emulator/touch.py
@@ -8,7 +8,7 @@
     """Records when entries, workers and the key-value service were impaired.
 
     An entry is in touch if neither it nor the service has been impaired for
-    `STABLE_S`. The state of its peers doesn't matter.
+    `STABLE_WINDOW_S`. The state of its peers doesn't matter.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         Args:
             entry: Name of the entry.
             at: The time, in seconds. An impairment counts if its latest record
-                is at most `STABLE_S` older than this time, or newer.
+                is at most `STABLE_WINDOW_S` older than this time, or newer.
         """
         if self._store_impaired_at >= at - STABLE_WINDOW_S:
             return "store impaired"
