--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -125,7 +125,7 @@
         self.undecided = 0
         self.unready = 0
         self.max_delay_s = 0.0
-        self._touch = touch
+        self._impairments = touch
         self._versions: list[tuple[float, ConfigVersion]] = []
         self._withdrawn: set[int] = set()
         self._versions_seen: dict[tuple[str, int], list[tuple[float, int]]] = (
@@ -160,7 +160,9 @@
         """Check one answered call."""
         if call.handling is Handling.NOT_DECIDED:
             self.undecided += 1
-            if not self._touch.explain_impairment(call.entry, call.sent_at):
+            if not self._impairments.explain_impairment(
+                call.entry, call.sent_at
+            ):
                 self.unready += 1
             return
         self.judged += 1
@@ -192,7 +194,7 @@
         if not later_confirmed_at:
             return
         delay_s = call.sent_at - min(later_confirmed_at)
-        reason = self._touch.explain_impairment(call.entry, call.sent_at)
+        reason = self._impairments.explain_impairment(call.entry, call.sent_at)
         if not reason:
             self.max_delay_s = max(self.max_delay_s, delay_s)
         if delay_s <= CONFIG_APPLY_S:
@@ -206,7 +208,7 @@
             )
 
     def _check_rollback(self, call: AnsweredCall, matching: list[int]) -> None:
-        reason = self._touch.explain_impairment(call.entry, call.sent_at)
+        reason = self._impairments.explain_impairment(call.entry, call.sent_at)
         seen_before = call.sent_at - (
             _IMPAIRED_ROLLBACK_SLACK_S if reason else _ROLLBACK_SLACK_S
         )
