--- a/standins/emulator/changes.py
+++ b/standins/emulator/changes.py
@@ -117,7 +117,7 @@
             an entry in touch handled by an earlier version.
     """
 
-    def __init__(self, touch: touches.ImpairmentLog) -> None:
+    def __init__(self, impairments: touches.ImpairmentLog) -> None:
         """Prepare without any version."""
         self.broken: list[str] = []
         self.judged = 0
@@ -125,7 +125,7 @@
         self.undecided = 0
         self.unready = 0
         self.max_delay_s = 0.0
-        self._impairments = touch
+        self._impairments = impairments
         self._versions: list[tuple[float, ConfigVersion]] = []
         self._withdrawn: set[int] = set()
         self._versions_seen: dict[tuple[str, int], list[tuple[float, int]]] = (
