--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -177,8 +177,8 @@
         self._cancel_scopes: dict[str, trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
-        self.touch = touches.ImpairmentLog()
-        self.config_oracle = change_rules.ConfigOracle(self.touch)
+        self.impairments = touches.ImpairmentLog()
+        self.config_oracle = change_rules.ConfigOracle(self.impairments)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
             self.store,
@@ -300,7 +300,7 @@
         )
         self.entries[name] = entry
         self._start_counts[name] += 1
-        self.touch.note_impaired(name, trio.current_time())
+        self.impairments.note_impaired(name, trio.current_time())
         scope = trio.CancelScope()
         self._cancel_scopes[name] = scope
         self._nursery.start_soon(self._run_entry, entry, scope)
@@ -432,14 +432,14 @@
         """Record which workers and entries are impaired, and the store."""
         for name, worker in self.workers.items():
             if worker.is_impaired(now):
-                self.touch.note_impaired(name, now)
+                self.impairments.note_impaired(name, now)
         if self.store.is_impaired(now):
-            self.touch.note_store_impaired(now)
+            self.impairments.note_store_impaired(now)
         for name in self.names:
             impaired = name in self.store.turned_away
             impaired |= name not in self.entries
             if impaired or self.suspensions.is_suspended(name):
-                self.touch.note_impaired(name, now)
+                self.impairments.note_impaired(name, now)
 
     def _check_drains(self, now: float) -> None:
         """Report starts on workers that have been draining for too long.
@@ -477,7 +477,7 @@
                 for name in list(self.workers):
                     self._step_worker(name, now)
                 self._note_impairments(now)
-                self.oracle.judge_alone(self.touch.is_unimpaired_since)
+                self.oracle.judge_alone(self.impairments.is_unimpaired_since)
                 self.store.note_silences(self.names, now)
                 self._check_drains(now)
                 self.store.expire(now)
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -361,7 +361,7 @@
     entry = cluster.entries.get(name)
     if entry is None:
         return
-    cluster.touch.note_impaired(name, trio.current_time())
+    cluster.impairments.note_impaired(name, trio.current_time())
     with trio.move_on_after(_STOP_GRACE_S):
         await entry.release_all()
     if cluster.entries.get(name) is entry:
