--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -165,7 +165,7 @@
         self.random = random.Random(seed)
         self._workers_check_room = workers_check_room
         self.store = stores.Store(seed)
-        self.oracle = oracles.Oracle()
+        self.oracle = oracles.JobOracle()
         self.gangs = workers.Gangs()
         self.policy = policies.Policy()
         self.vms = vm_control.VmControl(self)
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -42,7 +42,7 @@
 )
 
 
-class Oracle:
+class JobOracle:
     """Checks the rules on jobs and collects the broken ones, each as one line.
 
     Attributes:
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -14,7 +14,7 @@
 
 
 def _make_oracle():
-    oracle = oracles.Oracle()
+    oracle = oracles.JobOracle()
     steps = (work.Step(1, work.Room()), work.Step(1, work.Room(), after=(0,)))
     oracle.jobs["j"] = work.Job(
         "j", "q", "p", "a", 1, 2, 1.0, 1.0, "", steps, 0.0
--- a/standins/emulator/vms.py
+++ b/standins/emulator/vms.py
@@ -28,7 +28,7 @@
     """The part of the cluster that the VM control uses."""
 
     workers: dict[str, workers.Worker]
-    oracle: oracles.Oracle
+    oracle: oracles.JobOracle
 
     def crash_worker(self, name: str) -> None:
         """Crash a worker."""
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -91,7 +91,7 @@
     def __init__(
         self,
         entry: orders.WorkerEntry,
-        oracle: oracles.Oracle,
+        oracle: oracles.JobOracle,
         gangs: Gangs,
         policy: policies.Policy,
         seed: int,
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -54,7 +54,7 @@
             hosts: How many workers.
             folder: Where the processes' logs go.
         """
-        self.oracle = oracles.Oracle()
+        self.oracle = oracles.JobOracle()
         self.touch = touches.ImpairmentLog()
         self.changes = change_rules.ConfigOracle(self.touch)
         # The same without planned stops.
