--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -477,7 +477,9 @@
                 for name in list(self.workers):
                     self._step_worker(name, now)
                 self._note_impairments(now)
-                self.oracle.judge_alone(self.impairments.is_unimpaired_since)
+                self.oracle.check_incomplete_gangs(
+                    self.impairments.is_unimpaired_since
+                )
                 self.store.note_silences(self.names, now)
                 self._check_drains(now)
                 self.store.expire(now)
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -225,7 +225,7 @@
             for index in indices:
                 self.done.setdefault(key._replace(position=index), now)
 
-    def judge_alone(self, is_calm: Callable[[float], bool]) -> None:
+    def check_incomplete_gangs(self, is_calm: Callable[[float], bool]) -> None:
         """Check the incomplete gangs that have ended since the last call.
 
         An incomplete gang breaks a rule unless its job was cancelled or
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -273,7 +273,7 @@
         oracle.asked_to_cancel.add("j")
     oracle.note_start("w0", _FIRST_TASK, 1, 7.0)
     oracle.note_end("w0", _FIRST_TASK, 1, "alone", 10.0)
-    oracle.judge_alone(touch.is_unimpaired_since)
+    oracle.check_incomplete_gangs(touch.is_unimpaired_since)
     assert bool(oracle.broken) is broken
     assert oracle.excused_gangs == (impaired_at == 8.0)
 
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -191,7 +191,7 @@
                     nursery.start_soon(self._return_crashed, name, worker)
             self._note_impairments(now)
             self._check_drains()
-            self.oracle.judge_alone(self.touch.is_unimpaired_since)
+            self.oracle.check_incomplete_gangs(self.touch.is_unimpaired_since)
             self.store.note_silences(self.entries, now)
             self.store.expire(now)
             await trio.sleep(_STEP_S)
