--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -228,7 +228,7 @@
             for event in faults:
                 day.start_soon(inject_fault, cluster, event)
         await _wait_until_idle(cluster)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         cluster.oracle.broken += cluster.list_owner_failures()
         cluster.oracle.broken += cluster.config_oracle.broken
         nursery.cancel_scope.cancel()
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -270,7 +270,7 @@
         """
         self._maybe_uncounted[key] += 1
 
-    def check_over(self, states: dict[str, str | None]) -> None:
+    def check_final_states(self, states: dict[str, str | None]) -> None:
         """Check the final states of all jobs, once the faults are over.
 
         Args:
--- a/standins/emulator/tests/test_crashes.py
+++ b/standins/emulator/tests/test_crashes.py
@@ -47,7 +47,7 @@
         for at, job in jobs:
             nursery.start_soon(_submit, cluster, at, job)
         await trio.sleep(length_s)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         cluster.oracle.broken += cluster.list_owner_failures()
         nursery.cancel_scope.cancel()
     return cluster
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -126,7 +126,7 @@
     oracle.note_start("w0", _FIRST_TASK, 1, 0.0)
     for key in (_FIRST_TASK, _SECOND_TASK)[:done]:
         oracle.note_end("w0", key, 1, "done", 1.0)
-    oracle.check_over({"j": state})
+    oracle.check_final_states({"j": state})
     found = [line.partition(":")[0] for line in oracle.broken]
     assert found == broken
 
@@ -143,7 +143,7 @@
     oracle.allow_uncounted_failure(_FIRST_TASK)
     for key in (_FIRST_TASK, _SECOND_TASK) if state == "done" else ():
         oracle.note_end("w1", key, 3, "done", 2.0)
-    oracle.check_over({"j": state})
+    oracle.check_final_states({"j": state})
     assert bool(oracle.broken) is (state == "running")
 
 
@@ -172,7 +172,7 @@
     oracle.accepted.add("j")
     for run in range(1, crashes + 1):
         _apply_events(oracle, _crash(run))
-    oracle.check_over({"j": "failed"})
+    oracle.check_final_states({"j": "failed"})
     assert bool(oracle.broken) is lost
 
 
@@ -210,7 +210,7 @@
     for number, key in enumerate((_FIRST_TASK, _SECOND_TASK)):
         oracle.note_start("w0", key, number + 1, 0.0)
         oracle.note_end("w0", key, number + 1, "done", 1.0)
-    oracle.check_over({"j": "cancelled"})
+    oracle.check_final_states({"j": "cancelled"})
     assert bool(oracle.broken) is broken
 
 
@@ -234,7 +234,7 @@
     oracle.tries += [
         (23.0 + at, served) for at, served in enumerate(outcomes_later)
     ]
-    oracle.check_over({})
+    oracle.check_final_states({})
     assert bool(oracle.broken) is broken
 
 
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -79,7 +79,7 @@
         assert len(started) >= len(waiting_jobs) - 1
         cluster.workers["w0"].unreachable_from = set()
         await trio.sleep(15.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
     assert cluster.list_owner_failures() == []
@@ -118,7 +118,7 @@
         for worker in cluster.workers.values():
             worker.unreachable_from = set()
         await trio.sleep(15.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
 
@@ -143,7 +143,7 @@
         await trio.sleep(1.5)
         cluster.store.turned_away.clear()
         await trio.sleep(10.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
     assert cluster.oracle.done.keys() >= {work.TaskKey(waiting_job.id, 0, 0, 0)}
@@ -213,6 +213,6 @@
         assert cluster.find_owner() == owner_before
         assert await cluster.submit(_make_job(1)) == "accepted"
         await trio.sleep(15.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -181,7 +181,7 @@
         # Entries that lost all power beside an unreadable document have none.
         self.world.operators.write(trio.current_time())
         states = await self._wait_for_ends()
-        self.world.oracle.check_over(states)
+        self.world.oracle.check_final_states(states)
         await self._changing.aclose()
         await self._pool.aclose()
 
