--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -358,7 +358,7 @@
         """Submit a job as a caller with retries does, and record the result."""
         sent_at = trio.current_time()
         answer = await self._submit(job)
-        self.oracle.tries.append((sent_at, answer == "accepted"))
+        self.oracle.submissions.append((sent_at, answer == "accepted"))
         return answer
 
     async def _submit(self, job: work.Job) -> str:
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -76,7 +76,7 @@
         self.asked_to_cancel: set[str] = set()
         self.excused_gangs = 0
         self.incomplete_gangs: list[tuple[float, work.TaskKey]] = []
-        self.tries: list[tuple[float, bool]] = []
+        self.submissions: list[tuple[float, bool]] = []
         self.back_at: float | None = None
         self.done: dict[work.TaskKey, float] = {}
         self.first_started_at: dict[str, float] = {}
@@ -299,9 +299,11 @@
         if self.back_at is None:
             return
         after = self.back_at + RECOVERY_S
-        outcomes_later = [accepted for at, accepted in self.tries if at > after]
+        outcomes_later = [
+            accepted for at, accepted in self.submissions if at > after
+        ]
         outcomes_before = [
-            accepted for at, accepted in self.tries if at < self.back_at
+            accepted for at, accepted in self.submissions if at < self.back_at
         ]
         if (
             len(outcomes_later) < _MIN_SUBMISSIONS
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -229,9 +229,9 @@
     accepted_before, outcomes_later, broken
 ):
     oracle = _make_oracle()
-    oracle.tries = [(float(at), at < accepted_before) for at in range(4)]
+    oracle.submissions = [(float(at), at < accepted_before) for at in range(4)]
     oracle.back_at = 10.0
-    oracle.tries += [
+    oracle.submissions += [
         (23.0 + at, served) for at, served in enumerate(outcomes_later)
     ]
     oracle.check_final_states({})
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -225,7 +225,7 @@
                 break
             only_refused &= status in (429, 503)
             await trio.sleep(0.5)
-        oracle.tries.append((sent_at, job_id in oracle.accepted))
+        oracle.submissions.append((sent_at, job_id in oracle.accepted))
         if job_id not in oracle.accepted:
             if only_refused:
                 oracle.refused.add(job_id)
