--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -56,7 +56,7 @@
         excused_gangs: How many incomplete gangs were excused by an impairment.
         incomplete_gangs: Runs of gangs that ended because a member was never
             started, with the times; `check_incomplete_gangs` checks them.
-        tries: When jobs were submitted, and whether they were accepted.
+        submissions: When jobs were submitted, and whether they were accepted.
         back_at: When all entries were last back after the loss of all.
         done: When each finished task was first done.
         first_started_at: When a task of each job was first started.
