--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -376,7 +376,7 @@
         if name not in cluster.entries:
             cluster.start_entry(name)
     if set(names) == set(cluster.names):
-        cluster.oracle.back_at = trio.current_time()
+        cluster.oracle.entries_back_at = trio.current_time()
 
 
 async def _cut_owner(
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -77,7 +77,7 @@
         self.excused_gangs = 0
         self.incomplete_gangs: list[tuple[float, work.TaskKey]] = []
         self.submissions: list[tuple[float, bool]] = []
-        self.back_at: float | None = None
+        self.entries_back_at: float | None = None
         self.done: dict[work.TaskKey, float] = {}
         self.first_started_at: dict[str, float] = {}
         self.failed: collections.Counter[work.TaskKey] = collections.Counter()
@@ -296,14 +296,16 @@
                 )
 
     def _check_recovery(self) -> None:
-        if self.back_at is None:
+        if self.entries_back_at is None:
             return
-        after = self.back_at + RECOVERY_S
+        after = self.entries_back_at + RECOVERY_S
         outcomes_later = [
             accepted for at, accepted in self.submissions if at > after
         ]
         outcomes_before = [
-            accepted for at, accepted in self.submissions if at < self.back_at
+            accepted
+            for at, accepted in self.submissions
+            if at < self.entries_back_at
         ]
         if (
             len(outcomes_later) < _MIN_SUBMISSIONS
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -230,7 +230,7 @@
 ):
     oracle = _make_oracle()
     oracle.submissions = [(float(at), at < accepted_before) for at in range(4)]
-    oracle.back_at = 10.0
+    oracle.entries_back_at = 10.0
     oracle.submissions += [
         (23.0 + at, served) for at, served in enumerate(outcomes_later)
     ]
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -402,7 +402,7 @@
         await trio.sleep(_RESTART_S)
         await self._restart(names)
         if len(names) == len(self.world.entries):
-            self.world.oracle.back_at = trio.current_time()
+            self.world.oracle.entries_back_at = trio.current_time()
 
     async def _stop(self, name: str) -> None:
         self.world.signal(name, signal.SIGTERM)
