--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -57,7 +57,7 @@
         incomplete_gangs: Runs of gangs that ended because a member was never
             started, with the times; `check_incomplete_gangs` checks them.
         submissions: When jobs were submitted, and whether they were accepted.
-        back_at: When all entries were last back after the loss of all.
+        entries_back_at: When all entries were last back after the loss of all.
         done: When each finished task was first done.
         first_started_at: When a task of each job was first started.
         failed: How often each task has failed.
