--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -390,7 +390,7 @@
 
     async def cancel(self, job_id: str) -> None:
         """Cancel a job through the first entry that confirms it."""
-        self.oracle.asked_to_cancel.add(job_id)
+        self.oracle.cancels_sent.add(job_id)
         for entry in list(self.entries.values()):
             outcome = await entry.desk.cancel(job_id)
             if outcome is pools.Cancelled.DONE:
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -73,7 +73,7 @@
         self.accepted: set[str] = set()
         self.refused: set[str] = set()
         self.cancelled: dict[str, float] = {}
-        self.asked_to_cancel: set[str] = set()
+        self.cancels_sent: set[str] = set()
         self.excused_gangs = 0
         self.incomplete_gangs: list[tuple[float, work.TaskKey]] = []
         self.submissions: list[tuple[float, bool]] = []
@@ -236,7 +236,7 @@
         """
         gangs, self.incomplete_gangs = self.incomplete_gangs, []
         for at, key in gangs:
-            if key.job in self.asked_to_cancel:
+            if key.job in self.cancels_sent:
                 continue
             if is_calm(at - GANG_WAIT_S - touches.STABLE_WINDOW_S):
                 self.broken.append(
@@ -351,7 +351,7 @@
         if job_id in self.cancelled:
             return {"cancelled", "done", "failed"}
         maybe_cancelled = (
-            {"cancelled"} if job_id in self.asked_to_cancel else set()
+            {"cancelled"} if job_id in self.cancels_sent else set()
         )
         if self._is_job_done(job_id):
             return {"done"} | maybe_cancelled
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -206,7 +206,7 @@
     oracle = _make_oracle()
     oracle.accepted.add("j")
     if cancel_sent:
-        oracle.asked_to_cancel.add("j")
+        oracle.cancels_sent.add("j")
     for number, key in enumerate((_FIRST_TASK, _SECOND_TASK)):
         oracle.note_start("w0", key, number + 1, 0.0)
         oracle.note_end("w0", key, number + 1, "done", 1.0)
@@ -270,7 +270,7 @@
     if impaired_at is not None:
         touch.note_impaired("w0", impaired_at)
     if cancel_sent:
-        oracle.asked_to_cancel.add("j")
+        oracle.cancels_sent.add("j")
     oracle.note_start("w0", _FIRST_TASK, 1, 7.0)
     oracle.note_end("w0", _FIRST_TASK, 1, "alone", 10.0)
     oracle.check_incomplete_gangs(touch.is_unimpaired_since)
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -232,7 +232,7 @@
             return
         if cancels:
             await trio.sleep(self.rng.uniform(0.1, 2.0))
-            oracle.asked_to_cancel.add(job_id)
+            oracle.cancels_sent.add(job_id)
             if await self._ask("DELETE", job_id, None) == 200:
                 oracle.cancelled[job_id] = trio.current_time()
 
