--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -51,7 +51,7 @@
         accepted: Ids of jobs whose submission was accepted.
         refused: Ids of jobs of which every submission was refused.
         cancelled: When the cancel of a job was confirmed, by job id.
-        asked_to_cancel: Ids of jobs whose cancel was sent; one without an
+        cancels_sent: Ids of jobs whose cancel was sent; one without an
             answer may be carried out at any later time.
         excused_gangs: How many incomplete gangs were excused by an impairment.
         incomplete_gangs: Runs of gangs that ended because a member was never
