--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -84,7 +84,7 @@
         self._maybe_uncounted: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
-        self.crashed_at: list[tuple[float, work.TaskKey]] = []
+        self.task_crashes: list[tuple[float, work.TaskKey]] = []
         self.crashes_caused: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
@@ -187,7 +187,7 @@
             now: Seconds.
         """
         self.crashes_caused[key] += 1
-        self.crashed_at.append((now, key))
+        self.task_crashes.append((now, key))
         for task in tasks:
             self.crashes_met[task] += 1
 
--- a/standins/emulator/tests/test_crashes.py
+++ b/standins/emulator/tests/test_crashes.py
@@ -103,7 +103,7 @@
     ]
     cluster = await _play([*sound_jobs, (3.0, job)], events, seed)
     assert cluster.oracle.broken == []
-    crashes = [key for _, key in cluster.oracle.crashed_at]
+    crashes = [key for _, key in cluster.oracle.task_crashes]
     step = job.steps[0]
     max_crashes = (
         _CRASHES_TO_GIVE_UP * step.count
@@ -121,5 +121,5 @@
     load = emulator.Load(crashing=0.2)
     events = emulator.choose_faults(seed, 5, load.length_s)
     cluster = await emulator.play(seed, load, events, hosts=12)
-    assert cluster.oracle.crashed_at
+    assert cluster.oracle.task_crashes
     assert cluster.oracle.broken == []
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -151,7 +151,7 @@
     return Result(
         world.oracle.broken + world.changes.broken + world.cuts.broken,
         len(world.oracle.accepted),
-        len(world.oracle.crashed_at),
+        len(world.oracle.task_crashes),
         played.faults,
         world.changes,
         world.cuts,
