--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -61,7 +61,7 @@
         done: When each finished task was first done.
         first_started_at: When a task of each job was first started.
         failed: How often each task has failed.
-        crashed_at: Crashes caused by tasks, with their times.
+        task_crashes: Crashes caused by tasks, with their times.
         crashes_caused: How many workers each task has crashed.
         crashes_met: How often a worker was crashed by a task while each task
             ran on it, the causing task included.
