--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -224,7 +224,7 @@
         worker = workers.Worker(
             worker_entry, self.oracle, self.gangs, self.policy, seed
         )
-        worker.guards = self._workers_check_room
+        worker.checks_room = self._workers_check_room
         self.workers[name] = worker
         return worker
 
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -102,7 +102,7 @@
         self.oracle = oracle
         self.gangs = gangs
         self.random = random.Random(seed)
-        self.guards = True
+        self.checks_room = True
         self._past_rooms: list[tuple[float, work.Room]] = []
         self.alive = True
         self._crashed_at = 0.0
@@ -305,7 +305,9 @@
             return orders.Rejected(orders.Why.OLD, int(clock))
         job = self.oracle.jobs[order.key.job]
         step = job.steps[order.key.step]
-        if self.guards and not self._compute_free_room().holds(step.charge):
+        if self.checks_room and not self._compute_free_room().holds(
+            step.charge
+        ):
             return orders.Rejected(orders.Why.NO_ROOM, int(clock))
         step_key = work.StepKey(*order.key[:3])
         if job.advised and not self.policy.is_valid(
@@ -313,7 +315,7 @@
         ):
             self.refused_tickets += 1
             return orders.Rejected(orders.Why.NO_TICKET, int(clock))
-        if not self.guards and not late:
+        if not self.checks_room and not late:
             self._check_room(order.key, step.charge)
         self._add_run(order, job, step)
         if self.drains_since is not None and not late:
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -96,7 +96,7 @@
         held = workers.Worker(
             entry, self.oracle, self._gangs, self._policy, self._seed
         )
-        held.guards = self._guards
+        held.checks_room = self._guards
         self.workers[name] = held
 
     async def run(
