--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -455,12 +455,12 @@
         for name, worker in self.workers.items():
             starts, worker.started_draining = worker.started_draining, []
             for key, at in starts:
-                assert worker.drains_since is not None
-                known_at = max(worker.drains_since, self._last_fault_at)
+                assert worker.draining_since is not None
+                known_at = max(worker.draining_since, self._last_fault_at)
                 if at > known_at + _DRAIN_NOTICE_S:
                     self.oracle.broken.append(
                         f"{at:.3f} drain: {key} on {name}, draining since "
-                        f"{worker.drains_since:.3f}"
+                        f"{worker.draining_since:.3f}"
                     )
 
     async def run(
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -111,7 +111,7 @@
         self.crashed_by_task = False
         self.misdirected_starts = 0
         self.started_runs = 0
-        self.drains_since: float | None = None
+        self.draining_since: float | None = None
         self.started_draining: list[tuple[work.TaskKey, float]] = []
         self.fails_all = False
         # Speed of all tasks here, as a share of the usual speed.
@@ -318,7 +318,7 @@
         if not self.checks_room and not late:
             self._check_room(order.key, step.charge)
         self._add_run(order, job, step)
-        if self.drains_since is not None and not late:
+        if self.draining_since is not None and not late:
             self.started_draining.append((order.key, trio.current_time()))
         return orders.Taken(int(clock))
 
@@ -336,7 +336,7 @@
     def drain(self, now: float) -> None:
         """Mark this worker as draining."""
         self.entry = dataclasses.replace(self.entry, draining=True)
-        self.drains_since = now
+        self.draining_since = now
 
     def set_room(self, room: work.Room, now: float) -> None:
         """Change the room of this worker; running tasks go on."""
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -222,7 +222,7 @@
         """
         for name, worker in self.workers.items():
             starts, worker.started_draining = worker.started_draining, []
-            since = worker.drains_since
+            since = worker.draining_since
             if since is None:
                 continue
             for key, at in starts:
