--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -453,7 +453,10 @@
         if has_fault or self.store.turned_away or self.cut_off:
             self._last_fault_at = now
         for name, worker in self.workers.items():
-            starts, worker.started_draining = worker.started_draining, []
+            starts, worker.starts_while_draining = (
+                worker.starts_while_draining,
+                [],
+            )
             for key, at in starts:
                 assert worker.draining_since is not None
                 known_at = max(worker.draining_since, self._last_fault_at)
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -112,7 +112,7 @@
         self.misdirected_starts = 0
         self.started_runs = 0
         self.draining_since: float | None = None
-        self.started_draining: list[tuple[work.TaskKey, float]] = []
+        self.starts_while_draining: list[tuple[work.TaskKey, float]] = []
         self.fails_all = False
         # Speed of all tasks here, as a share of the usual speed.
         self.speed = 1.0
@@ -319,7 +319,7 @@
             self._check_room(order.key, step.charge)
         self._add_run(order, job, step)
         if self.draining_since is not None and not late:
-            self.started_draining.append((order.key, trio.current_time()))
+            self.starts_while_draining.append((order.key, trio.current_time()))
         return orders.Taken(int(clock))
 
     def is_impaired(self, now: float) -> bool:
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -221,7 +221,10 @@
         Orders don't tell their sender, so nobody may have been impaired.
         """
         for name, worker in self.workers.items():
-            starts, worker.started_draining = worker.started_draining, []
+            starts, worker.starts_while_draining = (
+                worker.starts_while_draining,
+                [],
+            )
             since = worker.draining_since
             if since is None:
                 continue
