--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -208,7 +208,7 @@
         """Start a new process of a worker under the same id."""
         worker_entry = self.workers[name].entry
         rack = next(label for label in worker_entry.labels if "-" in label)
-        self._start_worker(name, rack).start_anew(trio.current_time())
+        self._start_worker(name, rack).become_new_process(trio.current_time())
 
     def _start_worker(self, name: str, rack: str) -> workers.Worker:
         worker_entry = orders.WorkerEntry(
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -138,7 +138,7 @@
             self.clock_offset_ms + trio.current_time() * 1000 * self.clock_rate
         )
 
-    def start_anew(self, now: float) -> None:
+    def become_new_process(self, now: float) -> None:
         """Reset the birth time and the clock to those of a new process."""
         self.born_ms = _UNIX_START_MS + int(now * 1000)
         self.clock_offset_ms = _NEW_CLOCK_MS - now * 1000 * self.clock_rate
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -277,7 +277,7 @@
             return
         self._add_worker(name, worker.entry.labels)
         again = self.workers[name]
-        again.start_anew(trio.current_time())
+        again.become_new_process(trio.current_time())
         self._platform.workers[self._numbers[name]] = _open_view(again)
 
     async def _return_crashed(self, name: str, worker: workers.Worker) -> None:
