--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -472,7 +472,7 @@
             await trio.sleep(event.duration_s)
     if not worker.alive:
         return
-    worker.refuses = not worker.unreachable_from
+    worker.refuses_connections = not worker.unreachable_from
     worker.crash()
     await trio.sleep(restart_delay_s)
     cluster.restart_worker(name)
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -107,7 +107,7 @@
         self.alive = True
         self._crashed_at = 0.0
         self.superseded = False
-        self.refuses = False
+        self.refuses_connections = False
         self.crashed_by_task = False
         self.misdirected_starts = 0
         self.started_runs = 0
@@ -231,7 +231,7 @@
     def _crash_because_of(self, task_run: TaskRun, now: float) -> None:
         """Crash because of a task; the VM stays up and refuses connections."""
         self.oracle.note_crash(task_run.key, list(self.tasks), now)
-        self.refuses = True
+        self.refuses_connections = True
         self.crashed_by_task = True
         self.crash()
         self._end_listed.set()
@@ -555,7 +555,7 @@
         """
         self.is_open = False
         if (
-            self._worker.refuses
+            self._worker.refuses_connections
             and self._entry not in self._worker.unreachable_from
         ):
             await trio.sleep(_ORDER_DELAY_S)
