--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -122,7 +122,7 @@
         self.highest_epoch = 0
         self.lease_end_ms = 0.0
         self.tasks: dict[work.TaskKey, TaskRun] = {}
-        self.ended: list[orders.Ended] = []
+        self.unconfirmed_ends: list[orders.Ended] = []
         self.highest_runs: dict[work.TaskKey, int] = {}
         self.last_end_number = 0
         self.confirmed_number = 0
@@ -188,7 +188,7 @@
         del self.tasks[task_run.key]
         self.last_end_number += 1
         self.highest_runs[task_run.key] = task_run.run
-        self.ended.append(
+        self.unconfirmed_ends.append(
             orders.Ended(
                 self.last_end_number, task_run.key, task_run.run, how, ""
             )
@@ -248,16 +248,16 @@
             if step.gang:
                 self._break_gang(task_run, now)
         self._allow_reruns()
-        for ended in self.ended:
+        for ended in self.unconfirmed_ends:
             if (
                 ended.number > self.confirmed_number
                 and ended.how is orders.How.FAILED
             ):
                 self.oracle.allow_uncounted_failure(ended.key)
-        self.ended.clear()
+        self.unconfirmed_ends.clear()
 
     def _allow_reruns(self) -> None:
-        for ended in self.ended:
+        for ended in self.unconfirmed_ends:
             if (
                 ended.number > self.confirmed_number
                 and ended.how is orders.How.DONE
@@ -445,7 +445,9 @@
                 self.lease_end_ms, min(until_ms, clock + _MAX_LEASE_MS)
             )
         self.confirmed_number = max(self.confirmed_number, confirmed)
-        self.ended = [e for e in self.ended if e.number > self.confirmed_number]
+        self.unconfirmed_ends = [
+            e for e in self.unconfirmed_ends if e.number > self.confirmed_number
+        ]
         running = tuple(
             orders.Running(
                 task_run.key,
@@ -457,7 +459,7 @@
             for task_run in self.tasks.values()
         )
         return orders.Report(
-            int(clock), running, tuple(self.ended), self.born_ms
+            int(clock), running, tuple(self.unconfirmed_ends), self.born_ms
         )
 
     def measure_tail(self, task_run: TaskRun) -> float:
