--- a/crocusrouter/pools/tests/test_members.py
+++ b/crocusrouter/pools/tests/test_members.py
@@ -39,7 +39,7 @@
     received that change within a second of the store's return.
     """
     store = stores.Store(1)
-    store.lapses = False
+    store.leases_expire = False
     view = _CountingStoreView(store, "e0")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(members.Membership(view, "e0", _MEMBER).run)
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -213,7 +213,7 @@
         The cluster; its oracle lists the broken rules.
     """
     cluster = clusters.Cluster(seed, entries, hosts, workers_check_room)
-    cluster.store.lapses = leases_expire
+    cluster.store.leases_expire = leases_expire
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(2.0)
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -59,7 +59,7 @@
         self.compacted_revision = 0
         self.watches_paused_until = 0.0
         self.fault = StoreFault.NONE
-        self.lapses = True
+        self.leases_expire = True
         self._last_expiry_at = 0.0
         self.turned_away: dict[str, StoreFault] = {}
         self._last_silence_at: dict[str, float] = {}
@@ -143,7 +143,7 @@
         """Remove the keys of expired leases; called on each clock step."""
         elapsed_s, self._last_expiry_at = now - self._last_expiry_at, now
         is_unavailable = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
-        if is_unavailable and not self.lapses:
+        if is_unavailable and not self.leases_expire:
             # Leases pause: each keeps its remaining time.
             self.leases = {
                 number: (ttl_s, end + elapsed_s)
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -197,7 +197,7 @@
     to live. Jobs accepted in that time had to wait until it expired.
     """
     cluster = emulator.Cluster(3)
-    cluster.store.lapses = False
+    cluster.store.leases_expire = False
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(3.0)
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -66,7 +66,7 @@
     22.82 to 34.74.
     """
     cluster = emulator.Cluster(5)
-    cluster.store.lapses = False
+    cluster.store.leases_expire = False
     cluster.store.spares_quiet_watches = True
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
