--- a/crocusrouter/http/tests/test_queue_calls.py
+++ b/crocusrouter/http/tests/test_queue_calls.py
@@ -163,7 +163,7 @@
     """
     async with _serve() as served:
         cluster = served.cluster
-        cluster.store.turned_away["e0"] = emulator.StoreFault.SILENT
+        cluster.store.entry_faults["e0"] = emulator.StoreFault.SILENT
         cluster.cut_off.add("e0")
         await trio.sleep(6.5)
         status, headers, _ = await served.ask("GET", f"/q/{_ID}")
@@ -194,7 +194,7 @@
     """
     async with _serve() as served:
         cluster = served.cluster
-        cluster.store.turned_away["e0"] = emulator.StoreFault.BUSY
+        cluster.store.entry_faults["e0"] = emulator.StoreFault.BUSY
         await trio.sleep(1.0)
         cluster.put_config({"b": 8})
         await trio.sleep(2.0)
--- a/crocusrouter/pools/tests/test_config_refresh.py
+++ b/crocusrouter/pools/tests/test_config_refresh.py
@@ -189,9 +189,9 @@
         name = next(
             name for name in cluster.names if name != cluster.find_owner()
         )
-        cluster.store.turned_away[name] = emulator.StoreFault.SILENT
+        cluster.store.entry_faults[name] = emulator.StoreFault.SILENT
         await trio.sleep(0.1)
-        del cluster.store.turned_away[name]
+        del cluster.store.entry_faults[name]
         cluster.cut_off.add(name)
         cluster.put_config({"a": 8})
         configuration = cluster.entries[name].configuration
@@ -219,7 +219,7 @@
         await trio.sleep(6.0)
         name, other = cluster.names[:2]
         entry = cluster.entries[name]
-        cluster.store.turned_away[name] = emulator.StoreFault.SILENT
+        cluster.store.entry_faults[name] = emulator.StoreFault.SILENT
         cluster.cut_off.add(name)
         await trio.sleep(4.0)
         version = entry.configuration.version
--- a/crocusrouter/pools/tests/test_relay.py
+++ b/crocusrouter/pools/tests/test_relay.py
@@ -20,7 +20,7 @@
         await nursery.start(cluster.run)
         await trio.sleep(3.0)
         for name in entries:
-            cluster.store.turned_away[name] = fault
+            cluster.store.entry_faults[name] = fault
         await trio.sleep(wait_s)
         job = build.make_job("0123456789abcdef", build.make_step(1))
         cluster.oracle.jobs[job.id] = job
@@ -81,7 +81,7 @@
             *[name for name in cluster.names if name != owner][:2],
         ]
         for name in refused_entries:
-            cluster.store.turned_away[name] = emulator.StoreFault.BUSY
+            cluster.store.entry_faults[name] = emulator.StoreFault.BUSY
         await trio.sleep(6.0)
         job = build.make_job("0123456789abcdef", build.make_step(1))
         cluster.oracle.jobs[job.id] = job
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -436,7 +436,7 @@
         if self.store.is_impaired(now):
             self.impairments.note_store_impaired(now)
         for name in self.names:
-            impaired = name in self.store.turned_away
+            impaired = name in self.store.entry_faults
             impaired |= name not in self.entries
             if impaired or self.suspensions.is_suspended(name):
                 self.impairments.note_impaired(name, now)
@@ -450,7 +450,7 @@
         """
         has_fault = self.store.fault is not stores.StoreFault.NONE
         has_fault |= self.suspensions.is_any_suspended()
-        if has_fault or self.store.turned_away or self.cut_off:
+        if has_fault or self.store.entry_faults or self.cut_off:
             self._last_fault_at = now
         for name, worker in self.workers.items():
             starts, worker.starts_while_draining = (
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -349,11 +349,11 @@
 
 async def _lose_answers(cluster: clusters.Cluster, name: str) -> None:
     """Lose the store's answers to an entry; few calls are made meanwhile."""
-    if name in cluster.store.turned_away:
+    if name in cluster.store.entry_faults:
         return
-    cluster.store.turned_away[name] = stores.StoreFault.SILENT
+    cluster.store.entry_faults[name] = stores.StoreFault.SILENT
     await trio.sleep(_ANSWER_LOSS_S)
-    cluster.store.turned_away.pop(name, None)
+    cluster.store.entry_faults.pop(name, None)
 
 
 async def _stop_entry(cluster: clusters.Cluster, name: str) -> None:
@@ -382,11 +382,11 @@
 async def _cut_owner(
     cluster: clusters.Cluster, owner: str, event: FaultEvent
 ) -> None:
-    cluster.store.turned_away[owner] = stores.StoreFault.SILENT
+    cluster.store.entry_faults[owner] = stores.StoreFault.SILENT
     if event.fault is Fault.CUT_OWNER:
         cluster.cut_off.add(owner)
     await trio.sleep(event.duration_s)
-    cluster.store.turned_away.pop(owner, None)
+    cluster.store.entry_faults.pop(owner, None)
     cluster.cut_off.discard(owner)
 
 
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -61,7 +61,7 @@
         self.fault = StoreFault.NONE
         self.leases_expire = True
         self._last_expiry_at = 0.0
-        self.turned_away: dict[str, StoreFault] = {}
+        self.entry_faults: dict[str, StoreFault] = {}
         self._last_silence_at: dict[str, float] = {}
         self.spares_quiet_watches = False
         self.refused_watches: set[str] = set()
@@ -98,7 +98,7 @@
 
     def find_fault(self, entry: str) -> StoreFault:
         """Return the fault that calls of an entry meet now."""
-        return self.turned_away.get(entry, self.fault)
+        return self.entry_faults.get(entry, self.fault)
 
     def is_impaired(self, now: float) -> bool:
         """Tell whether a fault or a compaction affects all entries."""
--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -176,11 +176,11 @@
         await nursery.start(cluster.run)
         await trio.sleep(_SETTLE_S)
         name = next(n for n in cluster.entries if n != cluster.find_owner())
-        cluster.store.turned_away[name] = stores.StoreFault.SILENT
+        cluster.store.entry_faults[name] = stores.StoreFault.SILENT
         await trio.sleep(0.2)
         _add_member(cluster)
         await trio.sleep(0.2)
-        del cluster.store.turned_away[name]
+        del cluster.store.entry_faults[name]
         await trio.sleep(_PEER_REPORT_S)
         assert "new" in cluster.entries[name].peers.list_members()
         nursery.cancel_scope.cancel()
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -139,9 +139,9 @@
         await cluster.submit(waiting_job)
         await trio.sleep(2.5)
         owner = cluster.find_owner()
-        cluster.store.turned_away[owner] = stores.StoreFault.SILENT
+        cluster.store.entry_faults[owner] = stores.StoreFault.SILENT
         await trio.sleep(1.5)
-        cluster.store.turned_away.clear()
+        cluster.store.entry_faults.clear()
         await trio.sleep(10.0)
         cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -384,9 +384,9 @@
         worker.speed = 1.0
 
     async def _lose_answers(self, name: str) -> None:
-        self.world.store.turned_away[name] = stores.StoreFault.SILENT
+        self.world.store.entry_faults[name] = stores.StoreFault.SILENT
         await trio.sleep(_LOST_S)
-        self.world.store.turned_away.pop(name, None)
+        self.world.store.entry_faults.pop(name, None)
 
     async def _pause_others(self, name: str, for_s: float) -> None:
         others = [other for other in self.world.entries if other != name]
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -206,7 +206,7 @@
             if worker.is_impaired(now) or harm is not proxies.Harm.NONE:
                 self.touch.note_impaired(name, now)
         for name in self.entries:
-            impaired = name in self.store.turned_away
+            impaired = name in self.store.entry_faults
             impaired |= name in self._paused
             impaired |= self.store_proxies[name].harm is not proxies.Harm.NONE
             ended = not self.processes.is_running(name)
