--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -43,7 +43,7 @@
         compacted_revision: Revision up to which the history has been dropped.
         watches_paused_until: Until when watches get no changes.
         leases_expire: Whether leases expire while the service is unavailable.
-        turned_away: Faults of calls of single entries, by the entry's name.
+        entry_faults: Faults of calls of single entries, by the entry's name.
         spares_quiet_watches: Whether a silence loses only the answers that are
             sent during it, so that a watch without changes survives it.
         refused_watches: Prefixes whose watches are rejected, as calls beyond
