--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -325,9 +325,9 @@
             await _cut_from_peers(cluster, name, event.duration_s)
         case Fault.REFUSE_WATCHES:
             prefix = cluster.random.choice(_WATCHED_PREFIXES)
-            cluster.store.refused_watches.add(prefix)
+            cluster.store.rejected_prefixes.add(prefix)
             await trio.sleep(event.duration_s)
-            cluster.store.refused_watches.discard(prefix)
+            cluster.store.rejected_prefixes.discard(prefix)
         case Fault.STOP_ENTRY:
             await _stop_entry(cluster, name)
         case Fault.FREEZE_OTHERS:
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -64,7 +64,7 @@
         self.entry_faults: dict[str, StoreFault] = {}
         self._last_silence_at: dict[str, float] = {}
         self.spares_quiet_watches = False
-        self.refused_watches: set[str] = set()
+        self.rejected_prefixes: set[str] = set()
         self.calls = 0
         self.random = random.Random(seed)
         self._changed = trio.Event()
@@ -277,7 +277,7 @@
         """Wait for changes under a prefix after a revision."""
         started_at = trio.current_time()
         await self._begin_call()
-        if prefix in self._store.refused_watches:
+        if prefix in self._store.rejected_prefixes:
             raise client.StoreUnavailableError("status 429")
         with trio.move_on_after(wait_s):
             while True:
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -104,14 +104,14 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(_SETTLE_S)
-        cluster.store.refused_watches.add(clusters.WORKERS)
+        cluster.store.rejected_prefixes.add(clusters.WORKERS)
         await trio.sleep(1.5)
         cluster.drain_worker(_DRAINING_WORKER)
         await trio.sleep(duration_s)
         starts_before = _count_starts(cluster)
         await cluster.submit(_make_wide_job("00000000000000aa"))
         await trio.sleep(1.0)
-        cluster.store.refused_watches.clear()
+        cluster.store.rejected_prefixes.clear()
         await trio.sleep(1.5)
         nursery.cancel_scope.cancel()
     _check_used_workers(cluster, starts_before)
@@ -129,7 +129,7 @@
         await trio.sleep(_SETTLE_S)
         assert await cluster.submit(job) == "accepted"
         await trio.sleep(1.0)
-        cluster.store.refused_watches.add(keys.JOBS)
+        cluster.store.rejected_prefixes.add(keys.JOBS)
         await trio.sleep(1.0)  # The open watch ends.
         await cluster.cancel(job.id)
         assert job.id in cluster.oracle.cancelled
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -363,9 +363,9 @@
             case Fault.LOSE_ANSWERS:
                 await self._lose_answers(name)
             case Fault.REFUSE_WATCHES:
-                self.world.store.refused_watches.add("op/")
+                self.world.store.rejected_prefixes.add("op/")
                 await trio.sleep(for_s)
-                self.world.store.refused_watches.clear()
+                self.world.store.rejected_prefixes.clear()
             case Fault.PAUSE_OTHERS:
                 await self._pause_others(name, for_s)
             case Fault.LOSE_PEERS:
