--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -46,7 +46,7 @@
         entry_faults: Faults of calls of single entries, by the entry's name.
         spares_quiet_watches: Whether a silence loses only the answers that are
             sent during it, so that a watch without changes survives it.
-        refused_watches: Prefixes whose watches are rejected, as calls beyond
+        rejected_prefixes: Prefixes whose watches are rejected, as calls beyond
             the rate limit are.
         calls: How many calls entries have made.
     """
