--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -63,7 +63,7 @@
         self._last_expiry_at = 0.0
         self.entry_faults: dict[str, StoreFault] = {}
         self._last_silence_at: dict[str, float] = {}
-        self.spares_quiet_watches = False
+        self.spares_idle_watches = False
         self.rejected_prefixes: set[str] = set()
         self.calls = 0
         self.random = random.Random(seed)
@@ -118,7 +118,7 @@
 
     def was_silent(self, entry: str, since: float) -> bool:
         """Tell whether answers to an entry have been lost since a time."""
-        if self.spares_quiet_watches:
+        if self.spares_idle_watches:
             return self.find_fault(entry) is StoreFault.SILENT
         return self._last_silence_at.get(entry, -1.0) >= since
 
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -67,7 +67,7 @@
     """
     cluster = emulator.Cluster(5)
     cluster.store.leases_expire = False
-    cluster.store.spares_quiet_watches = True
+    cluster.store.spares_idle_watches = True
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(_SETTLE_S)
