--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -44,7 +44,7 @@
         watches_paused_until: Until when watches get no changes.
         leases_expire: Whether leases expire while the service is unavailable.
         entry_faults: Faults of calls of single entries, by the entry's name.
-        spares_quiet_watches: Whether a silence loses only the answers that are
+        spares_idle_watches: Whether a silence loses only the answers that are
             sent during it, so that a watch without changes survives it.
         rejected_prefixes: Prefixes whose watches are rejected, as calls beyond
             the rate limit are.
