--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -288,7 +288,7 @@
         await trio.sleep(event.duration_s)
         cluster.store.fault = stores.StoreFault.NONE
     elif fault is Fault.COMPACT:
-        cluster.store.forget_history()
+        cluster.store.compact()
     elif fault is Fault.COMPACT_LATE:
         await cluster.store.compact_after_pause()
     elif fault is Fault.KILL_ALL:
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -126,9 +126,9 @@
         """Send watches no changes for a second, then drop the history."""
         self.watches_paused_until = trio.current_time() + _COMPACTION_PAUSE_S
         await trio.sleep(_COMPACTION_PAUSE_S)
-        self.forget_history()
+        self.compact()
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drop the history of changes, as a compaction does."""
         self.compacted_revision = self.revision
         self.history.clear()
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -359,7 +359,7 @@
             case Fault.STORE_LOSES:
                 await self._harm_store(stores.StoreFault.LOST, for_s)
             case Fault.COMPACT:
-                self.world.store.forget_history()
+                self.world.store.compact()
             case Fault.LOSE_ANSWERS:
                 await self._lose_answers(name)
             case Fault.REFUSE_WATCHES:
