--- a/crocusrouter/pools/tests/test_members.py
+++ b/crocusrouter/pools/tests/test_members.py
@@ -63,7 +63,7 @@
         store.fault = stores.StoreFault.BUSY
         for _ in range(100):
             await trio.sleep(0.1)
-            store.expire(trio.current_time())
+            store.expire_leases(trio.current_time())
         assert _KEY not in store.items
         store.fault = stores.StoreFault.NONE
         await trio.sleep(1.0)
--- a/crocusrouter/pools/tests/test_owner_leases.py
+++ b/crocusrouter/pools/tests/test_owner_leases.py
@@ -67,6 +67,6 @@
         nursery.start_soon(owner_lease.renew_until_lost)
         for _ in range(40):
             await trio.sleep(0.1)
-            store.expire(trio.current_time())
+            store.expire_leases(trio.current_time())
             assert keys.build_owner_key("p") in store.items
         nursery.cancel_scope.cancel()
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -485,5 +485,5 @@
                 )
                 self.store.note_silences(self.names, now)
                 self._check_drains(now)
-                self.store.expire(now)
+                self.store.expire_leases(now)
                 await trio.sleep(_CLOCK_STEP_S)
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -139,7 +139,7 @@
         """Wait until a key changes or the history is dropped."""
         await self._changed.wait()
 
-    def expire(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Remove the keys of expired leases; called on each clock step."""
         elapsed_s, self._last_expiry_at = now - self._last_expiry_at, now
         is_unavailable = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
@@ -326,7 +326,7 @@
     async def keep(self, lease: int) -> bool:
         """Renew a lease; return False if it has expired."""
         await self._begin_call()
-        self._store.expire(trio.current_time())
+        self._store.expire_leases(trio.current_time())
         if lease not in self._store.leases:
             return False
         ttl_s, _ = self._store.leases[lease]
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -193,7 +193,7 @@
             self._check_drains()
             self.oracle.check_incomplete_gangs(self.touch.is_unimpaired_since)
             self.store.note_silences(self.entries, now)
-            self.store.expire(now)
+            self.store.expire_leases(now)
             await trio.sleep(_STEP_S)
 
     def _note_impairments(self, now: float) -> None:
