--- a/crocusrouter/http/tests/test_queue_calls.py
+++ b/crocusrouter/http/tests/test_queue_calls.py
@@ -164,7 +164,7 @@
     async with _serve() as served:
         cluster = served.cluster
         cluster.store.entry_faults["e0"] = emulator.StoreFault.SILENT
-        cluster.cut_off.add("e0")
+        cluster.partitioned_entries.add("e0")
         await trio.sleep(6.5)
         status, headers, _ = await served.ask("GET", f"/q/{_ID}")
         ready, _, _ = await served.ask("GET", "/ready", port=_READY_PORT)
--- a/crocusrouter/pools/tests/test_config_refresh.py
+++ b/crocusrouter/pools/tests/test_config_refresh.py
@@ -192,7 +192,7 @@
         cluster.store.entry_faults[name] = emulator.StoreFault.SILENT
         await trio.sleep(0.1)
         del cluster.store.entry_faults[name]
-        cluster.cut_off.add(name)
+        cluster.partitioned_entries.add(name)
         cluster.put_config({"a": 8})
         configuration = cluster.entries[name].configuration
         version_before = configuration.version
@@ -220,7 +220,7 @@
         name, other = cluster.names[:2]
         entry = cluster.entries[name]
         cluster.store.entry_faults[name] = emulator.StoreFault.SILENT
-        cluster.cut_off.add(name)
+        cluster.partitioned_entries.add(name)
         await trio.sleep(4.0)
         version = entry.configuration.version
         beat = messages.Beat(other, version, 0.0, (), True, 0)
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -142,7 +142,10 @@
 
     async def _exchange(self, message: object, timeout_s: float) -> object:
         target = self._cluster.entries.get(self._target)
-        partitioned = {self._source, self._target} & self._cluster.cut_off
+        partitioned = {
+            self._source,
+            self._target,
+        } & self._cluster.partitioned_entries
         if target is None or partitioned:
             await trio.sleep(timeout_s)
             raise mesh.PeerUnreachableError("cut", maybe_received=False)
@@ -171,7 +174,7 @@
         self.vms = vm_control.VmControl(self)
         self.workers: dict[str, workers.Worker] = {}
         self.entries: dict[str, pools.PoolEntry] = {}
-        self.cut_off: set[str] = set()
+        self.partitioned_entries: set[str] = set()
         self.suspensions = suspension.Suspensions()
         self.names = [f"e{number}" for number in range(entries)]
         self._cancel_scopes: dict[str, trio.CancelScope] = {}
@@ -450,7 +453,7 @@
         """
         has_fault = self.store.fault is not stores.StoreFault.NONE
         has_fault |= self.suspensions.is_any_suspended()
-        if has_fault or self.store.entry_faults or self.cut_off:
+        if has_fault or self.store.entry_faults or self.partitioned_entries:
             self._last_fault_at = now
         for name, worker in self.workers.items():
             starts, worker.starts_while_draining = (
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -342,9 +342,9 @@
 async def _cut_from_peers(
     cluster: clusters.Cluster, name: str, duration_s: float
 ) -> None:
-    cluster.cut_off.add(name)
+    cluster.partitioned_entries.add(name)
     await trio.sleep(duration_s)
-    cluster.cut_off.discard(name)
+    cluster.partitioned_entries.discard(name)
 
 
 async def _lose_answers(cluster: clusters.Cluster, name: str) -> None:
@@ -384,10 +384,10 @@
 ) -> None:
     cluster.store.entry_faults[owner] = stores.StoreFault.SILENT
     if event.fault is Fault.CUT_OWNER:
-        cluster.cut_off.add(owner)
+        cluster.partitioned_entries.add(owner)
     await trio.sleep(event.duration_s)
     cluster.store.entry_faults.pop(owner, None)
-    cluster.cut_off.discard(owner)
+    cluster.partitioned_entries.discard(owner)
 
 
 async def _cancel_many(cluster: clusters.Cluster) -> None:
