--- a/crocusrouter/pools/tests/test_config_refresh.py
+++ b/crocusrouter/pools/tests/test_config_refresh.py
@@ -187,7 +187,7 @@
         await nursery.start(cluster.run)
         await trio.sleep(6.2)
         name = next(
-            name for name in cluster.names if name != cluster.find_owner()
+            name for name in cluster.entry_names if name != cluster.find_owner()
         )
         cluster.store.entry_faults[name] = emulator.StoreFault.SILENT
         await trio.sleep(0.1)
@@ -217,7 +217,7 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(6.0)
-        name, other = cluster.names[:2]
+        name, other = cluster.entry_names[:2]
         entry = cluster.entries[name]
         cluster.store.entry_faults[name] = emulator.StoreFault.SILENT
         cluster.partitioned_entries.add(name)
--- a/crocusrouter/pools/tests/test_relay.py
+++ b/crocusrouter/pools/tests/test_relay.py
@@ -78,7 +78,7 @@
         owner = cluster.find_owner()
         refused_entries = [
             owner,
-            *[name for name in cluster.names if name != owner][:2],
+            *[name for name in cluster.entry_names if name != owner][:2],
         ]
         for name in refused_entries:
             cluster.store.entry_faults[name] = emulator.StoreFault.BUSY
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -176,7 +176,7 @@
         self.entries: dict[str, pools.PoolEntry] = {}
         self.partitioned_entries: set[str] = set()
         self.suspensions = suspension.Suspensions()
-        self.names = [f"e{number}" for number in range(entries)]
+        self.entry_names = [f"e{number}" for number in range(entries)]
         self._cancel_scopes: dict[str, trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
@@ -438,7 +438,7 @@
                 self.impairments.note_impaired(name, now)
         if self.store.is_impaired(now):
             self.impairments.note_store_impaired(now)
-        for name in self.names:
+        for name in self.entry_names:
             impaired = name in self.store.entry_faults
             impaired |= name not in self.entries
             if impaired or self.suspensions.is_suspended(name):
@@ -475,7 +475,7 @@
         """Run the entries and advance workers and store until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            for name in self.names:
+            for name in self.entry_names:
                 self.start_entry(name)
             task_status.started()
             while True:
@@ -486,7 +486,7 @@
                 self.oracle.check_incomplete_gangs(
                     self.impairments.is_unimpaired_since
                 )
-                self.store.note_silences(self.names, now)
+                self.store.note_silences(self.entry_names, now)
                 self._check_drains(now)
                 self.store.expire_leases(now)
                 await trio.sleep(_CLOCK_STEP_S)
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -254,7 +254,7 @@
     rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
         while True:
-            for name in cluster.names:
+            for name in cluster.entry_names:
                 route = rng.choice((clusters.ROUTE_PREFIX, *operators.ROUTES))
                 key = rng.choice(("a", *operators.KEYS))
                 nursery.start_soon(cluster.call_route, name, route, key)
@@ -313,7 +313,7 @@
 async def _inject_entry_fault(
     cluster: clusters.Cluster, event: FaultEvent
 ) -> None:
-    name = cluster.random.choice(cluster.names)
+    name = cluster.random.choice(cluster.entry_names)
     match event.fault:
         case Fault.CUT_ENTRY:
             await _cut_from_peers(cluster, name, event.duration_s)
@@ -332,7 +332,7 @@
             await _stop_entry(cluster, name)
         case Fault.FREEZE_OTHERS:
             async with trio.open_nursery() as nursery:
-                for other in cluster.names:
+                for other in cluster.entry_names:
                     if other != name:
                         nursery.start_soon(
                             cluster.suspensions.suspend, other, event.duration_s
@@ -375,7 +375,7 @@
     for name in names:
         if name not in cluster.entries:
             cluster.start_entry(name)
-    if set(names) == set(cluster.names):
+    if set(names) == set(cluster.entry_names):
         cluster.oracle.entries_back_at = trio.current_time()
 
 
@@ -411,7 +411,7 @@
     worker = cluster.workers[name]
     match event.fault:
         case Fault.CUT_WORKER:
-            worker.unreachable_from = set(cluster.names)
+            worker.unreachable_from = set(cluster.entry_names)
             await trio.sleep(event.duration_s)
             worker.unreachable_from = set()
         case Fault.LATE_ORDERS:
@@ -463,7 +463,7 @@
     restart_delay_s = cluster.random.uniform(*_RESTART_RANGE_S)
     match event.fault:
         case Fault.RESTART_BEHIND_CUT:
-            worker.unreachable_from = set(cluster.names)
+            worker.unreachable_from = set(cluster.entry_names)
             restart_delay_s = cluster.random.uniform(
                 *_RESTART_RANGE_BEHIND_CUT_S
             )
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -118,7 +118,7 @@
         cluster.operators.toggle(_ROUTE, _KEY, trio.current_time())
         with trio.move_on_after(6.0):
             while True:
-                for name in cluster.names:
+                for name in cluster.entry_names:
                     nursery.start_soon(cluster.call_route, name, _ROUTE, _KEY)
                 await trio.sleep(_CALL_INTERVAL_S)
         nursery.cancel_scope.cancel()
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -67,7 +67,7 @@
         assert not any(
             job.id in cluster.oracle.first_started_at for job in waiting_jobs
         )
-        cluster.workers["w0"].unreachable_from = set(cluster.names)
+        cluster.workers["w0"].unreachable_from = set(cluster.entry_names)
         await _lose_all_entries(cluster)
         await _wait_for_owner(cluster)
         await trio.sleep(_START_LIMIT_S)
@@ -112,7 +112,7 @@
         await trio.sleep(run_s)
         for worker in cluster.workers.values():
             if worker.tasks:
-                worker.unreachable_from = set(cluster.names)
+                worker.unreachable_from = set(cluster.entry_names)
         await _lose_all_entries(cluster)
         await trio.sleep(12.0)
         for worker in cluster.workers.values():
