--- a/crocusrouter/pools/tests/test_known_workers.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -68,7 +68,7 @@
         cluster.store.fault = stores.StoreFault.NONE
         await trio.sleep(1.9)
         for name in cluster.workers:
-            cluster.list_worker(name)
+            cluster.write_worker_entry(name)
         await trio.sleep(3.0)
         pool_owner = cluster.entries[cluster.find_owner()].owned[clusters.POOL]
         now = trio.current_time()
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -205,7 +205,7 @@
     def add_worker(self, name: str, rack: str) -> None:
         """Start a worker and write its entry to the store."""
         self._start_worker(name, rack)
-        self.list_worker(name)
+        self.write_worker_entry(name)
 
     def restart_worker(self, name: str) -> None:
         """Start a new process of a worker under the same id."""
@@ -231,7 +231,7 @@
         self.workers[name] = worker
         return worker
 
-    def list_worker(self, name: str) -> None:
+    def write_worker_entry(self, name: str) -> None:
         """Write a worker's entry to the store, as its heartbeat does."""
         worker = self.workers[name]
         value = _encode_worker_entry(worker.entry, worker.born_ms)
@@ -241,7 +241,7 @@
         """Mark a worker as draining and write its entry."""
         worker = self.workers[name]
         worker.drain(trio.current_time())
-        self.list_worker(name)
+        self.write_worker_entry(name)
 
     def crash_worker(self, name: str) -> None:
         """Crash a worker and remove its entry, as the platform does."""
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -478,7 +478,7 @@
     cluster.restart_worker(name)
     await trio.sleep(cluster.random.uniform(0.0, _HEARTBEAT_S))
     if cluster.workers[name].alive:
-        cluster.list_worker(name)
+        cluster.write_worker_entry(name)
 
 
 async def _shrink_worker(
@@ -499,7 +499,7 @@
         heartbeat_delay_s = cluster.random.uniform(0.0, _HEARTBEAT_S)
         await trio.sleep(heartbeat_delay_s)
         if worker.alive:
-            cluster.list_worker(name)
+            cluster.write_worker_entry(name)
         await trio.sleep(wait_s)
 
 
@@ -529,7 +529,7 @@
         cluster.store.put(foreign_key, value)
     await trio.sleep(duration_s)
     if cluster.workers[name].alive:
-        cluster.list_worker(name)
+        cluster.write_worker_entry(name)
 
 
 async def _replace_worker(
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -75,7 +75,7 @@
             silence = faults.FaultEvent(0.0, emulator.Fault.STORE_SILENT, 4.6)
             fault_nursery.start_soon(faults.inject_fault, cluster, silence)
             await trio.sleep(2.3)
-            cluster.list_worker("w2")
+            cluster.write_worker_entry("w2")
         await trio.sleep(1.5)
         cluster.drain_worker(_DRAINING_WORKER)
         await trio.sleep(4.5)
