--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -162,7 +162,7 @@
         self,
         seed: int,
         entries: int = 4,
-        hosts: int = 6,
+        worker_count: int = 6,
         workers_check_room: bool = True,
     ) -> None:
         self.random = random.Random(seed)
@@ -191,7 +191,7 @@
         )
         self._start_counts: collections.Counter[str] = collections.Counter()
         self._last_fault_at = 0.0
-        for number in range(hosts):
+        for number in range(worker_count):
             self.add_worker(f"w{number}", f"r0-{number // 3}")
         self.operators.write(0.0)
 
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -54,7 +54,7 @@
     No entry could ask that worker for its runs, so any older job might have run
     there: all waiting jobs waited 8 s for its lease to end while workers idled.
     """
-    cluster = emulator.Cluster(3, entries=entries, hosts=workers)
+    cluster = emulator.Cluster(3, entries=entries, worker_count=workers)
     waiting_jobs = [_make_job(1000 + n) for n in range(workers // 2)]
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
@@ -95,7 +95,7 @@
     A successor that still found the job in the record would start it on another
     worker, while the first run goes on unseen.
     """
-    cluster = emulator.Cluster(3, hosts=2)
+    cluster = emulator.Cluster(3, worker_count=2)
     running_job = _make_job(1, 2, expected_s=3.5)
     waiting_job = _make_job(2, expected_s=6.0)
     async with trio.open_nursery() as nursery:
@@ -129,7 +129,7 @@
     Its start was never sent, so its room must not stay reserved, and it must
     run once the store answers again.
     """
-    cluster = emulator.Cluster(3, hosts=1)
+    cluster = emulator.Cluster(3, worker_count=1)
     running_job, waiting_job = _make_job(1, expected_s=3.5), _make_job(2)
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
