--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -190,7 +190,7 @@
     *,
     leases_expire: bool = True,
     entries: int = 4,
-    hosts: int = 6,
+    worker_count: int = 6,
     workers_check_room: bool = True,
     changes_per_s: float = 0.0,
 ) -> clusters.Cluster:
@@ -212,7 +212,7 @@
     Returns:
         The cluster; its oracle lists the broken rules.
     """
-    cluster = clusters.Cluster(seed, entries, hosts, workers_check_room)
+    cluster = clusters.Cluster(seed, entries, worker_count, workers_check_room)
     cluster.store.leases_expire = leases_expire
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
--- a/standins/emulator/tests/test_crashes.py
+++ b/standins/emulator/tests/test_crashes.py
@@ -120,6 +120,6 @@
     """
     load = emulator.Load(crashing=0.2)
     events = emulator.choose_faults(seed, 5, load.length_s)
-    cluster = await emulator.play(seed, load, events, hosts=12)
+    cluster = await emulator.play(seed, load, events, worker_count=12)
     assert cluster.oracle.task_crashes
     assert cluster.oracle.broken == []
--- a/standins/emulator/tests/test_days.py
+++ b/standins/emulator/tests/test_days.py
@@ -158,7 +158,12 @@
     ]
     events += emulator.choose_faults(seed, 24, load.length_s, workers)
     cluster = await emulator.play(
-        seed, load, events, leases_expire=bool(seed % 2), entries=97, hosts=270
+        seed,
+        load,
+        events,
+        leases_expire=bool(seed % 2),
+        entries=97,
+        worker_count=270,
     )
     assert cluster.oracle.broken == []
 
