--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -203,7 +203,7 @@
         leases_expire: Whether leases of the store expire while it is
             unavailable.
         entries: How many entries.
-        hosts: How many workers.
+        worker_count: How many workers.
         workers_check_room: Whether workers reject tasks that they have no room
             for.
         changes_per_s: How often the configuration changes. Calls on the routes
