--- a/crocusrouter/pools/tests/test_known_workers.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -64,7 +64,7 @@
         cluster.store.fault = stores.StoreFault.BUSY
         await trio.sleep(4.5)
         for name in cluster.workers:
-            cluster.store.remove(clusters.WORKERS + name)
+            cluster.store.remove(clusters.WORKERS_PREFIX + name)
         cluster.store.fault = stores.StoreFault.NONE
         await trio.sleep(1.9)
         for name in cluster.workers:
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -35,7 +35,7 @@
 RULES = frozenset({rules.Rule.DRAIN})
 
 POOL = "match"
-WORKERS = "listed/"
+WORKERS_PREFIX = "listed/"
 OPERATORS_PREFIX = "op/"
 CONFIG_KEY = OPERATORS_PREFIX + "config"
 ROUTE_HOST = "h"
@@ -235,7 +235,7 @@
         """Write a worker's entry to the store, as its heartbeat does."""
         worker = self.workers[name]
         value = _encode_worker_entry(worker.entry, worker.born_ms)
-        self.store.put(WORKERS + name, value)
+        self.store.put(WORKERS_PREFIX + name, value)
 
     def drain_worker(self, name: str) -> None:
         """Mark a worker as draining and write its entry."""
@@ -246,7 +246,7 @@
     def crash_worker(self, name: str) -> None:
         """Crash a worker and remove its entry, as the platform does."""
         self.workers[name].crash()
-        self.store.remove(WORKERS + name)
+        self.store.remove(WORKERS_PREFIX + name)
 
     def start_replacement(self, name: str) -> None:
         """Start another incarnation that answers at a worker's address."""
@@ -261,7 +261,7 @@
         await trio.sleep(_REPLACEMENT_DELAY_S)
         self.start_replacement(name)
         await trio.sleep(_DELISTING_DELAY_S - _REPLACEMENT_DELAY_S)
-        self.store.remove(WORKERS + name)
+        self.store.remove(WORKERS_PREFIX + name)
 
     def _step_worker(self, name: str, now: float) -> None:
         worker = self.workers[name]
@@ -286,7 +286,7 @@
                 OPERATORS_PREFIX, CONFIG_KEY, platform.parse_config
             ),
             pools.Platform(
-                WORKERS,
+                WORKERS_PREFIX,
                 _parse_worker_entry,
                 self._build_worker_view_opener(name),
                 make_policy=lambda: policies.PolicyView(self.policy),
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -33,7 +33,7 @@
 _STOP_GRACE_S = 6.0
 _WATCHED_PREFIXES = (
     clusters.OPERATORS_PREFIX,
-    clusters.WORKERS,
+    clusters.WORKERS_PREFIX,
     keys.JOBS,
     keys.SYSTEM,
 )
@@ -511,7 +511,7 @@
     cluster.workers[name].crash()
     cluster.start_replacement(name)
     await trio.sleep(_DELISTING_DELAY_S)
-    cluster.store.remove(clusters.WORKERS + name)
+    cluster.store.remove(clusters.WORKERS_PREFIX + name)
 
 
 async def _overwrite_worker_entry(
@@ -522,10 +522,12 @@
     Values that can't be decoded, lack fields or name another pool are written
     under new names as well.
     """
-    key = clusters.WORKERS + name
+    key = clusters.WORKERS_PREFIX + name
     cluster.store.put(key, cluster.random.choice(FOREIGN_VALUES))
     for value in FOREIGN_VALUES:
-        foreign_key = f"{clusters.WORKERS}x{cluster.random.getrandbits(16)}"
+        foreign_key = (
+            f"{clusters.WORKERS_PREFIX}x{cluster.random.getrandbits(16)}"
+        )
         cluster.store.put(foreign_key, value)
     await trio.sleep(duration_s)
     if cluster.workers[name].alive:
--- a/standins/emulator/tests/test_unheard_changes.py
+++ b/standins/emulator/tests/test_unheard_changes.py
@@ -104,7 +104,7 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(_SETTLE_S)
-        cluster.store.rejected_prefixes.add(clusters.WORKERS)
+        cluster.store.rejected_prefixes.add(clusters.WORKERS_PREFIX)
         await trio.sleep(1.5)
         cluster.drain_worker(_DRAINING_WORKER)
         await trio.sleep(duration_s)
