--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -99,7 +99,7 @@
     change, knows_change = _FOLLOWERS[follower]
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
-        cluster.store.lapses = False
+        cluster.store.leases_expire = False
         await trio.sleep(_SETTLE_S)
         assert cluster.find_owner() is not None
         async with trio.open_nursery() as fault_nursery:
