--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -102,10 +102,10 @@
 async def _lose_store_answers(cluster, names, duration_s):
     """Lose the store's answers to some entries for some seconds."""
     for name in names:
-        cluster.store.turned_away[name] = stores.StoreFault.SILENT
+        cluster.store.entry_faults[name] = stores.StoreFault.SILENT
     await trio.sleep(duration_s)
     for name in names:
-        del cluster.store.turned_away[name]
+        del cluster.store.entry_faults[name]
 
 
 async def _play(disturb, delay_s):
