--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -162,7 +162,7 @@
 
 
 async def _reject_watches(cluster, nursery, delay_s):
-    cluster.store.refused_watches.add(clusters.OPERATORS_PREFIX)
+    cluster.store.rejected_prefixes.add(clusters.OPERATORS_PREFIX)
     await trio.sleep(delay_s)
 
 
