--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -134,14 +134,14 @@
     name = _find_non_owner(cluster)
     await _lose_store_answers(cluster, [name], 0.1)
     await trio.sleep(delay_s)
-    cluster.cut_off.add(name)
+    cluster.partitioned_entries.add(name)
 
 
 async def _lose_answers_then_cut_owner(cluster, nursery, delay_s):
     name = cluster.find_owner()
     await _lose_store_answers(cluster, [name], 0.1)
     await trio.sleep(delay_s)
-    cluster.cut_off.add(name)
+    cluster.partitioned_entries.add(name)
 
 
 async def _lose_answers_then_suspend_peers(
@@ -168,7 +168,7 @@
 
 async def _reject_watches_then_cut_non_owner(cluster, nursery, delay_s):
     await _reject_watches(cluster, nursery, delay_s)
-    cluster.cut_off.add(_find_non_owner(cluster))
+    cluster.partitioned_entries.add(_find_non_owner(cluster))
 
 
 async def _lose_answers_to_all(cluster, nursery, delay_s):
