--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -127,7 +127,9 @@
 
 
 def _find_non_owner(cluster):
-    return next(name for name in cluster.names if name != cluster.find_owner())
+    return next(
+        name for name in cluster.entry_names if name != cluster.find_owner()
+    )
 
 
 async def _lose_answers_then_cut_non_owner(cluster, nursery, delay_s):
