--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -152,7 +152,7 @@
     name = _find_non_owner(cluster)
     await _lose_store_answers(cluster, [name], 0.1)
     await trio.sleep(delay_s)
-    for other in cluster.names:
+    for other in cluster.entry_names:
         if other != name:
             nursery.start_soon(cluster.suspensions.suspend, other, duration_s)
     await trio.sleep(_CALL_INTERVAL_S)
