--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -174,7 +174,7 @@
 
 
 async def _lose_answers_to_all(cluster, nursery, delay_s):
-    await _lose_store_answers(cluster, cluster.names, 0.1)
+    await _lose_store_answers(cluster, cluster.entry_names, 0.1)
     await trio.sleep(delay_s)
 
 
