--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -35,7 +35,7 @@
     for name in list(cluster.entries):
         cluster.kill_entry(name)
     await trio.sleep(outage_s)
-    for name in cluster.names:
+    for name in cluster.entry_names:
         cluster.start_entry(name)
 
 
