--- a/standins/soak/tests/test_changes.py
+++ b/standins/soak/tests/test_changes.py
@@ -22,9 +22,9 @@
 async def _change_alone(world, calls, name, wait_s):
     """Change the configuration where one entry alone can notice."""
     others = [other for other in world.entries if other != name]
-    world.store.turned_away[name] = stores.StoreFault.SILENT
+    world.store.entry_faults[name] = stores.StoreFault.SILENT
     await trio.sleep(_LOST_S)
-    del world.store.turned_away[name]
+    del world.store.entry_faults[name]
     await trio.sleep(wait_s)
     for other in others:
         world.signal(other, signal.SIGSTOP)
