--- a/standins/emulator/__init__.py
+++ b/standins/emulator/__init__.py
@@ -6,8 +6,8 @@
 observe.
 """
 
-from standins.emulator import changes
 from standins.emulator import cluster
+from standins.emulator import config_oracle
 from standins.emulator import oracle
 from standins.emulator import vms
 from standins.emulator.cluster import Cluster
@@ -19,7 +19,7 @@
 from standins.emulator.store import StoreFault
 
 # The rules that are checked on emulated days.
-CHECKED = oracle.RULES | changes.RULES | cluster.RULES | vms.RULES
+CHECKED = oracle.RULES | config_oracle.RULES | cluster.RULES | vms.RULES
 
 __all__ = [
     "CHECKED",
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -20,7 +20,7 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as change_rules
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as change_rules
 from standins.emulator import store as stores
 
 # Routes and keys that are added and removed; no job uses them.
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -10,8 +10,8 @@
 
 from standins import emulator
 from standins import fuzzing
-from standins.emulator import changes as change_rules
 from standins.emulator import cluster as clusters
+from standins.emulator import config_oracle as change_rules
 from standins.emulator import faults
 from standins.emulator import operators
 from standins.emulator import store as stores
--- a/standins/soak/changing.py
+++ b/standins/soak/changing.py
@@ -5,7 +5,7 @@
 import httpcore
 import trio
 
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as change_rules
 from standins.emulator import operators
 from standins.soak import cuts
 from standins.soak import world as worlds
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -13,7 +13,7 @@
 
 from crocusrouter import platform
 from crocusrouter import queues
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as change_rules
 from standins.emulator import oracle as oracles
 from standins.emulator import rules
 from standins.emulator import store as stores
--- a/standins/soak/tests/test_soak.py
+++ b/standins/soak/tests/test_soak.py
@@ -6,7 +6,7 @@
 import typer.testing
 
 from standins import soak
-from standins.emulator import changes
+from standins.emulator import config_oracle
 from standins.emulator import touch
 from standins.soak import __main__ as commands
 from standins.soak import cuts
@@ -78,7 +78,12 @@
     """Entries that never served anybody passed for ones that kept all."""
     seen = touch.ImpairmentLog()
     result = soak.Result(
-        broken, accepted, 0, [], changes.ConfigOracle(seen), cuts.Cuts(seen)
+        broken,
+        accepted,
+        0,
+        [],
+        config_oracle.ConfigOracle(seen),
+        cuts.Cuts(seen),
     )
     assert result.verdict == verdict
     assert ("jobs" in result.list_idle_checks()) is (accepted == 0)
