--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -20,7 +20,7 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
-from standins.emulator import config_oracle as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
@@ -181,7 +181,7 @@
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
         self.impairments = touches.ImpairmentLog()
-        self.config_oracle = change_rules.ConfigOracle(self.impairments)
+        self.config_oracle = config_oracles.ConfigOracle(self.impairments)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
             self.store,
@@ -418,7 +418,7 @@
         if entry is None:
             return
         incarnation = self._start_counts[name]
-        sent_call = change_rules.SentCall(
+        sent_call = config_oracles.SentCall(
             name, incarnation, route, key, trio.current_time()
         )
         await self.suspensions.wait_until_resumed(name)
