--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from standins.emulator import config_oracle as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import store as stores
 
 # Routes and keys that are added and removed; no job uses them.
@@ -32,7 +32,7 @@
         self,
         store: stores.Store,
         key: str,
-        config_oracle: change_rules.ConfigOracle,
+        config_oracle: config_oracles.ConfigOracle,
         base: dict[str, Any],
     ) -> None:
         """Prepare without writing.
@@ -84,7 +84,7 @@
         customers = document["tenants"]
         keys = (key for row in customers for key in row["api_keys"])
         self.config_oracle.note_confirmed(
-            change_rules.ConfigVersion(
+            config_oracles.ConfigVersion(
                 self._version, frozenset(prefixes), frozenset(keys)
             ),
             now,
@@ -96,7 +96,7 @@
         document = template.replace(b"%d", str(self._version).encode())
         self._store.put(self._key, document)
         self.config_oracle.note_confirmed(
-            change_rules.ConfigVersion(
+            config_oracles.ConfigVersion(
                 self._version, frozenset(), frozenset(), valid=False
             ),
             now,
