--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -11,7 +11,7 @@
 from standins import emulator
 from standins import fuzzing
 from standins.emulator import cluster as clusters
-from standins.emulator import config_oracle as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import faults
 from standins.emulator import operators
 from standins.emulator import store as stores
@@ -40,21 +40,21 @@
     touch = touches.ImpairmentLog()
     if impaired_at is not None:
         touch.note_impaired("e0", impaired_at)
-    changes = change_rules.ConfigOracle(touch)
+    changes = config_oracles.ConfigOracle(touch)
     for at, version, routes, keys, valid in (
         (0.0, 2, {_ROUTE}, set(), True),
         (10.0, 3, {_ROUTE}, {_KEY}, True),
         (invalid_at, 4, set(), set(), False),
     ):
         changes.note_confirmed(
-            change_rules.ConfigVersion(
+            config_oracles.ConfigVersion(
                 version, frozenset(routes), frozenset(keys), valid=valid
             ),
             at,
         )
     for at, call_handling in (*earlier, (sent_at, handling)):
         changes.check_call(
-            change_rules.AnsweredCall(
+            config_oracles.AnsweredCall(
                 "e0", 1, _ROUTE, _KEY, at, at + 0.01, call_handling
             )
         )
@@ -64,23 +64,23 @@
 @pytest.mark.parametrize(
     ("sent_at", "handling", "impaired_at", "earlier", "broken"),
     [
-        (11.9, change_rules.Handling.NO_KEY, None, (), False),
-        (12.1, change_rules.Handling.NO_KEY, None, (), True),
-        (12.1, change_rules.Handling.NO_KEY, 9.0, (), True),
-        (12.1, change_rules.Handling.NO_KEY, 9.2, (), False),
-        (12.1, change_rules.Handling.SERVED, None, (), False),
-        (10.2, change_rules.Handling.NO_KEY, None, [(10.1, "served")], False),
-        (10.5, change_rules.Handling.NO_KEY, None, [(10.1, "served")], True),
-        (11.5, change_rules.Handling.NO_KEY, 9.2, [(10.1, "served")], False),
-        (12.5, change_rules.Handling.NO_KEY, 9.6, [(10.1, "served")], True),
-        (9.0, change_rules.Handling.SERVED, None, (), True),
-        (10.5, change_rules.Handling.NO_ROUTE, None, (), True),
-        (12.1, change_rules.Handling.NOT_DECIDED, None, (), False),
+        (11.9, config_oracles.Handling.NO_KEY, None, (), False),
+        (12.1, config_oracles.Handling.NO_KEY, None, (), True),
+        (12.1, config_oracles.Handling.NO_KEY, 9.0, (), True),
+        (12.1, config_oracles.Handling.NO_KEY, 9.2, (), False),
+        (12.1, config_oracles.Handling.SERVED, None, (), False),
+        (10.2, config_oracles.Handling.NO_KEY, None, [(10.1, "served")], False),
+        (10.5, config_oracles.Handling.NO_KEY, None, [(10.1, "served")], True),
+        (11.5, config_oracles.Handling.NO_KEY, 9.2, [(10.1, "served")], False),
+        (12.5, config_oracles.Handling.NO_KEY, 9.6, [(10.1, "served")], True),
+        (9.0, config_oracles.Handling.SERVED, None, (), True),
+        (10.5, config_oracles.Handling.NO_ROUTE, None, (), True),
+        (12.1, config_oracles.Handling.NOT_DECIDED, None, (), False),
     ],
 )
 def test_oracle_checks_calls(sent_at, handling, impaired_at, earlier, broken):
     earlier_calls = [
-        (at, change_rules.Handling(call_handling))
+        (at, config_oracles.Handling(call_handling))
         for at, call_handling in earlier
     ]
     changes = _check_calls(
@@ -94,7 +94,7 @@
 )
 def test_oracle_ignores_versions_that_are_replaced_at_once(invalid_at, broken):
     changes = _check_calls(
-        12.5, change_rules.Handling.NO_KEY, invalid_at=invalid_at
+        12.5, config_oracles.Handling.NO_KEY, invalid_at=invalid_at
     )
     assert bool(changes.broken) is broken
 
