--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -14,7 +14,7 @@
 from crocusrouter.work import orders
 from demo import processes
 from standins import ports
-from standins.emulator import config_oracle as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
@@ -56,7 +56,7 @@
         """
         self.oracle = oracles.JobOracle()
         self.touch = touches.ImpairmentLog()
-        self.changes = change_rules.ConfigOracle(self.touch)
+        self.changes = config_oracles.ConfigOracle(self.touch)
         # The same without planned stops.
         self.unplanned = touches.ImpairmentLog()
         self.cuts = cuts.Cuts(self.unplanned)
