--- a/standins/soak/changing.py
+++ b/standins/soak/changing.py
@@ -5,7 +5,7 @@
 import httpcore
 import trio
 
-from standins.emulator import config_oracle as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import operators
 from standins.soak import cuts
 from standins.soak import world as worlds
@@ -54,7 +54,7 @@
         """
         life = self._world.lives[name]
         sent_at = trio.current_time()
-        asked = change_rules.SentCall(name, life, route, key, sent_at)
+        asked = config_oracles.SentCall(name, life, route, key, sent_at)
         try:
             response = await self._pool.request(
                 "GET",
