--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -13,7 +13,7 @@
 
 from crocusrouter import platform
 from crocusrouter import queues
-from standins.emulator import config_oracle as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import oracle as oracles
 from standins.emulator import rules
 from standins.emulator import store as stores
@@ -24,7 +24,7 @@
 from standins.soak import world as worlds
 
 # The rules that soaks are judged by.
-CHECKED = oracles.RULES | change_rules.RULES | cuts.RULES | {rules.Rule.DRAIN}
+CHECKED = oracles.RULES | config_oracles.RULES | cuts.RULES | {rules.Rule.DRAIN}
 
 _TRIES = 6
 _TIMEOUT_S = 3.0
@@ -110,7 +110,7 @@
     accepted: int
     crashes: int
     faults: list[str]
-    changes: change_rules.ConfigOracle
+    changes: config_oracles.ConfigOracle
     cuts: cuts.Cuts
 
     @property
