--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -21,13 +21,13 @@
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
 from standins.emulator import config_oracle as config_oracles
+from standins.emulator import impairment_log as touches
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
 from standins.emulator import rules
 from standins.emulator import store as stores
 from standins.emulator import suspension
-from standins.emulator import touch as touches
 from standins.emulator import vms as vm_control
 from standins.emulator import worker as workers
 
--- a/standins/emulator/config_oracle.py
+++ b/standins/emulator/config_oracle.py
@@ -4,8 +4,8 @@
 import dataclasses
 import enum
 
+from standins.emulator import impairment_log as touches
 from standins.emulator import rules
-from standins.emulator import touch as touches
 
 # Rules that this oracle checks.
 RULES = frozenset({rules.Rule.CONFIG, rules.Rule.ROUTE_CALLS})
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from crocusrouter import work
+from standins.emulator import impairment_log as touches
 from standins.emulator import rules
-from standins.emulator import touch as touches
 
 # A start that was on its way when a cancel was confirmed is allowed for this
 # long.
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -13,9 +13,9 @@
 from standins.emulator import cluster as clusters
 from standins.emulator import config_oracle as config_oracles
 from standins.emulator import faults
+from standins.emulator import impairment_log as touches
 from standins.emulator import operators
 from standins.emulator import store as stores
-from standins.emulator import touch as touches
 from standins.emulator.tests import test_histories
 
 _SETTLE_S = 6.35
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -6,8 +6,8 @@
 
 from crocusrouter import work
 from standins import emulator
+from standins.emulator import impairment_log as touches
 from standins.emulator import oracle as oracles
-from standins.emulator import touch as touches
 
 _FIRST_TASK = work.TaskKey("j", 0, 0, 0)
 _SECOND_TASK = work.TaskKey("j", 0, 1, 0)
--- a/standins/soak/cuts.py
+++ b/standins/soak/cuts.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
+from standins.emulator import impairment_log as touches
 from standins.emulator import rules
-from standins.emulator import touch as touches
 
 RULES = frozenset({rules.Rule.LOST_REQUESTS})
 
--- a/standins/soak/tests/test_cuts.py
+++ b/standins/soak/tests/test_cuts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from standins.emulator import touch as touches
+from standins.emulator import impairment_log as touches
 from standins.soak import cuts
 
 
--- a/standins/soak/tests/test_soak.py
+++ b/standins/soak/tests/test_soak.py
@@ -7,7 +7,7 @@
 
 from standins import soak
 from standins.emulator import config_oracle
-from standins.emulator import touch
+from standins.emulator import impairment_log
 from standins.soak import __main__ as commands
 from standins.soak import cuts
 
@@ -76,7 +76,7 @@
 )
 def test_soak_without_a_case_is_not_kept(broken, accepted, verdict):
     """Entries that never served anybody passed for ones that kept all."""
-    seen = touch.ImpairmentLog()
+    seen = impairment_log.ImpairmentLog()
     result = soak.Result(
         broken,
         accepted,
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -15,11 +15,11 @@
 from demo import processes
 from standins import ports
 from standins.emulator import config_oracle as config_oracles
+from standins.emulator import impairment_log as touches
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
 from standins.emulator import store as stores
-from standins.emulator import touch as touches
 from standins.emulator import worker as workers
 from standins.soak import cuts
 from standins.soak import proxy as proxies
