--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -21,7 +21,7 @@
 from crocusrouter.work import incarnations
 from crocusrouter.work import orders
 from standins.emulator import config_oracle as config_oracles
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
@@ -180,7 +180,7 @@
         self._cancel_scopes: dict[str, trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
-        self.impairments = touches.ImpairmentLog()
+        self.impairments = impairment_logs.ImpairmentLog()
         self.config_oracle = config_oracles.ConfigOracle(self.impairments)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
