--- a/standins/emulator/config_oracle.py
+++ b/standins/emulator/config_oracle.py
@@ -4,7 +4,7 @@
 import dataclasses
 import enum
 
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import rules
 
 # Rules that this oracle checks.
@@ -117,7 +117,7 @@
             an entry in touch handled by an earlier version.
     """
 
-    def __init__(self, impairments: touches.ImpairmentLog) -> None:
+    def __init__(self, impairments: impairment_logs.ImpairmentLog) -> None:
         """Prepare without any version."""
         self.broken: list[str] = []
         self.judged = 0
