--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from crocusrouter import work
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import rules
 
 # A start that was on its way when a cancel was confirmed is allowed for this
@@ -238,7 +238,7 @@
         for at, key in gangs:
             if key.job in self.cancels_sent:
                 continue
-            if is_calm(at - GANG_WAIT_S - touches.STABLE_WINDOW_S):
+            if is_calm(at - GANG_WAIT_S - impairment_logs.STABLE_WINDOW_S):
                 self.broken.append(
                     f"{at:.3f} gang: {key} waited for missing members"
                 )
