--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -6,7 +6,7 @@
 
 from crocusrouter import work
 from standins import emulator
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import oracle as oracles
 
 _FIRST_TASK = work.TaskKey("j", 0, 0, 0)
@@ -266,7 +266,7 @@
 )
 def test_gang_that_stays_incomplete(impaired_at, cancel_sent, broken):
     oracle = _make_oracle()
-    touch = touches.ImpairmentLog()
+    touch = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
         touch.note_impaired("w0", impaired_at)
     if cancel_sent:
