--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -13,7 +13,7 @@
 from standins.emulator import cluster as clusters
 from standins.emulator import config_oracle as config_oracles
 from standins.emulator import faults
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import operators
 from standins.emulator import store as stores
 from standins.emulator.tests import test_histories
@@ -37,7 +37,7 @@
 def _check_calls(
     sent_at, handling, *, impaired_at=None, earlier=(), invalid_at=12.0
 ):
-    touch = touches.ImpairmentLog()
+    touch = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
         touch.note_impaired("e0", impaired_at)
     changes = config_oracles.ConfigOracle(touch)
