--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -15,7 +15,7 @@
 from demo import processes
 from standins import ports
 from standins.emulator import config_oracle as config_oracles
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
@@ -55,10 +55,10 @@
             folder: Where the processes' logs go.
         """
         self.oracle = oracles.JobOracle()
-        self.touch = touches.ImpairmentLog()
+        self.touch = impairment_logs.ImpairmentLog()
         self.changes = config_oracles.ConfigOracle(self.touch)
         # The same without planned stops.
-        self.unplanned = touches.ImpairmentLog()
+        self.unplanned = impairment_logs.ImpairmentLog()
         self.cuts = cuts.Cuts(self.unplanned)
         self.store = stores.Store(seed)
         self.operators = operators.Operators(
@@ -230,7 +230,7 @@
                 continue
             for key, at in starts:
                 calm = self.touch.is_unimpaired_since(
-                    at - touches.STABLE_WINDOW_S
+                    at - impairment_logs.STABLE_WINDOW_S
                 )
                 if at > since + _DRAIN_S and calm:
                     self.oracle.broken.append(
