--- a/standins/soak/cuts.py
+++ b/standins/soak/cuts.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import rules
 
 RULES = frozenset({rules.Rule.LOST_REQUESTS})
@@ -37,7 +37,7 @@
         excused: How many of these had something unplanned beside them.
     """
 
-    def __init__(self, unplanned: touches.ImpairmentLog) -> None:
+    def __init__(self, unplanned: impairment_logs.ImpairmentLog) -> None:
         """Begin with none.
 
         Args:
