--- a/standins/soak/tests/test_cuts.py
+++ b/standins/soak/tests/test_cuts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from standins.emulator import impairment_log as touches
+from standins.emulator import impairment_log as impairment_logs
 from standins.soak import cuts
 
 
@@ -22,7 +22,7 @@
     ],
 )
 def test_request_that_is_cut(sent_at, ended_at, impaired_at, broken):
-    unplanned = touches.ImpairmentLog()
+    unplanned = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
         unplanned.note_impaired("e0", impaired_at)
     held = cuts.Cuts(unplanned)
