--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -266,14 +266,14 @@
 )
 def test_gang_that_stays_incomplete(impaired_at, cancel_sent, broken):
     oracle = _make_oracle()
-    touch = impairment_logs.ImpairmentLog()
+    impairments = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
-        touch.note_impaired("w0", impaired_at)
+        impairments.note_impaired("w0", impaired_at)
     if cancel_sent:
         oracle.cancels_sent.add("j")
     oracle.note_start("w0", _FIRST_TASK, 1, 7.0)
     oracle.note_end("w0", _FIRST_TASK, 1, "alone", 10.0)
-    oracle.check_incomplete_gangs(touch.is_unimpaired_since)
+    oracle.check_incomplete_gangs(impairments.is_unimpaired_since)
     assert bool(oracle.broken) is broken
     assert oracle.excused_gangs == (impaired_at == 8.0)
 
