--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -37,10 +37,10 @@
 def _check_calls(
     sent_at, handling, *, impaired_at=None, earlier=(), invalid_at=12.0
 ):
-    touch = impairment_logs.ImpairmentLog()
+    impairments = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
-        touch.note_impaired("e0", impaired_at)
-    changes = config_oracles.ConfigOracle(touch)
+        impairments.note_impaired("e0", impaired_at)
+    changes = config_oracles.ConfigOracle(impairments)
     for at, version, routes, keys, valid in (
         (0.0, 2, {_ROUTE}, set(), True),
         (10.0, 3, {_ROUTE}, {_KEY}, True),
