--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -40,25 +40,25 @@
     impairments = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
         impairments.note_impaired("e0", impaired_at)
-    changes = config_oracles.ConfigOracle(impairments)
+    oracle = config_oracles.ConfigOracle(impairments)
     for at, version, routes, keys, valid in (
         (0.0, 2, {_ROUTE}, set(), True),
         (10.0, 3, {_ROUTE}, {_KEY}, True),
         (invalid_at, 4, set(), set(), False),
     ):
-        changes.note_confirmed(
+        oracle.note_confirmed(
             config_oracles.ConfigVersion(
                 version, frozenset(routes), frozenset(keys), valid=valid
             ),
             at,
         )
     for at, call_handling in (*earlier, (sent_at, handling)):
-        changes.check_call(
+        oracle.check_call(
             config_oracles.AnsweredCall(
                 "e0", 1, _ROUTE, _KEY, at, at + 0.01, call_handling
             )
         )
-    return changes
+    return oracle
 
 
 @pytest.mark.parametrize(
