--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -83,10 +83,10 @@
         (at, config_oracles.Handling(call_handling))
         for at, call_handling in earlier
     ]
-    changes = _check_calls(
+    oracle = _check_calls(
         sent_at, handling, impaired_at=impaired_at, earlier=earlier_calls
     )
-    assert bool(changes.broken) is broken
+    assert bool(oracle.broken) is broken
 
 
 @pytest.mark.parametrize(
