--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -93,10 +93,10 @@
     ("invalid_at", "broken"), [(11.9, False), (12.0, True), (13.0, True)]
 )
 def test_oracle_ignores_versions_that_are_replaced_at_once(invalid_at, broken):
-    changes = _check_calls(
+    oracle = _check_calls(
         12.5, config_oracles.Handling.NO_KEY, invalid_at=invalid_at
     )
-    assert bool(changes.broken) is broken
+    assert bool(oracle.broken) is broken
 
 
 async def _lose_store_answers(cluster, names, duration_s):
