--- a/crocusrouter/http/tests/test_queue_endpoints.py
+++ b/crocusrouter/http/tests/test_queue_endpoints.py
@@ -173,8 +173,8 @@
     """
     async with _serve() as served_entry:
         cluster = served_entry.cluster
-        cluster.store.turned_away["e0"] = emulator.StoreFault.SILENT
-        cluster.cut_off.add("e0")
+        cluster.store.entry_faults["e0"] = emulator.StoreFault.SILENT
+        cluster.partitioned_entries.add("e0")
         await trio.sleep(6.5)
         status, headers, _ = await served_entry.ask("GET", f"/q/{_JOB_ID}")
         ready, _, _ = await served_entry.ask("GET", "/ready", port=_READY_PORT)
@@ -204,7 +204,7 @@
     """
     async with _serve() as served_entry:
         cluster = served_entry.cluster
-        cluster.store.turned_away["e0"] = emulator.StoreFault.BUSY
+        cluster.store.entry_faults["e0"] = emulator.StoreFault.BUSY
         await trio.sleep(1.0)
         cluster.put_config({"b": 8})
         await trio.sleep(2.0)
--- a/crocusrouter/pools/tests/test_members.py
+++ b/crocusrouter/pools/tests/test_members.py
@@ -39,7 +39,7 @@
     received that change within a second of the store's return.
     """
     store = stores.Store(1)
-    store.lapses = False
+    store.leases_expire = False
     view = _CountingStoreView(store, "e0")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(members.Membership(view, "e0", _MEMBER).run)
@@ -63,7 +63,7 @@
         store.fault = stores.StoreFault.BUSY
         for _ in range(100):
             await trio.sleep(0.1)
-            store.expire(trio.current_time())
+            store.expire_leases(trio.current_time())
         assert _KEY not in store.items
         store.fault = stores.StoreFault.NONE
         await trio.sleep(1.0)
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -20,14 +20,14 @@
 from crocusrouter.telemetry import Metrics
 from crocusrouter.work import incarnations
 from crocusrouter.work import worker_port
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as config_oracles
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
 from standins.emulator import rules
 from standins.emulator import store as stores
 from standins.emulator import suspension
-from standins.emulator import touch as touches
 from standins.emulator import vms as vm_control
 from standins.emulator import worker as workers
 
@@ -35,7 +35,7 @@
 RULES = frozenset({rules.Rule.DRAIN})
 
 POOL = "match"
-WORKERS = "listed/"
+WORKERS_PREFIX = "listed/"
 OPERATORS_PREFIX = "op/"
 CONFIG_KEY = OPERATORS_PREFIX + "config"
 ROUTE_HOST = "h"
@@ -142,7 +142,10 @@
 
     async def _exchange(self, message: object, timeout_s: float) -> object:
         target = self._cluster.entries.get(self._target)
-        partitioned = {self._source, self._target} & self._cluster.cut_off
+        partitioned = {
+            self._source,
+            self._target,
+        } & self._cluster.partitioned_entries
         if target is None or partitioned:
             await trio.sleep(timeout_s)
             raise mesh.PeerUnreachableError("cut", maybe_received=False)
@@ -159,33 +162,36 @@
         self,
         seed: int,
         entries: int = 4,
-        hosts: int = 6,
+        worker_count: int = 6,
         workers_check_room: bool = True,
     ) -> None:
         self.random = random.Random(seed)
         self._workers_check_room = workers_check_room
         self.store = stores.Store(seed)
-        self.oracle = oracles.Oracle()
+        self.oracle = oracles.JobOracle()
         self.gangs = workers.Gangs()
         self.policy = policies.Policy()
         self.vms = vm_control.VmControl(self)
         self.workers: dict[str, workers.Worker] = {}
         self.entries: dict[str, pools.PoolEntry] = {}
-        self.cut_off: set[str] = set()
+        self.partitioned_entries: set[str] = set()
         self.suspensions = suspension.Suspensions()
-        self.names = [f"e{number}" for number in range(entries)]
+        self.entry_names = [f"e{number}" for number in range(entries)]
         self._cancel_scopes: dict[str, trio.CancelScope] = {}
         self._nursery: trio.Nursery | None = None
         self._replaced_workers: set[str] = set()
-        self.touch = touches.Touch()
-        self.changes = change_rules.Changes(self.touch)
+        self.impairments = impairment_logs.ImpairmentLog()
+        self.config_oracle = config_oracles.ConfigOracle(self.impairments)
         guaranteed = {"a": 16, "b": 8}
         self.operators = operators.Operators(
-            self.store, CONFIG_KEY, self.changes, _build_config(guaranteed)
+            self.store,
+            CONFIG_KEY,
+            self.config_oracle,
+            _build_config(guaranteed),
         )
         self._start_counts: collections.Counter[str] = collections.Counter()
         self._last_fault_at = 0.0
-        for number in range(hosts):
+        for number in range(worker_count):
             self.add_worker(f"w{number}", f"r0-{number // 3}")
         self.operators.write(0.0)
 
@@ -199,13 +205,13 @@
     def add_worker(self, name: str, rack: str) -> None:
         """Start a worker and write its entry to the store."""
         self._start_worker(name, rack)
-        self.list_worker(name)
+        self.write_worker_entry(name)
 
     def restart_worker(self, name: str) -> None:
         """Start a new process of a worker under the same id."""
         worker_entry = self.workers[name].entry
         rack = next(label for label in worker_entry.labels if "-" in label)
-        self._start_worker(name, rack).start_anew(trio.current_time())
+        self._start_worker(name, rack).become_new_process(trio.current_time())
 
     def _start_worker(self, name: str, rack: str) -> workers.Worker:
         worker_entry = worker_port.WorkerEntry(
@@ -221,26 +227,26 @@
         worker = workers.Worker(
             worker_entry, self.oracle, self.gangs, self.policy, seed
         )
-        worker.guards = self._workers_check_room
+        worker.checks_room = self._workers_check_room
         self.workers[name] = worker
         return worker
 
-    def list_worker(self, name: str) -> None:
+    def write_worker_entry(self, name: str) -> None:
         """Write a worker's entry to the store, as its heartbeat does."""
         worker = self.workers[name]
         value = _encode_worker_entry(worker.entry, worker.born_ms)
-        self.store.put(WORKERS + name, value)
+        self.store.put(WORKERS_PREFIX + name, value)
 
     def drain_worker(self, name: str) -> None:
         """Mark a worker as draining and write its entry."""
         worker = self.workers[name]
         worker.drain(trio.current_time())
-        self.list_worker(name)
+        self.write_worker_entry(name)
 
     def crash_worker(self, name: str) -> None:
         """Crash a worker and remove its entry, as the platform does."""
         self.workers[name].crash()
-        self.store.remove(WORKERS + name)
+        self.store.remove(WORKERS_PREFIX + name)
 
     def start_replacement(self, name: str) -> None:
         """Start another incarnation that answers at a worker's address."""
@@ -255,7 +261,7 @@
         await trio.sleep(_REPLACEMENT_DELAY_S)
         self.start_replacement(name)
         await trio.sleep(_DELISTING_DELAY_S - _REPLACEMENT_DELAY_S)
-        self.store.remove(WORKERS + name)
+        self.store.remove(WORKERS_PREFIX + name)
 
     def _step_worker(self, name: str, now: float) -> None:
         worker = self.workers[name]
@@ -280,7 +286,7 @@
                 OPERATORS_PREFIX, CONFIG_KEY, platform.parse_config
             ),
             pools.Platform(
-                WORKERS,
+                WORKERS_PREFIX,
                 _parse_worker_entry,
                 self._build_worker_view_opener(name),
                 make_policy=lambda: policies.PolicyView(self.policy),
@@ -297,7 +303,7 @@
         )
         self.entries[name] = entry
         self._start_counts[name] += 1
-        self.touch.note_impaired(name, trio.current_time())
+        self.impairments.note_impaired(name, trio.current_time())
         scope = trio.CancelScope()
         self._cancel_scopes[name] = scope
         self._nursery.start_soon(self._run_entry, entry, scope)
@@ -355,7 +361,7 @@
         """Submit a job as a caller with retries does, and record the result."""
         sent_at = trio.current_time()
         answer = await self._submit(job)
-        self.oracle.tries.append((sent_at, answer == "accepted"))
+        self.oracle.submissions.append((sent_at, answer == "accepted"))
         return answer
 
     async def _submit(self, job: work.Job) -> str:
@@ -387,7 +393,7 @@
 
     async def cancel(self, job_id: str) -> None:
         """Cancel a job through the first entry that confirms it."""
-        self.oracle.asked_to_cancel.add(job_id)
+        self.oracle.cancels_sent.add(job_id)
         for entry in list(self.entries.values()):
             outcome = await entry.job_api.cancel(job_id)
             if outcome is pools.CancelOutcome.DONE:
@@ -412,7 +418,7 @@
         if entry is None:
             return
         incarnation = self._start_counts[name]
-        sent_call = change_rules.Asked(
+        sent_call = config_oracles.SentCall(
             name, incarnation, route, key, trio.current_time()
         )
         await self.suspensions.wait_until_resumed(name)
@@ -421,7 +427,7 @@
         if self._start_counts[name] != incarnation or name not in self.entries:
             return
         now = trio.current_time()
-        self.changes.note_answer(sent_call, response.status, now)
+        self.config_oracle.check_answer(sent_call, response.status, now)
 
     # Clock steps.
 
@@ -429,14 +435,14 @@
         """Record which workers and entries are impaired, and the store."""
         for name, worker in self.workers.items():
             if worker.is_impaired(now):
-                self.touch.note_impaired(name, now)
+                self.impairments.note_impaired(name, now)
         if self.store.is_impaired(now):
-            self.touch.note_store_impaired(now)
-        for name in self.names:
-            impaired = name in self.store.turned_away
+            self.impairments.note_store_impaired(now)
+        for name in self.entry_names:
+            impaired = name in self.store.entry_faults
             impaired |= name not in self.entries
             if impaired or self.suspensions.is_suspended(name):
-                self.touch.note_impaired(name, now)
+                self.impairments.note_impaired(name, now)
 
     def _check_drains(self, now: float) -> None:
         """Report starts on workers that have been draining for too long.
@@ -447,17 +453,20 @@
         """
         has_fault = self.store.fault is not stores.StoreFault.NONE
         has_fault |= self.suspensions.is_any_suspended()
-        if has_fault or self.store.turned_away or self.cut_off:
+        if has_fault or self.store.entry_faults or self.partitioned_entries:
             self._last_fault_at = now
         for name, worker in self.workers.items():
-            starts, worker.started_draining = worker.started_draining, []
+            starts, worker.starts_while_draining = (
+                worker.starts_while_draining,
+                [],
+            )
             for key, at in starts:
-                assert worker.drains_since is not None
-                known_at = max(worker.drains_since, self._last_fault_at)
+                assert worker.draining_since is not None
+                known_at = max(worker.draining_since, self._last_fault_at)
                 if at > known_at + _DRAIN_NOTICE_S:
                     self.oracle.broken.append(
                         f"{at:.3f} drain: {key} on {name}, draining since "
-                        f"{worker.drains_since:.3f}"
+                        f"{worker.draining_since:.3f}"
                     )
 
     async def run(
@@ -466,7 +475,7 @@
         """Run the entries and advance workers and store until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            for name in self.names:
+            for name in self.entry_names:
                 self.start_entry(name)
             task_status.started()
             while True:
@@ -474,8 +483,10 @@
                 for name in list(self.workers):
                     self._step_worker(name, now)
                 self._note_impairments(now)
-                self.oracle.judge_alone(self.touch.is_calm)
-                self.store.note_silences(self.names, now)
+                self.oracle.check_incomplete_gangs(
+                    self.impairments.is_unimpaired_since
+                )
+                self.store.note_silences(self.entry_names, now)
                 self._check_drains(now)
-                self.store.expire(now)
+                self.store.expire_leases(now)
                 await trio.sleep(_CLOCK_STEP_S)
--- a/standins/emulator/changes.py
+++ b/standins/emulator/config_oracle.py
@@ -4,8 +4,8 @@
 import dataclasses
 import enum
 
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import rules
-from standins.emulator import touch as touches
 
 # Rules that this oracle checks.
 RULES = frozenset({rules.Rule.CONFIG, rules.Rule.ROUTE_CALLS})
@@ -70,26 +70,26 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Asked:
+class SentCall:
     """A call that a caller has sent.
 
     Attributes:
         entry: Name of the called entry.
-        life: Number of the incarnation of the entry's process.
+        incarnation: Number of the incarnation of the entry's process.
         route: Prefix of the path.
         key: The API key of the call.
         sent_at: Seconds.
     """
 
     entry: str
-    life: int
+    incarnation: int
     route: str
     key: str
     sent_at: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Call(Asked):
+class AnsweredCall(SentCall):
     """A call and its answer, as the caller sees them.
 
     Attributes:
@@ -101,10 +101,10 @@
     handling: Handling
 
 
-class Changes:
+class ConfigOracle:
     """Checks the rules on the configuration and collects the broken ones.
 
-    `Touch` defines when an entry is in touch.
+    `ImpairmentLog` defines when an entry is in touch.
 
     Attributes:
         broken: The broken rules, each as one line.
@@ -113,19 +113,19 @@
             that were not in touch, by the reason why they were not.
         undecided: How many answers tell nothing about the configuration.
         unready: How many of these came from entries in touch.
-        latest_s: Longest time from a version's confirmation to a call that
+        max_delay_s: Longest time from a version's confirmation to a call that
             an entry in touch handled by an earlier version.
     """
 
-    def __init__(self, touch: touches.Touch) -> None:
+    def __init__(self, impairments: impairment_logs.ImpairmentLog) -> None:
         """Prepare without any version."""
         self.broken: list[str] = []
         self.judged = 0
         self.excused: collections.Counter[str] = collections.Counter()
         self.undecided = 0
         self.unready = 0
-        self.latest_s = 0.0
-        self._touch = touch
+        self.max_delay_s = 0.0
+        self._impairments = impairments
         self._versions: list[tuple[float, ConfigVersion]] = []
         self._withdrawn: set[int] = set()
         self._versions_seen: dict[tuple[str, int], list[tuple[float, int]]] = (
@@ -146,19 +146,23 @@
             }
         self._versions.append((now, version))
 
-    def note_answer(
-        self, sent_call: Asked, status: int | None, now: float
+    def check_answer(
+        self, sent_call: SentCall, status: int | None, now: float
     ) -> None:
         """Check a call by the HTTP status of its answer."""
         fields = dataclasses.asdict(sent_call)
         handling = read_status(status)
-        self.note_call(Call(**fields, answered_at=now, handling=handling))
+        self.check_call(
+            AnsweredCall(**fields, answered_at=now, handling=handling)
+        )
 
-    def note_call(self, call: Call) -> None:
+    def check_call(self, call: AnsweredCall) -> None:
         """Check one answered call."""
         if call.handling is Handling.NOT_DECIDED:
             self.undecided += 1
-            if not self._touch.explain(call.entry, call.sent_at):
+            if not self._impairments.explain_impairment(
+                call.entry, call.sent_at
+            ):
                 self.unready += 1
             return
         self.judged += 1
@@ -169,7 +173,7 @@
         self._check_delay(call, matching)
         self._check_rollback(call, matching)
 
-    def _find_matching_versions(self, call: Call) -> list[int]:
+    def _find_matching_versions(self, call: AnsweredCall) -> list[int]:
         """Return the versions under which a call may have been handled."""
         return [
             version.version
@@ -179,7 +183,7 @@
             and version.handle(call.route, call.key) is call.handling
         ]
 
-    def _check_delay(self, call: Call, matching: list[int]) -> None:
+    def _check_delay(self, call: AnsweredCall, matching: list[int]) -> None:
         later_confirmed_at = [
             at
             for at, version in self._versions
@@ -190,9 +194,9 @@
         if not later_confirmed_at:
             return
         delay_s = call.sent_at - min(later_confirmed_at)
-        reason = self._touch.explain(call.entry, call.sent_at)
+        reason = self._impairments.explain_impairment(call.entry, call.sent_at)
         if not reason:
-            self.latest_s = max(self.latest_s, delay_s)
+            self.max_delay_s = max(self.max_delay_s, delay_s)
         if delay_s <= CONFIG_APPLY_S:
             return
         if reason:
@@ -203,12 +207,12 @@
                 f"sent {delay_s:.2f} s after a later version was confirmed",
             )
 
-    def _check_rollback(self, call: Call, matching: list[int]) -> None:
-        reason = self._touch.explain(call.entry, call.sent_at)
+    def _check_rollback(self, call: AnsweredCall, matching: list[int]) -> None:
+        reason = self._impairments.explain_impairment(call.entry, call.sent_at)
         seen_before = call.sent_at - (
             _IMPAIRED_ROLLBACK_SLACK_S if reason else _ROLLBACK_SLACK_S
         )
-        seen = self._versions_seen[call.entry, call.life]
+        seen = self._versions_seen[call.entry, call.incarnation]
         newest_seen = max((v for at, v in seen if at < seen_before), default=0)
         if max(matching) < newest_seen:
             self._report(
@@ -218,7 +222,7 @@
         if not seen or min(matching) > seen[-1][1]:
             seen.append((call.answered_at, min(matching)))
 
-    def _report(self, call: Call, violation: str) -> None:
+    def _report(self, call: AnsweredCall, violation: str) -> None:
         self.broken.append(
             f"{call.sent_at:.3f} config: {call.entry} answered {call.handling} "
             f"to {call.route} with key {call.key}: {violation}"
--- a/standins/emulator/faults.py
+++ b/standins/emulator/faults.py
@@ -33,7 +33,7 @@
 _STOP_GRACE_S = 6.0
 _WATCHED_PREFIXES = (
     clusters.OPERATORS_PREFIX,
-    clusters.WORKERS,
+    clusters.WORKERS_PREFIX,
     keys.JOBS,
     keys.SYSTEM,
 )
@@ -190,7 +190,7 @@
     *,
     leases_expire: bool = True,
     entries: int = 4,
-    hosts: int = 6,
+    worker_count: int = 6,
     workers_check_room: bool = True,
     changes_per_s: float = 0.0,
 ) -> clusters.Cluster:
@@ -203,7 +203,7 @@
         leases_expire: Whether leases of the store expire while it is
             unavailable.
         entries: How many entries.
-        hosts: How many workers.
+        worker_count: How many workers.
         workers_check_room: Whether workers reject tasks that they have no room
             for.
         changes_per_s: How often the configuration changes. Calls on the routes
@@ -212,8 +212,8 @@
     Returns:
         The cluster; its oracle lists the broken rules.
     """
-    cluster = clusters.Cluster(seed, entries, hosts, workers_check_room)
-    cluster.store.lapses = leases_expire
+    cluster = clusters.Cluster(seed, entries, worker_count, workers_check_room)
+    cluster.store.leases_expire = leases_expire
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(2.0)
@@ -228,9 +228,9 @@
             for event in faults:
                 day.start_soon(inject_fault, cluster, event)
         await _wait_until_idle(cluster)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         cluster.oracle.broken += cluster.list_owner_failures()
-        cluster.oracle.broken += cluster.changes.broken
+        cluster.oracle.broken += cluster.config_oracle.broken
         nursery.cancel_scope.cancel()
     return cluster
 
@@ -254,7 +254,7 @@
     rng = random.Random(seed)
     async with trio.open_nursery() as nursery:
         while True:
-            for name in cluster.names:
+            for name in cluster.entry_names:
                 route = rng.choice((clusters.ROUTE_PREFIX, *operators.ROUTES))
                 key = rng.choice(("a", *operators.KEYS))
                 nursery.start_soon(cluster.call_route, name, route, key)
@@ -288,7 +288,7 @@
         await trio.sleep(event.duration_s)
         cluster.store.fault = stores.StoreFault.NONE
     elif fault is Fault.COMPACT:
-        cluster.store.forget_history()
+        cluster.store.compact()
     elif fault is Fault.COMPACT_LATE:
         await cluster.store.compact_after_pause()
     elif fault is Fault.KILL_ALL:
@@ -313,7 +313,7 @@
 async def _inject_entry_fault(
     cluster: clusters.Cluster, event: FaultEvent
 ) -> None:
-    name = cluster.random.choice(cluster.names)
+    name = cluster.random.choice(cluster.entry_names)
     match event.fault:
         case Fault.CUT_ENTRY:
             await _cut_from_peers(cluster, name, event.duration_s)
@@ -325,14 +325,14 @@
             await _cut_from_peers(cluster, name, event.duration_s)
         case Fault.REFUSE_WATCHES:
             prefix = cluster.random.choice(_WATCHED_PREFIXES)
-            cluster.store.refused_watches.add(prefix)
+            cluster.store.rejected_prefixes.add(prefix)
             await trio.sleep(event.duration_s)
-            cluster.store.refused_watches.discard(prefix)
+            cluster.store.rejected_prefixes.discard(prefix)
         case Fault.STOP_ENTRY:
             await _stop_entry(cluster, name)
         case Fault.FREEZE_OTHERS:
             async with trio.open_nursery() as nursery:
-                for other in cluster.names:
+                for other in cluster.entry_names:
                     if other != name:
                         nursery.start_soon(
                             cluster.suspensions.suspend, other, event.duration_s
@@ -342,18 +342,18 @@
 async def _cut_from_peers(
     cluster: clusters.Cluster, name: str, duration_s: float
 ) -> None:
-    cluster.cut_off.add(name)
+    cluster.partitioned_entries.add(name)
     await trio.sleep(duration_s)
-    cluster.cut_off.discard(name)
+    cluster.partitioned_entries.discard(name)
 
 
 async def _lose_answers(cluster: clusters.Cluster, name: str) -> None:
     """Lose the store's answers to an entry; few calls are made meanwhile."""
-    if name in cluster.store.turned_away:
+    if name in cluster.store.entry_faults:
         return
-    cluster.store.turned_away[name] = stores.StoreFault.SILENT
+    cluster.store.entry_faults[name] = stores.StoreFault.SILENT
     await trio.sleep(_ANSWER_LOSS_S)
-    cluster.store.turned_away.pop(name, None)
+    cluster.store.entry_faults.pop(name, None)
 
 
 async def _stop_entry(cluster: clusters.Cluster, name: str) -> None:
@@ -361,7 +361,7 @@
     entry = cluster.entries.get(name)
     if entry is None:
         return
-    cluster.touch.note_impaired(name, trio.current_time())
+    cluster.impairments.note_impaired(name, trio.current_time())
     with trio.move_on_after(_STOP_GRACE_S):
         await entry.release_all()
     if cluster.entries.get(name) is entry:
@@ -375,19 +375,19 @@
     for name in names:
         if name not in cluster.entries:
             cluster.start_entry(name)
-    if set(names) == set(cluster.names):
-        cluster.oracle.back_at = trio.current_time()
+    if set(names) == set(cluster.entry_names):
+        cluster.oracle.entries_back_at = trio.current_time()
 
 
 async def _cut_owner(
     cluster: clusters.Cluster, owner: str, event: FaultEvent
 ) -> None:
-    cluster.store.turned_away[owner] = stores.StoreFault.SILENT
+    cluster.store.entry_faults[owner] = stores.StoreFault.SILENT
     if event.fault is Fault.CUT_OWNER:
-        cluster.cut_off.add(owner)
+        cluster.partitioned_entries.add(owner)
     await trio.sleep(event.duration_s)
-    cluster.store.turned_away.pop(owner, None)
-    cluster.cut_off.discard(owner)
+    cluster.store.entry_faults.pop(owner, None)
+    cluster.partitioned_entries.discard(owner)
 
 
 async def _cancel_many(cluster: clusters.Cluster) -> None:
@@ -411,7 +411,7 @@
     worker = cluster.workers[name]
     match event.fault:
         case Fault.CUT_WORKER:
-            worker.unreachable_from = set(cluster.names)
+            worker.unreachable_from = set(cluster.entry_names)
             await trio.sleep(event.duration_s)
             worker.unreachable_from = set()
         case Fault.LATE_ORDERS:
@@ -463,7 +463,7 @@
     restart_delay_s = cluster.random.uniform(*_RESTART_RANGE_S)
     match event.fault:
         case Fault.RESTART_BEHIND_CUT:
-            worker.unreachable_from = set(cluster.names)
+            worker.unreachable_from = set(cluster.entry_names)
             restart_delay_s = cluster.random.uniform(
                 *_RESTART_RANGE_BEHIND_CUT_S
             )
@@ -472,13 +472,13 @@
             await trio.sleep(event.duration_s)
     if not worker.alive:
         return
-    worker.refuses = not worker.unreachable_from
+    worker.refuses_connections = not worker.unreachable_from
     worker.crash()
     await trio.sleep(restart_delay_s)
     cluster.restart_worker(name)
     await trio.sleep(cluster.random.uniform(0.0, _HEARTBEAT_S))
     if cluster.workers[name].alive:
-        cluster.list_worker(name)
+        cluster.write_worker_entry(name)
 
 
 async def _shrink_worker(
@@ -499,7 +499,7 @@
         heartbeat_delay_s = cluster.random.uniform(0.0, _HEARTBEAT_S)
         await trio.sleep(heartbeat_delay_s)
         if worker.alive:
-            cluster.list_worker(name)
+            cluster.write_worker_entry(name)
         await trio.sleep(wait_s)
 
 
@@ -511,7 +511,7 @@
     cluster.workers[name].crash()
     cluster.start_replacement(name)
     await trio.sleep(_DELISTING_DELAY_S)
-    cluster.store.remove(clusters.WORKERS + name)
+    cluster.store.remove(clusters.WORKERS_PREFIX + name)
 
 
 async def _overwrite_worker_entry(
@@ -522,14 +522,16 @@
     Values that can't be decoded, lack fields or name another pool are written
     under new names as well.
     """
-    key = clusters.WORKERS + name
+    key = clusters.WORKERS_PREFIX + name
     cluster.store.put(key, cluster.random.choice(FOREIGN_VALUES))
     for value in FOREIGN_VALUES:
-        foreign_key = f"{clusters.WORKERS}x{cluster.random.getrandbits(16)}"
+        foreign_key = (
+            f"{clusters.WORKERS_PREFIX}x{cluster.random.getrandbits(16)}"
+        )
         cluster.store.put(foreign_key, value)
     await trio.sleep(duration_s)
     if cluster.workers[name].alive:
-        cluster.list_worker(name)
+        cluster.write_worker_entry(name)
 
 
 async def _replace_worker(
--- a/standins/emulator/touch.py
+++ b/standins/emulator/impairment_log.py
@@ -1,14 +1,14 @@
 """Tells which entries are in touch, as the platform's rules define it."""
 
 # `stable_window_ms` of the users' sites.
-STABLE_S = 3.0
+STABLE_WINDOW_S = 3.0
 
 
-class Touch:
+class ImpairmentLog:
     """Records when entries, workers and the key-value service were impaired.
 
     An entry is in touch if neither it nor the service has been impaired for
-    `STABLE_S`. The state of its peers doesn't matter.
+    `STABLE_WINDOW_S`. The state of its peers doesn't matter.
     """
 
     def __init__(self) -> None:
@@ -23,20 +23,20 @@
         """Record that the key-value service is impaired."""
         self._store_impaired_at = now
 
-    def explain(self, entry: str, at: float) -> str:
+    def explain_impairment(self, entry: str, at: float) -> str:
         """Return why an entry was not in touch at a time; empty if it was.
 
         Args:
             entry: Name of the entry.
             at: The time, in seconds. An impairment counts if its latest record
-                is at most `STABLE_S` older than this time, or newer.
+                is at most `STABLE_WINDOW_S` older than this time, or newer.
         """
-        if self._store_impaired_at >= at - STABLE_S:
+        if self._store_impaired_at >= at - STABLE_WINDOW_S:
             return "store impaired"
         impaired_at = self._impaired_at.get(entry, float("-inf"))
-        return "entry impaired" if impaired_at >= at - STABLE_S else ""
+        return "entry impaired" if impaired_at >= at - STABLE_WINDOW_S else ""
 
-    def is_calm(self, since: float) -> bool:
+    def is_unimpaired_since(self, since: float) -> bool:
         """Tell whether nothing has been impaired since a time."""
         latest = max(self._impaired_at.values(), default=float("-inf"))
         return max(latest, self._store_impaired_at) < since
--- a/standins/emulator/operators.py
+++ b/standins/emulator/operators.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import store as stores
 
 # Routes and keys that are added and removed; no job uses them.
@@ -25,14 +25,14 @@
     """Writes whole configurations, one version after another.
 
     Attributes:
-        changes: The oracle that is told of each confirmed version.
+        config_oracle: The oracle that is told of each confirmed version.
     """
 
     def __init__(
         self,
         store: stores.Store,
         key: str,
-        changes: change_rules.Changes,
+        config_oracle: config_oracles.ConfigOracle,
         base: dict[str, Any],
     ) -> None:
         """Prepare without writing.
@@ -40,11 +40,11 @@
         Args:
             store: The key-value service.
             key: Key of the configuration in the store.
-            changes: The oracle that is told of each confirmed version.
+            config_oracle: The oracle that is told of each confirmed version.
             base: The document without its version. Added routes are copies of
                 its first route, and added keys belong to its first customer.
         """
-        self.changes = changes
+        self.config_oracle = config_oracle
         self._store = store
         self._key = key
         self._base = base
@@ -83,8 +83,8 @@
         prefixes = (route["prefix"] for route in document["routes"])
         customers = document["tenants"]
         keys = (key for row in customers for key in row["api_keys"])
-        self.changes.note_confirmed(
-            change_rules.ConfigVersion(
+        self.config_oracle.note_confirmed(
+            config_oracles.ConfigVersion(
                 self._version, frozenset(prefixes), frozenset(keys)
             ),
             now,
@@ -95,8 +95,8 @@
         self._version += 1
         document = template.replace(b"%d", str(self._version).encode())
         self._store.put(self._key, document)
-        self.changes.note_confirmed(
-            change_rules.ConfigVersion(
+        self.config_oracle.note_confirmed(
+            config_oracles.ConfigVersion(
                 self._version, frozenset(), frozenset(), valid=False
             ),
             now,
--- a/standins/emulator/oracle.py
+++ b/standins/emulator/oracle.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from crocusrouter import work
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import rules
-from standins.emulator import touch as touches
 
 # A start that was on its way when a cancel was confirmed is allowed for this
 # long.
@@ -42,7 +42,7 @@
 )
 
 
-class Oracle:
+class JobOracle:
     """Checks the rules on jobs and collects the broken ones, each as one line.
 
     Attributes:
@@ -51,17 +51,17 @@
         accepted: Ids of jobs whose submission was accepted.
         refused: Ids of jobs of which every submission was refused.
         cancelled: When the cancel of a job was confirmed, by job id.
-        asked_to_cancel: Ids of jobs whose cancel was sent; one without an
+        cancels_sent: Ids of jobs whose cancel was sent; one without an
             answer may be carried out at any later time.
         excused_gangs: How many incomplete gangs were excused by an impairment.
         incomplete_gangs: Runs of gangs that ended because a member was never
-            started, with the times; `judge_alone` checks them.
-        tries: When jobs were submitted, and whether they were accepted.
-        back_at: When all entries were last back after the loss of all.
+            started, with the times; `check_incomplete_gangs` checks them.
+        submissions: When jobs were submitted, and whether they were accepted.
+        entries_back_at: When all entries were last back after the loss of all.
         done: When each finished task was first done.
         first_started_at: When a task of each job was first started.
         failed: How often each task has failed.
-        crashed_at: Crashes caused by tasks, with their times.
+        task_crashes: Crashes caused by tasks, with their times.
         crashes_caused: How many workers each task has crashed.
         crashes_met: How often a worker was crashed by a task while each task
             ran on it, the causing task included.
@@ -73,18 +73,18 @@
         self.accepted: set[str] = set()
         self.refused: set[str] = set()
         self.cancelled: dict[str, float] = {}
-        self.asked_to_cancel: set[str] = set()
+        self.cancels_sent: set[str] = set()
         self.excused_gangs = 0
         self.incomplete_gangs: list[tuple[float, work.TaskKey]] = []
-        self.tries: list[tuple[float, bool]] = []
-        self.back_at: float | None = None
+        self.submissions: list[tuple[float, bool]] = []
+        self.entries_back_at: float | None = None
         self.done: dict[work.TaskKey, float] = {}
         self.first_started_at: dict[str, float] = {}
         self.failed: collections.Counter[work.TaskKey] = collections.Counter()
         self._maybe_uncounted: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
-        self.crashed_at: list[tuple[float, work.TaskKey]] = []
+        self.task_crashes: list[tuple[float, work.TaskKey]] = []
         self.crashes_caused: collections.Counter[work.TaskKey] = (
             collections.Counter()
         )
@@ -187,7 +187,7 @@
             now: Seconds.
         """
         self.crashes_caused[key] += 1
-        self.crashed_at.append((now, key))
+        self.task_crashes.append((now, key))
         for task in tasks:
             self.crashes_met[task] += 1
 
@@ -225,7 +225,7 @@
             for index in indices:
                 self.done.setdefault(key._replace(position=index), now)
 
-    def judge_alone(self, is_calm: Callable[[float], bool]) -> None:
+    def check_incomplete_gangs(self, is_calm: Callable[[float], bool]) -> None:
         """Check the incomplete gangs that have ended since the last call.
 
         An incomplete gang breaks a rule unless its job was cancelled or
@@ -236,9 +236,9 @@
         """
         gangs, self.incomplete_gangs = self.incomplete_gangs, []
         for at, key in gangs:
-            if key.job in self.asked_to_cancel:
+            if key.job in self.cancels_sent:
                 continue
-            if is_calm(at - GANG_WAIT_S - touches.STABLE_S):
+            if is_calm(at - GANG_WAIT_S - impairment_logs.STABLE_WINDOW_S):
                 self.broken.append(
                     f"{at:.3f} gang: {key} waited for missing members"
                 )
@@ -270,7 +270,7 @@
         """
         self._maybe_uncounted[key] += 1
 
-    def check_over(self, states: dict[str, str | None]) -> None:
+    def check_final_states(self, states: dict[str, str | None]) -> None:
         """Check the final states of all jobs, once the faults are over.
 
         Args:
@@ -296,12 +296,16 @@
                 )
 
     def _check_recovery(self) -> None:
-        if self.back_at is None:
+        if self.entries_back_at is None:
             return
-        after = self.back_at + RECOVERY_S
-        outcomes_later = [accepted for at, accepted in self.tries if at > after]
+        after = self.entries_back_at + RECOVERY_S
+        outcomes_later = [
+            accepted for at, accepted in self.submissions if at > after
+        ]
         outcomes_before = [
-            accepted for at, accepted in self.tries if at < self.back_at
+            accepted
+            for at, accepted in self.submissions
+            if at < self.entries_back_at
         ]
         if (
             len(outcomes_later) < _MIN_SUBMISSIONS
@@ -347,7 +351,7 @@
         if job_id in self.cancelled:
             return {"cancelled", "done", "failed"}
         maybe_cancelled = (
-            {"cancelled"} if job_id in self.asked_to_cancel else set()
+            {"cancelled"} if job_id in self.cancels_sent else set()
         )
         if self._is_job_done(job_id):
             return {"done"} | maybe_cancelled
--- a/standins/emulator/store.py
+++ b/standins/emulator/store.py
@@ -42,11 +42,11 @@
     Attributes:
         compacted_revision: Revision up to which the history has been dropped.
         watches_paused_until: Until when watches get no changes.
-        lapses: Whether leases expire while the service is unavailable.
-        turned_away: Faults of calls of single entries, by the entry's name.
-        spares_quiet_watches: Whether a silence loses only the answers that are
+        leases_expire: Whether leases expire while the service is unavailable.
+        entry_faults: Faults of calls of single entries, by the entry's name.
+        spares_idle_watches: Whether a silence loses only the answers that are
             sent during it, so that a watch without changes survives it.
-        refused_watches: Prefixes whose watches are rejected, as calls beyond
+        rejected_prefixes: Prefixes whose watches are rejected, as calls beyond
             the rate limit are.
         calls: How many calls entries have made.
     """
@@ -59,12 +59,12 @@
         self.compacted_revision = 0
         self.watches_paused_until = 0.0
         self.fault = StoreFault.NONE
-        self.lapses = True
+        self.leases_expire = True
         self._last_expiry_at = 0.0
-        self.turned_away: dict[str, StoreFault] = {}
+        self.entry_faults: dict[str, StoreFault] = {}
         self._last_silence_at: dict[str, float] = {}
-        self.spares_quiet_watches = False
-        self.refused_watches: set[str] = set()
+        self.spares_idle_watches = False
+        self.rejected_prefixes: set[str] = set()
         self.calls = 0
         self.random = random.Random(seed)
         self._changed = trio.Event()
@@ -98,7 +98,7 @@
 
     def find_fault(self, entry: str) -> StoreFault:
         """Return the fault that calls of an entry meet now."""
-        return self.turned_away.get(entry, self.fault)
+        return self.entry_faults.get(entry, self.fault)
 
     def is_impaired(self, now: float) -> bool:
         """Tell whether a fault or a compaction affects all entries."""
@@ -118,7 +118,7 @@
 
     def was_silent(self, entry: str, since: float) -> bool:
         """Tell whether answers to an entry have been lost since a time."""
-        if self.spares_quiet_watches:
+        if self.spares_idle_watches:
             return self.find_fault(entry) is StoreFault.SILENT
         return self._last_silence_at.get(entry, -1.0) >= since
 
@@ -126,9 +126,9 @@
         """Send watches no changes for a second, then drop the history."""
         self.watches_paused_until = trio.current_time() + _COMPACTION_PAUSE_S
         await trio.sleep(_COMPACTION_PAUSE_S)
-        self.forget_history()
+        self.compact()
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drop the history of changes, as a compaction does."""
         self.compacted_revision = self.revision
         self.history.clear()
@@ -139,11 +139,11 @@
         """Wait until a key changes or the history is dropped."""
         await self._changed.wait()
 
-    def expire(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Remove the keys of expired leases; called on each clock step."""
         elapsed_s, self._last_expiry_at = now - self._last_expiry_at, now
         is_unavailable = self.fault in (StoreFault.BUSY, StoreFault.SILENT)
-        if is_unavailable and not self.lapses:
+        if is_unavailable and not self.leases_expire:
             # Leases pause: each keeps its remaining time.
             self.leases = {
                 number: (ttl_s, end + elapsed_s)
@@ -277,7 +277,7 @@
         """Wait for changes under a prefix after a revision."""
         started_at = trio.current_time()
         await self._begin_call()
-        if prefix in self._store.refused_watches:
+        if prefix in self._store.rejected_prefixes:
             raise client.StoreUnavailableError("status 429")
         with trio.move_on_after(wait_s):
             while True:
@@ -326,7 +326,7 @@
     async def renew_lease(self, lease: int) -> bool:
         """Renew a lease; return False if it has expired."""
         await self._begin_call()
-        self._store.expire(trio.current_time())
+        self._store.expire_leases(trio.current_time())
         if lease not in self._store.leases:
             return False
         ttl_s, _ = self._store.leases[lease]
--- a/standins/emulator/tests/test_changes.py
+++ b/standins/emulator/tests/test_changes.py
@@ -10,12 +10,12 @@
 
 from standins import emulator
 from standins import fuzzing
-from standins.emulator import changes as change_rules
 from standins.emulator import cluster as clusters
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import faults
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import operators
 from standins.emulator import store as stores
-from standins.emulator import touch as touches
 from standins.emulator.tests import test_histories
 
 _SETTLE_S = 6.35
@@ -37,75 +37,75 @@
 def _check_calls(
     sent_at, handling, *, impaired_at=None, earlier=(), invalid_at=12.0
 ):
-    touch = touches.Touch()
+    impairments = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
-        touch.note_impaired("e0", impaired_at)
-    changes = change_rules.Changes(touch)
+        impairments.note_impaired("e0", impaired_at)
+    oracle = config_oracles.ConfigOracle(impairments)
     for at, version, routes, keys, valid in (
         (0.0, 2, {_ROUTE}, set(), True),
         (10.0, 3, {_ROUTE}, {_KEY}, True),
         (invalid_at, 4, set(), set(), False),
     ):
-        changes.note_confirmed(
-            change_rules.ConfigVersion(
+        oracle.note_confirmed(
+            config_oracles.ConfigVersion(
                 version, frozenset(routes), frozenset(keys), valid=valid
             ),
             at,
         )
     for at, call_handling in (*earlier, (sent_at, handling)):
-        changes.note_call(
-            change_rules.Call(
+        oracle.check_call(
+            config_oracles.AnsweredCall(
                 "e0", 1, _ROUTE, _KEY, at, at + 0.01, call_handling
             )
         )
-    return changes
+    return oracle
 
 
 @pytest.mark.parametrize(
     ("sent_at", "handling", "impaired_at", "earlier", "broken"),
     [
-        (11.9, change_rules.Handling.NO_KEY, None, (), False),
-        (12.1, change_rules.Handling.NO_KEY, None, (), True),
-        (12.1, change_rules.Handling.NO_KEY, 9.0, (), True),
-        (12.1, change_rules.Handling.NO_KEY, 9.2, (), False),
-        (12.1, change_rules.Handling.SERVED, None, (), False),
-        (10.2, change_rules.Handling.NO_KEY, None, [(10.1, "served")], False),
-        (10.5, change_rules.Handling.NO_KEY, None, [(10.1, "served")], True),
-        (11.5, change_rules.Handling.NO_KEY, 9.2, [(10.1, "served")], False),
-        (12.5, change_rules.Handling.NO_KEY, 9.6, [(10.1, "served")], True),
-        (9.0, change_rules.Handling.SERVED, None, (), True),
-        (10.5, change_rules.Handling.NO_ROUTE, None, (), True),
-        (12.1, change_rules.Handling.NOT_DECIDED, None, (), False),
+        (11.9, config_oracles.Handling.NO_KEY, None, (), False),
+        (12.1, config_oracles.Handling.NO_KEY, None, (), True),
+        (12.1, config_oracles.Handling.NO_KEY, 9.0, (), True),
+        (12.1, config_oracles.Handling.NO_KEY, 9.2, (), False),
+        (12.1, config_oracles.Handling.SERVED, None, (), False),
+        (10.2, config_oracles.Handling.NO_KEY, None, [(10.1, "served")], False),
+        (10.5, config_oracles.Handling.NO_KEY, None, [(10.1, "served")], True),
+        (11.5, config_oracles.Handling.NO_KEY, 9.2, [(10.1, "served")], False),
+        (12.5, config_oracles.Handling.NO_KEY, 9.6, [(10.1, "served")], True),
+        (9.0, config_oracles.Handling.SERVED, None, (), True),
+        (10.5, config_oracles.Handling.NO_ROUTE, None, (), True),
+        (12.1, config_oracles.Handling.NOT_DECIDED, None, (), False),
     ],
 )
 def test_oracle_checks_calls(sent_at, handling, impaired_at, earlier, broken):
     earlier_calls = [
-        (at, change_rules.Handling(call_handling))
+        (at, config_oracles.Handling(call_handling))
         for at, call_handling in earlier
     ]
-    changes = _check_calls(
+    oracle = _check_calls(
         sent_at, handling, impaired_at=impaired_at, earlier=earlier_calls
     )
-    assert bool(changes.broken) is broken
+    assert bool(oracle.broken) is broken
 
 
 @pytest.mark.parametrize(
     ("invalid_at", "broken"), [(11.9, False), (12.0, True), (13.0, True)]
 )
 def test_oracle_ignores_versions_that_are_replaced_at_once(invalid_at, broken):
-    changes = _check_calls(
-        12.5, change_rules.Handling.NO_KEY, invalid_at=invalid_at
+    oracle = _check_calls(
+        12.5, config_oracles.Handling.NO_KEY, invalid_at=invalid_at
     )
-    assert bool(changes.broken) is broken
+    assert bool(oracle.broken) is broken
 
 
 async def _lose_store_answers(cluster, names, duration_s):
     """Lose the store's answers to some entries for some seconds."""
     for name in names:
-        cluster.store.turned_away[name] = stores.StoreFault.SILENT
+        cluster.store.entry_faults[name] = stores.StoreFault.SILENT
     await trio.sleep(duration_s)
     for name in names:
-        del cluster.store.turned_away[name]
+        del cluster.store.entry_faults[name]
 
 
 async def _play(disturb, delay_s):
@@ -118,30 +118,32 @@
         cluster.operators.toggle(_ROUTE, _KEY, trio.current_time())
         with trio.move_on_after(6.0):
             while True:
-                for name in cluster.names:
+                for name in cluster.entry_names:
                     nursery.start_soon(cluster.call_route, name, _ROUTE, _KEY)
                 await trio.sleep(_CALL_INTERVAL_S)
         nursery.cancel_scope.cancel()
-    assert cluster.changes.judged > 50
+    assert cluster.config_oracle.judged > 50
     return cluster
 
 
 def _find_non_owner(cluster):
-    return next(name for name in cluster.names if name != cluster.find_owner())
+    return next(
+        name for name in cluster.entry_names if name != cluster.find_owner()
+    )
 
 
 async def _lose_answers_then_cut_non_owner(cluster, nursery, delay_s):
     name = _find_non_owner(cluster)
     await _lose_store_answers(cluster, [name], 0.1)
     await trio.sleep(delay_s)
-    cluster.cut_off.add(name)
+    cluster.partitioned_entries.add(name)
 
 
 async def _lose_answers_then_cut_owner(cluster, nursery, delay_s):
     name = cluster.find_owner()
     await _lose_store_answers(cluster, [name], 0.1)
     await trio.sleep(delay_s)
-    cluster.cut_off.add(name)
+    cluster.partitioned_entries.add(name)
 
 
 async def _lose_answers_then_suspend_peers(
@@ -150,7 +152,7 @@
     name = _find_non_owner(cluster)
     await _lose_store_answers(cluster, [name], 0.1)
     await trio.sleep(delay_s)
-    for other in cluster.names:
+    for other in cluster.entry_names:
         if other != name:
             nursery.start_soon(cluster.suspensions.suspend, other, duration_s)
     await trio.sleep(_CALL_INTERVAL_S)
@@ -162,17 +164,17 @@
 
 
 async def _reject_watches(cluster, nursery, delay_s):
-    cluster.store.refused_watches.add(clusters.OPERATORS_PREFIX)
+    cluster.store.rejected_prefixes.add(clusters.OPERATORS_PREFIX)
     await trio.sleep(delay_s)
 
 
 async def _reject_watches_then_cut_non_owner(cluster, nursery, delay_s):
     await _reject_watches(cluster, nursery, delay_s)
-    cluster.cut_off.add(_find_non_owner(cluster))
+    cluster.partitioned_entries.add(_find_non_owner(cluster))
 
 
 async def _lose_answers_to_all(cluster, nursery, delay_s):
-    await _lose_store_answers(cluster, cluster.names, 0.1)
+    await _lose_store_answers(cluster, cluster.entry_names, 0.1)
     await trio.sleep(delay_s)
 
 
@@ -196,8 +198,8 @@
     disturb, delay_s, autojump_clock
 ):
     cluster = await _play(disturb, delay_s)
-    assert cluster.changes.broken == []
-    assert cluster.changes.unready == 0
+    assert cluster.config_oracle.broken == []
+    assert cluster.config_oracle.unready == 0
 
 
 # Every entry answers 503 from then on, because operators have written an
@@ -217,8 +219,8 @@
         cluster.operators.toggle(_ROUTE, _KEY, trio.current_time())
         await _call_entries_for(cluster, 4.0)
         nursery.cancel_scope.cancel()
-    assert cluster.changes.broken == []
-    assert cluster.changes.unready == 0
+    assert cluster.config_oracle.broken == []
+    assert cluster.config_oracle.unready == 0
 
 
 # Any history of changes and faults, checked by the answers to callers.
@@ -239,7 +241,7 @@
         clock=trio.testing.MockClock(autojump_threshold=0),
     )
     assert cluster.oracle.broken == []
-    assert cluster.changes.judged > 50
+    assert cluster.config_oracle.judged > 50
 
 
 @pytest.mark.parametrize("seed", range(_SEED_COUNT))
@@ -250,4 +252,4 @@
     )
     cluster = await emulator.play(seed, load, events, changes_per_s=1.0)
     assert cluster.oracle.broken == []
-    assert cluster.changes.judged > 50
+    assert cluster.config_oracle.judged > 50
--- a/standins/emulator/tests/test_crashes.py
+++ b/standins/emulator/tests/test_crashes.py
@@ -47,7 +47,7 @@
         for at, job in jobs:
             nursery.start_soon(_submit, cluster, at, job)
         await trio.sleep(length_s)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         cluster.oracle.broken += cluster.list_owner_failures()
         nursery.cancel_scope.cancel()
     return cluster
@@ -103,7 +103,7 @@
     ]
     cluster = await _play([*sound_jobs, (3.0, job)], events, seed)
     assert cluster.oracle.broken == []
-    crashes = [key for _, key in cluster.oracle.crashed_at]
+    crashes = [key for _, key in cluster.oracle.task_crashes]
     step = job.steps[0]
     max_crashes = (
         _CRASHES_TO_GIVE_UP * step.count
@@ -120,6 +120,6 @@
     """
     load = emulator.Load(crashing=0.2)
     events = emulator.choose_faults(seed, 5, load.length_s)
-    cluster = await emulator.play(seed, load, events, hosts=12)
-    assert cluster.oracle.crashed_at
+    cluster = await emulator.play(seed, load, events, worker_count=12)
+    assert cluster.oracle.task_crashes
     assert cluster.oracle.broken == []
--- a/standins/emulator/tests/test_oracle.py
+++ b/standins/emulator/tests/test_oracle.py
@@ -6,15 +6,15 @@
 
 from crocusrouter import work
 from standins import emulator
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import oracle as oracles
-from standins.emulator import touch as touches
 
 _FIRST_TASK = work.TaskKey("j", 0, 0, 0)
 _SECOND_TASK = work.TaskKey("j", 0, 1, 0)
 
 
 def _make_oracle():
-    oracle = oracles.Oracle()
+    oracle = oracles.JobOracle()
     steps = (work.Step(1, work.Room()), work.Step(1, work.Room(), after=(0,)))
     oracle.jobs["j"] = work.Job(
         "j", "q", "p", "a", 1, 2, 1.0, 1.0, "", steps, 0.0
@@ -126,7 +126,7 @@
     oracle.note_start("w0", _FIRST_TASK, 1, 0.0)
     for key in (_FIRST_TASK, _SECOND_TASK)[:done]:
         oracle.note_end("w0", key, 1, "done", 1.0)
-    oracle.check_over({"j": state})
+    oracle.check_final_states({"j": state})
     found = [line.partition(":")[0] for line in oracle.broken]
     assert found == broken
 
@@ -143,7 +143,7 @@
     oracle.allow_uncounted_failure(_FIRST_TASK)
     for key in (_FIRST_TASK, _SECOND_TASK) if state == "done" else ():
         oracle.note_end("w1", key, 3, "done", 2.0)
-    oracle.check_over({"j": state})
+    oracle.check_final_states({"j": state})
     assert bool(oracle.broken) is (state == "running")
 
 
@@ -172,7 +172,7 @@
     oracle.accepted.add("j")
     for run in range(1, crashes + 1):
         _apply_events(oracle, _crash(run))
-    oracle.check_over({"j": "failed"})
+    oracle.check_final_states({"j": "failed"})
     assert bool(oracle.broken) is lost
 
 
@@ -206,11 +206,11 @@
     oracle = _make_oracle()
     oracle.accepted.add("j")
     if cancel_sent:
-        oracle.asked_to_cancel.add("j")
+        oracle.cancels_sent.add("j")
     for number, key in enumerate((_FIRST_TASK, _SECOND_TASK)):
         oracle.note_start("w0", key, number + 1, 0.0)
         oracle.note_end("w0", key, number + 1, "done", 1.0)
-    oracle.check_over({"j": "cancelled"})
+    oracle.check_final_states({"j": "cancelled"})
     assert bool(oracle.broken) is broken
 
 
@@ -229,12 +229,12 @@
     accepted_before, outcomes_later, broken
 ):
     oracle = _make_oracle()
-    oracle.tries = [(float(at), at < accepted_before) for at in range(4)]
-    oracle.back_at = 10.0
-    oracle.tries += [
+    oracle.submissions = [(float(at), at < accepted_before) for at in range(4)]
+    oracle.entries_back_at = 10.0
+    oracle.submissions += [
         (23.0 + at, served) for at, served in enumerate(outcomes_later)
     ]
-    oracle.check_over({})
+    oracle.check_final_states({})
     assert bool(oracle.broken) is broken
 
 
@@ -266,14 +266,14 @@
 )
 def test_gang_that_stays_incomplete(impaired_at, cancel_sent, broken):
     oracle = _make_oracle()
-    touch = touches.Touch()
+    impairments = impairment_logs.ImpairmentLog()
     if impaired_at is not None:
-        touch.note_impaired("w0", impaired_at)
+        impairments.note_impaired("w0", impaired_at)
     if cancel_sent:
-        oracle.asked_to_cancel.add("j")
+        oracle.cancels_sent.add("j")
     oracle.note_start("w0", _FIRST_TASK, 1, 7.0)
     oracle.note_end("w0", _FIRST_TASK, 1, "alone", 10.0)
-    oracle.judge_alone(touch.is_calm)
+    oracle.check_incomplete_gangs(impairments.is_unimpaired_since)
     assert bool(oracle.broken) is broken
     assert oracle.excused_gangs == (impaired_at == 8.0)
 
--- a/standins/emulator/tests/test_takeover.py
+++ b/standins/emulator/tests/test_takeover.py
@@ -35,7 +35,7 @@
     for name in list(cluster.entries):
         cluster.kill_entry(name)
     await trio.sleep(outage_s)
-    for name in cluster.names:
+    for name in cluster.entry_names:
         cluster.start_entry(name)
 
 
@@ -54,7 +54,7 @@
     No entry could ask that worker for its runs, so any older job might have run
     there: all waiting jobs waited 8 s for its lease to end while workers idled.
     """
-    cluster = emulator.Cluster(3, entries=entries, hosts=workers)
+    cluster = emulator.Cluster(3, entries=entries, worker_count=workers)
     waiting_jobs = [_make_job(1000 + n) for n in range(workers // 2)]
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
@@ -67,7 +67,7 @@
         assert not any(
             job.id in cluster.oracle.first_started_at for job in waiting_jobs
         )
-        cluster.workers["w0"].unreachable_from = set(cluster.names)
+        cluster.workers["w0"].unreachable_from = set(cluster.entry_names)
         await _lose_all_entries(cluster)
         await _wait_for_owner(cluster)
         await trio.sleep(_START_LIMIT_S)
@@ -79,7 +79,7 @@
         assert len(started) >= len(waiting_jobs) - 1
         cluster.workers["w0"].unreachable_from = set()
         await trio.sleep(15.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
     assert cluster.list_owner_failures() == []
@@ -95,7 +95,7 @@
     A successor that still found the job in the record would start it on another
     worker, while the first run goes on unseen.
     """
-    cluster = emulator.Cluster(3, hosts=2)
+    cluster = emulator.Cluster(3, worker_count=2)
     running_job = _make_job(1, 2, expected_s=3.5)
     waiting_job = _make_job(2, expected_s=6.0)
     async with trio.open_nursery() as nursery:
@@ -112,13 +112,13 @@
         await trio.sleep(run_s)
         for worker in cluster.workers.values():
             if worker.tasks:
-                worker.unreachable_from = set(cluster.names)
+                worker.unreachable_from = set(cluster.entry_names)
         await _lose_all_entries(cluster)
         await trio.sleep(12.0)
         for worker in cluster.workers.values():
             worker.unreachable_from = set()
         await trio.sleep(15.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
 
@@ -129,7 +129,7 @@
     Its start was never sent, so its room must not stay reserved, and it must
     run once the store answers again.
     """
-    cluster = emulator.Cluster(3, hosts=1)
+    cluster = emulator.Cluster(3, worker_count=1)
     running_job, waiting_job = _make_job(1, expected_s=3.5), _make_job(2)
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
@@ -139,11 +139,11 @@
         await cluster.submit(waiting_job)
         await trio.sleep(2.5)
         owner = cluster.find_owner()
-        cluster.store.turned_away[owner] = stores.StoreFault.SILENT
+        cluster.store.entry_faults[owner] = stores.StoreFault.SILENT
         await trio.sleep(1.5)
-        cluster.store.turned_away.clear()
+        cluster.store.entry_faults.clear()
         await trio.sleep(10.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
     assert cluster.oracle.done.keys() >= {work.TaskKey(waiting_job.id, 0, 0, 0)}
@@ -197,7 +197,7 @@
     to live. Jobs accepted in that time had to wait until it expired.
     """
     cluster = emulator.Cluster(3)
-    cluster.store.lapses = False
+    cluster.store.leases_expire = False
     async with trio.open_nursery() as nursery:
         await nursery.start(cluster.run)
         await trio.sleep(3.0)
@@ -213,6 +213,6 @@
         assert cluster.find_owner() == owner_before
         assert await cluster.submit(_make_job(1)) == "accepted"
         await trio.sleep(15.0)
-        cluster.oracle.check_over(await cluster.read_states())
+        cluster.oracle.check_final_states(await cluster.read_states())
         nursery.cancel_scope.cancel()
     assert cluster.oracle.broken == []
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -91,7 +91,7 @@
     def __init__(
         self,
         entry: worker_port.WorkerEntry,
-        oracle: oracles.Oracle,
+        oracle: oracles.JobOracle,
         gangs: Gangs,
         policy: policies.Policy,
         seed: int,
@@ -102,17 +102,17 @@
         self.oracle = oracle
         self.gangs = gangs
         self.random = random.Random(seed)
-        self.guards = True
+        self.checks_room = True
         self._past_rooms: list[tuple[float, work.Room]] = []
         self.alive = True
         self._crashed_at = 0.0
         self.superseded = False
-        self.refuses = False
+        self.refuses_connections = False
         self.crashed_by_task = False
         self.misdirected_starts = 0
         self.started_runs = 0
-        self.drains_since: float | None = None
-        self.started_draining: list[tuple[work.TaskKey, float]] = []
+        self.draining_since: float | None = None
+        self.starts_while_draining: list[tuple[work.TaskKey, float]] = []
         self.fails_all = False
         # Speed of all tasks here, as a share of the usual speed.
         self.speed = 1.0
@@ -122,7 +122,7 @@
         self.highest_epoch = 0
         self.lease_end_ms = 0.0
         self.tasks: dict[work.TaskKey, TaskRun] = {}
-        self.ended: list[worker_port.RunEnd] = []
+        self.unconfirmed_ends: list[worker_port.RunEnd] = []
         self.highest_runs: dict[work.TaskKey, int] = {}
         self.last_end_number = 0
         self.confirmed_number = 0
@@ -138,7 +138,7 @@
             self.clock_offset_ms + trio.current_time() * 1000 * self.clock_rate
         )
 
-    def start_anew(self, now: float) -> None:
+    def become_new_process(self, now: float) -> None:
         """Reset the birth time and the clock to those of a new process."""
         self.born_ms = _UNIX_START_MS + int(now * 1000)
         self.clock_offset_ms = _NEW_CLOCK_MS - now * 1000 * self.clock_rate
@@ -188,7 +188,7 @@
         del self.tasks[task_run.key]
         self.last_end_number += 1
         self.highest_runs[task_run.key] = task_run.run
-        self.ended.append(
+        self.unconfirmed_ends.append(
             worker_port.RunEnd(
                 self.last_end_number, task_run.key, task_run.run, how, ""
             )
@@ -231,7 +231,7 @@
     def _crash_because_of(self, task_run: TaskRun, now: float) -> None:
         """Crash because of a task; the VM stays up and refuses connections."""
         self.oracle.note_crash(task_run.key, list(self.tasks), now)
-        self.refuses = True
+        self.refuses_connections = True
         self.crashed_by_task = True
         self.crash()
         self._end_listed.set()
@@ -248,16 +248,16 @@
             if step.gang:
                 self._break_gang(task_run, now)
         self._allow_reruns()
-        for ended in self.ended:
+        for ended in self.unconfirmed_ends:
             if (
                 ended.number > self.confirmed_number
                 and ended.outcome is worker_port.RunOutcome.FAILED
             ):
                 self.oracle.allow_uncounted_failure(ended.key)
-        self.ended.clear()
+        self.unconfirmed_ends.clear()
 
     def _allow_reruns(self) -> None:
-        for ended in self.ended:
+        for ended in self.unconfirmed_ends:
             if (
                 ended.number > self.confirmed_number
                 and ended.outcome is worker_port.RunOutcome.DONE
@@ -311,7 +311,9 @@
             )
         job = self.oracle.jobs[order.key.job]
         step = job.steps[order.key.step]
-        if self.guards and not self._compute_free_room().holds(step.charge):
+        if self.checks_room and not self._compute_free_room().holds(
+            step.charge
+        ):
             return worker_port.Rejected(
                 worker_port.RejectionReason.NO_ROOM, int(clock)
             )
@@ -323,11 +325,11 @@
             return worker_port.Rejected(
                 worker_port.RejectionReason.NO_TICKET, int(clock)
             )
-        if not self.guards and not late:
+        if not self.checks_room and not late:
             self._check_room(order.key, step.charge)
         self._add_run(order, job, step)
-        if self.drains_since is not None and not late:
-            self.started_draining.append((order.key, trio.current_time()))
+        if self.draining_since is not None and not late:
+            self.starts_while_draining.append((order.key, trio.current_time()))
         return worker_port.Accepted(int(clock))
 
     def is_impaired(self, now: float) -> bool:
@@ -344,7 +346,7 @@
     def drain(self, now: float) -> None:
         """Mark this worker as draining."""
         self.entry = dataclasses.replace(self.entry, draining=True)
-        self.drains_since = now
+        self.draining_since = now
 
     def set_room(self, room: work.Room, now: float) -> None:
         """Change the room of this worker; running tasks go on."""
@@ -453,7 +455,9 @@
                 self.lease_end_ms, min(until_ms, clock + _MAX_LEASE_MS)
             )
         self.confirmed_number = max(self.confirmed_number, confirmed)
-        self.ended = [e for e in self.ended if e.number > self.confirmed_number]
+        self.unconfirmed_ends = [
+            e for e in self.unconfirmed_ends if e.number > self.confirmed_number
+        ]
         running = tuple(
             worker_port.ReportedRun(
                 task_run.key,
@@ -465,7 +469,7 @@
             for task_run in self.tasks.values()
         )
         return worker_port.Report(
-            int(clock), running, tuple(self.ended), self.born_ms
+            int(clock), running, tuple(self.unconfirmed_ends), self.born_ms
         )
 
     def measure_tail(self, task_run: TaskRun) -> float:
@@ -563,7 +567,7 @@
         """
         self.is_open = False
         if (
-            self._worker.refuses
+            self._worker.refuses_connections
             and self._entry not in self._worker.unreachable_from
         ):
             await trio.sleep(_ORDER_DELAY_S)
--- a/standins/soak/cuts.py
+++ b/standins/soak/cuts.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import rules
-from standins.emulator import touch as touches
 
 RULES = frozenset({rules.Rule.LOST_REQUESTS})
 
@@ -37,7 +37,7 @@
         excused: How many of these had something unplanned beside them.
     """
 
-    def __init__(self, unplanned: touches.Touch) -> None:
+    def __init__(self, unplanned: impairment_logs.ImpairmentLog) -> None:
         """Begin with none.
 
         Args:
@@ -64,7 +64,7 @@
         ):
             return
         self.judged += 1
-        if self._unplanned.explain(cut.entry, cut.sent_at):
+        if self._unplanned.explain_impairment(cut.entry, cut.sent_at):
             self.excused += 1
             return
         self.broken.append(
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -13,7 +13,7 @@
 
 from crocusrouter import platform
 from crocusrouter import queues
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as config_oracles
 from standins.emulator import oracle as oracles
 from standins.emulator import rules
 from standins.emulator import store as stores
@@ -24,7 +24,7 @@
 from standins.soak import world as worlds
 
 # The rules that soaks are judged by.
-CHECKED = oracles.RULES | change_rules.RULES | cuts.RULES | {rules.Rule.DRAIN}
+CHECKED = oracles.RULES | config_oracles.RULES | cuts.RULES | {rules.Rule.DRAIN}
 
 _TRIES = 6
 _TIMEOUT_S = 3.0
@@ -110,7 +110,7 @@
     accepted: int
     crashes: int
     faults: list[str]
-    changes: change_rules.Changes
+    changes: config_oracles.ConfigOracle
     cuts: cuts.Cuts
 
     @property
@@ -151,7 +151,7 @@
     return Result(
         world.oracle.broken + world.changes.broken + world.cuts.broken,
         len(world.oracle.accepted),
-        len(world.oracle.crashed_at),
+        len(world.oracle.task_crashes),
         played.faults,
         world.changes,
         world.cuts,
@@ -181,7 +181,7 @@
         # Entries that lost all power beside an unreadable document have none.
         self.world.operators.write(trio.current_time())
         states = await self._wait_for_ends()
-        self.world.oracle.check_over(states)
+        self.world.oracle.check_final_states(states)
         await self._changing.aclose()
         await self._pool.aclose()
 
@@ -225,14 +225,14 @@
                 break
             only_refused &= status in (429, 503)
             await trio.sleep(0.5)
-        oracle.tries.append((sent_at, job_id in oracle.accepted))
+        oracle.submissions.append((sent_at, job_id in oracle.accepted))
         if job_id not in oracle.accepted:
             if only_refused:
                 oracle.refused.add(job_id)
             return
         if cancels:
             await trio.sleep(self.rng.uniform(0.1, 2.0))
-            oracle.asked_to_cancel.add(job_id)
+            oracle.cancels_sent.add(job_id)
             if await self._ask("DELETE", job_id, None) == 200:
                 oracle.cancelled[job_id] = trio.current_time()
 
@@ -359,13 +359,13 @@
             case Fault.STORE_LOSES:
                 await self._harm_store(stores.StoreFault.LOST, for_s)
             case Fault.COMPACT:
-                self.world.store.forget_history()
+                self.world.store.compact()
             case Fault.LOSE_ANSWERS:
                 await self._lose_answers(name)
             case Fault.REFUSE_WATCHES:
-                self.world.store.refused_watches.add("op/")
+                self.world.store.rejected_prefixes.add("op/")
                 await trio.sleep(for_s)
-                self.world.store.refused_watches.clear()
+                self.world.store.rejected_prefixes.clear()
             case Fault.PAUSE_OTHERS:
                 await self._pause_others(name, for_s)
             case Fault.LOSE_PEERS:
@@ -384,9 +384,9 @@
         worker.speed = 1.0
 
     async def _lose_answers(self, name: str) -> None:
-        self.world.store.turned_away[name] = stores.StoreFault.SILENT
+        self.world.store.entry_faults[name] = stores.StoreFault.SILENT
         await trio.sleep(_LOST_S)
-        self.world.store.turned_away.pop(name, None)
+        self.world.store.entry_faults.pop(name, None)
 
     async def _pause_others(self, name: str, for_s: float) -> None:
         others = [other for other in self.world.entries if other != name]
@@ -402,7 +402,7 @@
         await trio.sleep(_RESTART_S)
         await self._restart(names)
         if len(names) == len(self.world.entries):
-            self.world.oracle.back_at = trio.current_time()
+            self.world.oracle.entries_back_at = trio.current_time()
 
     async def _stop(self, name: str) -> None:
         self.world.signal(name, signal.SIGTERM)
--- a/standins/soak/tests/test_soak.py
+++ b/standins/soak/tests/test_soak.py
@@ -6,8 +6,8 @@
 import typer.testing
 
 from standins import soak
-from standins.emulator import changes
-from standins.emulator import touch
+from standins.emulator import config_oracle
+from standins.emulator import impairment_log
 from standins.soak import __main__ as commands
 from standins.soak import cuts
 
@@ -76,9 +76,14 @@
 )
 def test_soak_without_a_case_is_not_kept(broken, accepted, verdict):
     """Entries that never served anybody passed for ones that kept all."""
-    seen = touch.Touch()
+    seen = impairment_log.ImpairmentLog()
     result = soak.Result(
-        broken, accepted, 0, [], changes.Changes(seen), cuts.Cuts(seen)
+        broken,
+        accepted,
+        0,
+        [],
+        config_oracle.ConfigOracle(seen),
+        cuts.Cuts(seen),
     )
     assert result.verdict == verdict
     assert ("jobs" in result.list_idle_checks()) is (accepted == 0)
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -14,12 +14,12 @@
 from crocusrouter.work import worker_port
 from demo import processes
 from standins import ports
-from standins.emulator import changes as change_rules
+from standins.emulator import config_oracle as config_oracles
+from standins.emulator import impairment_log as impairment_logs
 from standins.emulator import operators
 from standins.emulator import oracle as oracles
 from standins.emulator import policy as policies
 from standins.emulator import store as stores
-from standins.emulator import touch as touches
 from standins.emulator import worker as workers
 from standins.soak import cuts
 from standins.soak import proxy as proxies
@@ -54,11 +54,11 @@
             hosts: How many workers.
             folder: Where the processes' logs go.
         """
-        self.oracle = oracles.Oracle()
-        self.touch = touches.Touch()
-        self.changes = change_rules.Changes(self.touch)
+        self.oracle = oracles.JobOracle()
+        self.touch = impairment_logs.ImpairmentLog()
+        self.changes = config_oracles.ConfigOracle(self.touch)
         # The same without planned stops.
-        self.unplanned = touches.Touch()
+        self.unplanned = impairment_logs.ImpairmentLog()
         self.cuts = cuts.Cuts(self.unplanned)
         self.store = stores.Store(seed)
         self.operators = operators.Operators(
@@ -98,7 +98,7 @@
         held = workers.Worker(
             entry, self.oracle, self._gangs, self._policy, self._seed
         )
-        held.guards = self._guards
+        held.checks_room = self._guards
         self.workers[name] = held
 
     async def run(
@@ -193,9 +193,9 @@
                     nursery.start_soon(self._return_crashed, name, worker)
             self._note_impairments(now)
             self._check_drains()
-            self.oracle.judge_alone(self.touch.is_calm)
+            self.oracle.check_incomplete_gangs(self.touch.is_unimpaired_since)
             self.store.note_silences(self.entries, now)
-            self.store.expire(now)
+            self.store.expire_leases(now)
             await trio.sleep(_STEP_S)
 
     def _note_impairments(self, now: float) -> None:
@@ -208,7 +208,7 @@
             if worker.is_impaired(now) or harm is not proxies.Harm.NONE:
                 self.touch.note_impaired(name, now)
         for name in self.entries:
-            impaired = name in self.store.turned_away
+            impaired = name in self.store.entry_faults
             impaired |= name in self._paused
             impaired |= self.store_proxies[name].harm is not proxies.Harm.NONE
             ended = not self.processes.is_running(name)
@@ -223,12 +223,17 @@
         Orders don't tell their sender, so nobody may have been impaired.
         """
         for name, worker in self.workers.items():
-            starts, worker.started_draining = worker.started_draining, []
-            since = worker.drains_since
+            starts, worker.starts_while_draining = (
+                worker.starts_while_draining,
+                [],
+            )
+            since = worker.draining_since
             if since is None:
                 continue
             for key, at in starts:
-                calm = self.touch.is_calm(at - touches.STABLE_S)
+                calm = self.touch.is_unimpaired_since(
+                    at - impairment_logs.STABLE_WINDOW_S
+                )
                 if at > since + _DRAIN_S and calm:
                     self.oracle.broken.append(
                         f"{at:.3f} drain: {key} on {name}, which drains since "
@@ -274,7 +279,7 @@
             return
         self._add_worker(name, worker.entry.labels)
         again = self.workers[name]
-        again.start_anew(trio.current_time())
+        again.become_new_process(trio.current_time())
         self._platform.workers[self._numbers[name]] = _open_view(again)
 
     async def _return_crashed(self, name: str, worker: workers.Worker) -> None:
