--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -135,7 +135,8 @@
         for vm in worker_vms:
             is_live = vm.state is fleet.VmState.LIVE
             self.scheduler_state.set_worker(
-                vm.name, vm.rack, vm.accelerators, is_live)
+                vm.name, vm.rack, vm.accelerators, is_live
+            )
             if vm.name not in self._worker_links:
                 self._open_link(vm)
         for name in self._worker_links.keys() - {vm.name for vm in worker_vms}:
@@ -320,7 +321,9 @@
             await trio.sleep(_CHECK_INTERVAL_S)
             now = trio.current_time()
             wall_now = self._read_wall_clock()
-            self._apply_effects(self.scheduler_state.stop_overdue_checkpoints(wall_now))
+            self._apply_effects(
+                self.scheduler_state.stop_overdue_checkpoints(wall_now)
+            )
             if lease.has_lapsed(takeover_lease, now):
                 for worker in self.scheduler_state.find_unlisted_workers():
                     self._apply_effects(
@@ -388,7 +391,9 @@
         job for job in owner.scheduler_state.jobs.values() if not job.is_final
     ]
     known_workers = [
-        worker for worker in owner.scheduler_state.workers.values() if worker.inventory_known
+        worker
+        for worker in owner.scheduler_state.workers.values()
+        if worker.inventory_known
     ]
     return OwnerStatus(
         owner.data_centre, owner.epoch, len(unfinished_jobs), len(known_workers)
--- a/crocusrouter/http/operator_endpoints.py
+++ b/crocusrouter/http/operator_endpoints.py
@@ -132,7 +132,9 @@
             if peer.heartbeat is not None
         }
         revisions = {entry.settings.name: entry.configuration.catalog.revision}
-        suspected = sorted(entry.peer_controller.peers.keys() - live_revisions.keys())
+        suspected = sorted(
+            entry.peer_controller.peers.keys() - live_revisions.keys()
+        )
         owners = {
             name: {
                 "owner": observed.owner_record.owner,
--- a/crocusrouter/http/queue_endpoints.py
+++ b/crocusrouter/http/queue_endpoints.py
@@ -128,7 +128,9 @@
         _check_job_id(call)
         config = self._entry.configuration.current
         assert config is not None
-        body = await request_parsing.read_body(request, config.limits.max_body_bytes)
+        body = await request_parsing.read_body(
+            request, config.limits.max_body_bytes
+        )
         job = platform.parse_submission(
             body,
             call.job_id,
--- a/crocusrouter/platform/tests/test_decoding.py
+++ b/crocusrouter/platform/tests/test_decoding.py
@@ -152,7 +152,11 @@
             worker_port.ReportedRun(_TASK_KEY, 2, "cp", 41.0),
             worker_port.ReportedRun(_TASK_KEY, 3, "", 5.0, 12.0),
         ),
-        (worker_port.RunEnd(58, _TASK_KEY, 1, worker_port.RunOutcome.DONE, ""),),
+        (
+            worker_port.RunEnd(
+                58, _TASK_KEY, 1, worker_port.RunOutcome.DONE, ""
+            ),
+        ),
     )
     assert transport.requests[0][2] == {
         "fencing_token": 7,
--- a/crocusrouter/platform/workers.py
+++ b/crocusrouter/platform/workers.py
@@ -241,7 +241,9 @@
     born: Annotated[int, pydantic.Field(gt=0)] | None = None
 
 
-def parse_worker_entry(key: str, value: bytes) -> worker_port.WorkerEntry | None:
+def parse_worker_entry(
+    key: str, value: bytes
+) -> worker_port.WorkerEntry | None:
     """Decode an entry of the worker list, or return None if it is no worker."""
     try:
         entry = _Listed.model_validate(orjson.loads(value))
--- a/crocusrouter/pools/connections.py
+++ b/crocusrouter/pools/connections.py
@@ -161,7 +161,9 @@
             await connection.aclose()
         return None
 
-    async def _release_connection(self, connection: worker_port.Connection) -> None:
+    async def _release_connection(
+        self, connection: worker_port.Connection
+    ) -> None:
         if self._is_closed:
             await connection.aclose()
         else:
@@ -191,7 +193,9 @@
                 "the worker does not report when its process started"
             )
         return worker_port.Rejected(
-            worker_port.RejectionReason.OTHER_INCARNATION, answer.clock_ms, answering
+            worker_port.RejectionReason.OTHER_INCARNATION,
+            answer.clock_ms,
+            answering,
         )
 
 
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -279,7 +279,10 @@
         self._nursery.start_soon(self._run_link, incarnation, link)
 
     def _handle_replaced(
-        self, incarnation: str, successor: str | None, stops: list[worker_port.Stop]
+        self,
+        incarnation: str,
+        successor: str | None,
+        stops: list[worker_port.Stop],
     ) -> None:
         """Record that another incarnation answers in place of an expected one.
 
@@ -411,10 +414,14 @@
     def _start_step(self, placement: work.Placement, now: float) -> None:
         assert self._nursery is not None
         job_work = self.book.jobs[placement.step.job]
-        step_work = self.book.find_tracked_step(work.TaskKey(*placement.step, 0))
+        step_work = self.book.find_tracked_step(
+            work.TaskKey(*placement.step, 0)
+        )
         assert step_work is not None
         step_run_number = self._allocate_run_number()
-        start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]] = []
+        start_orders: list[
+            tuple[worker_links.WorkerLink, worker_port.Start]
+        ] = []
         for index, incarnation in placement.spots.items():
             run_number = (
                 step_run_number
@@ -447,14 +454,16 @@
         )
 
     def _send_starts(
-        self, start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]]
+        self,
+        start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]],
     ) -> None:
         assert self._nursery is not None
         for link, order in start_orders:
             self._nursery.start_soon(link.start, order)
 
     async def _start_parked(
-        self, start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]]
+        self,
+        start_orders: list[tuple[worker_links.WorkerLink, worker_port.Start]],
     ) -> None:
         """Send starts once the stored record no longer names the job as parked.
 
--- a/crocusrouter/pools/owner_leases.py
+++ b/crocusrouter/pools/owner_leases.py
@@ -133,7 +133,11 @@
             return False
         outcome = await self._store.write(
             (key_value.Guard(self.key, replaced_revision),),
-            (key_value.Write(self.key, self._encoded_holder, self._store_lease),),
+            (
+                key_value.Write(
+                    self.key, self._encoded_holder, self._store_lease
+                ),
+            ),
         )
         if isinstance(outcome, key_value.MaybeWritten):
             return await self._check_unanswered_write(sent_at)
--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -161,7 +161,10 @@
         # known, jobs of either version of the record count as parked.
         self._maybe_recorded = previous_ids | job_ids
         outcome = await self._store.write(
-            (self._owner_lease.guard, key_value.Guard(self._key, self._revision)),
+            (
+                self._owner_lease.guard,
+                key_value.Guard(self._key, self._revision),
+            ),
             (key_value.Write(self._key, cbor2.dumps(sorted(job_ids))),),
             timeout_s=timeout_s,
         )
--- a/crocusrouter/pools/tests/test_connections.py
+++ b/crocusrouter/pools/tests/test_connections.py
@@ -119,7 +119,9 @@
 @pytest.mark.parametrize("order", [_START, _STOP, _PACE])
 async def test_order_follows_a_poll_on_a_new_connection(order, autojump_clock):
     worker = _Worker()
-    assert await _send(_open_connections(worker), order) == worker_port.Accepted(1)
+    assert await _send(
+        _open_connections(worker), order
+    ) == worker_port.Accepted(1)
     assert worker.sent == [_FIRST_POLL, order]
 
 
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -307,7 +307,10 @@
         assert self._waves.platform is not None
         status_key, body = self._waves.platform.build_status(wave, is_over)
         outcome = await self._store.write(
-            (self._owner_lease.guard, key_value.Guard(key, self._revisions[wave])),
+            (
+                self._owner_lease.guard,
+                key_value.Guard(key, self._revisions[wave]),
+            ),
             (
                 key_value.Write(key, upkeep.dump_record(record)),
                 key_value.Write(status_key, body),
--- a/crocusrouter/pools/worker_links.py
+++ b/crocusrouter/pools/worker_links.py
@@ -135,7 +135,8 @@
             case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.incarnation}")
             case worker_port.Rejected(
-                worker_port.RejectionReason.OTHER_INCARNATION, _, successor):
+                worker_port.RejectionReason.OTHER_INCARNATION, _, successor
+            ):
                 self._abandon(successor)
             case _:
                 await self._handle_silence()
@@ -360,7 +361,9 @@
             case _:
                 log("run:not-paced", task=order.key, answer=str(answer))
 
-    async def _handle_stopped(self, order: worker_port.Stop, now: float) -> None:
+    async def _handle_stopped(
+        self, order: worker_port.Stop, now: float
+    ) -> None:
         run = self._book.runs.get(order.key)
         is_current = run is not None and run.number == order.run
         if run is not None and is_current and run.confirmed_at is None:
--- a/standins/emulator/cluster.py
+++ b/standins/emulator/cluster.py
@@ -65,7 +65,9 @@
     )
 
 
-def _parse_worker_entry(key: str, value: bytes) -> worker_port.WorkerEntry | None:
+def _parse_worker_entry(
+    key: str, value: bytes
+) -> worker_port.WorkerEntry | None:
     try:
         fields = orjson.loads(value)
         fields["room"] = work.Room(*fields["room"])
--- a/standins/emulator/tests/test_rooms.py
+++ b/standins/emulator/tests/test_rooms.py
@@ -62,5 +62,7 @@
     await trio.sleep(shrunk_for_s - trio.current_time())
     until_ms = int(worker.read_clock()) + 5000
     order = worker_port.Start(work.TaskKey("j", 0, 0, 0), 1, "")
-    assert isinstance(worker.start_run(1, order, until_ms), worker_port.Accepted)
+    assert isinstance(
+        worker.start_run(1, order, until_ms), worker_port.Accepted
+    )
     assert len(cluster.oracle.broken) == broken
--- a/standins/emulator/worker.py
+++ b/standins/emulator/worker.py
@@ -182,7 +182,9 @@
             if task_run.ends_at is not None:
                 task_run.ends_at += delay_s
 
-    def _end_run(self, task_run: TaskRun, how: worker_port.RunOutcome, now: float) -> None:
+    def _end_run(
+        self, task_run: TaskRun, how: worker_port.RunOutcome, now: float
+    ) -> None:
         if self.tasks.get(task_run.key) is not task_run:
             return
         del self.tasks[task_run.key]
--- a/standins/soak/wire.py
+++ b/standins/soak/wire.py
@@ -232,7 +232,12 @@
                 "clock_ms": clock_ms,
                 "born": born_ms,
                 "running": [
-                    [names.build_task_name(r.key), r.run, r.checkpoint, r.percent]
+                    [
+                        names.build_task_name(r.key),
+                        r.run,
+                        r.checkpoint,
+                        r.percent,
+                    ]
                     for r in running
                 ],
                 "finished": [
