--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -112,9 +112,9 @@
             source.key, source.parse, source.apply_s, self.clock, metrics
         )
         self.configuration.listeners.append(self._apply_config_to_owners)
-        observed_store = observed_store.ObservedStore(store, self.clock.steady)
-        self._observed_store = observed_store
-        self._store: key_value.KeyValueStore = observed_store
+        direct_store = observed_store.ObservedStore(store, self.clock.steady)
+        self._observed_store = direct_store
+        self._store: key_value.KeyValueStore = direct_store
         self._platform = platform
         self._open_waves = upkeep_controller.OpenWaves(platform.upkeep_platform)
         self._owner_scopes: dict[str, trio.CancelScope] = {}
@@ -140,29 +140,29 @@
         own_member = members.Member(identity.mesh_address, identity.cores)
         self._own_member = own_member
         self._membership = members.Membership(
-            observed_store, identity.name, own_member
+            direct_store, identity.name, own_member
         )
         self._config_watch = prefix_follower.PrefixFollower(
-            observed_store,
+            direct_store,
             source.prefix,
             self._handle_operator_events,
             metrics,
             may_wait_long=True,
         )
         self._system_watch = prefix_follower.PrefixFollower(
-            observed_store,
+            direct_store,
             keys.SYSTEM,
             self._handle_system_events,
             metrics,
             may_wait_long=True,
         )
-        self._relay = relay.RelayedStore(observed_store, self.peers)
+        self._relay = relay.RelayedStore(direct_store, self.peers)
         self.config_refresher = config_refresh.ConfigRefresher(
             self.configuration,
-            observed_store.read,
+            direct_store.read,
             self._relay.read_by_peers,
             lambda: bool(self.pool_owners),
-            observed_store.is_down,
+            direct_store.is_down,
             self._config_watch.restart_watch,
             self.clock,
             metrics,
