--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the endpoints; scaffolding only."""
+"""Stand-ins for the platform and the endpoints, for tests and demos only."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one stand-in: python -m standins store --port 9000."""
+"""Runs one stand-in: python -m standins store --port 9000."""
 
 import functools
 from typing import Annotated
@@ -35,9 +35,9 @@
 
 @app.command("workers")
 def run_workers(ports: str, accelerators: int = 1) -> None:
-    """Run many workers in one process, one on each port: 9001,9002,..."""
-    numbers = [int(text) for text in ports.split(",")]
-    trio.run(functools.partial(worker.run_many, numbers, accelerators))
+    """Run many workers in one process, one per port: 9001,9002,..."""
+    port_numbers = [int(text) for text in ports.split(",")]
+    trio.run(functools.partial(worker.run_many, port_numbers, accelerators))
 
 
 @app.command("runner")
--- a/standins/fuzzing.py
+++ b/standins/fuzzing.py
@@ -1,4 +1,4 @@
-"""Settings of the stateful fuzzing: the same each time, unless asked."""
+"""Hypothesis settings and scheduling for reproducible stateful tests."""
 
 from collections.abc import Iterator
 import contextlib
@@ -7,23 +7,23 @@
 import hypothesis
 from hypothesis.internal import entropy
 
-_VARIABLE = "CROCUSROUTER_FUZZ_EXAMPLES"
+_EXAMPLES_VARIABLE = "CROCUSROUTER_FUZZ_EXAMPLES"
 
 
 def build_settings(examples: int, steps: int = 50) -> hypothesis.settings:
     """Return settings for a state machine.
 
-    CI runs the same examples each time. `make fuzz` sets the variable to run
-    as many fresh ones as wanted. Shrinking is left to `make fuzz`, so that a
-    red CI says so at once.
+    CI runs the same examples each time. `make fuzz` sets an environment
+    variable to the number of new random examples to run. Shrinking is left to
+    `make fuzz`, so that a failing CI run reports its failure at once.
     """
-    wanted = int(os.environ.get(_VARIABLE, "0"))
+    requested_examples = int(os.environ.get(_EXAMPLES_VARIABLE, "0"))
     phases = [hypothesis.Phase.explicit, hypothesis.Phase.generate]
     return hypothesis.settings(
-        max_examples=wanted or examples,
+        max_examples=requested_examples or examples,
         stateful_step_count=steps,
         deadline=None,
-        derandomize=not wanted,
+        derandomize=not requested_examples,
         database=None,
         phases=phases,
         suppress_health_check=list(hypothesis.HealthCheck),
@@ -32,15 +32,14 @@
 
 @contextlib.contextmanager
 def fix_schedule(seed: int = 0) -> Iterator[None]:
-    """Let trio run tasks in the same order each time.
+    """Make trio run tasks in the same order each time.
 
-    Tasks that become ready together run in an order that trio draws anew in
-    each process, so a day of one seed would end in one way here and in another
-    there. Importing hypothesis makes the order depend on one generator; this
-    seeds it.
+    Trio shuffles the tasks that become ready together, differently in each
+    process, so runs of the same seed would differ. Importing hypothesis makes
+    the order depend on one random generator, which this function seeds.
 
     Args:
-        seed: Another seed gives another order.
+        seed: Determines the order.
     """
     with entropy.deterministic_PRNG(seed):
         yield
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,47 +1,49 @@
-"""Free loopback ports."""
+"""Finds free loopback ports for listeners of tests."""
 
 import atexit
 import collections
 import os
 import socket
 
-_FIRST = 12_000
-_LAST = 32_000
-# Processes that run beside each other begin this far apart.
-_APART = 397
-# Reservations that are kept; a test needs some dozens.
-_MOST_RESERVED = 400
+_FIRST_PORT = 12_000
+_LAST_PORT = 32_000
+# Distance between the first ports of processes with consecutive ids.
+_PROCESS_OFFSET = 397
+# Number of reservations that are kept; a test needs some dozens.
+_MAX_RESERVATIONS = 400
 
-_reserved: collections.deque[socket.socket] = collections.deque()
+_reservations: collections.deque[socket.socket] = collections.deque()
 
 
 class Ports:
-    """Hands out ports in turn, each once, from a place of its process.
+    """Allocates ports in sequence, starting at an offset per process.
 
-    They lie below those that the kernel gives to sockets without one of their
-    own. Drawn from these, a port was given to two listeners: a caller of one
-    entry then heard the empty "ready" of another.
+    The ports lie below the kernel's ephemeral range. When ports came from that
+    range, two listeners got the same port, and a caller of one entry received
+    the empty "ready" answer of another.
     """
 
     def __init__(self) -> None:
-        self._next = _FIRST + os.getpid() * _APART % (_LAST - _FIRST)
+        self._next = _FIRST_PORT + os.getpid() * _PROCESS_OFFSET % (
+            _LAST_PORT - _FIRST_PORT
+        )
 
     def take(self, count: int) -> list[int]:
-        """Return `count` ports that nobody listens on at this moment."""
-        found: list[int] = []
-        while len(found) < count:
+        """Return `count` ports that no socket listens on at this moment."""
+        free_ports: list[int] = []
+        while len(free_ports) < count:
             self._next += 1
-            if self._next >= _LAST:
-                self._next = _FIRST
+            if self._next >= _LAST_PORT:
+                self._next = _FIRST_PORT
             if _is_free(self._next):
-                found.append(self._next)
-        return found
+                free_ports.append(self._next)
+        return free_ports
 
 
 def _is_free(port: int) -> bool:
     with socket.socket() as probe:
-        # As the listeners set it: a port whose last connections are still
-        # being forgotten can be used.
+        # Listeners set this option too. It allows ports whose previous
+        # connections are in TIME_WAIT.
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind(("127.0.0.1", port))
@@ -51,29 +53,29 @@
 
 
 def find_ports(count: int) -> list[int]:
-    """Return loopback ports of the kernel's choice, kept for listeners.
+    """Return loopback ports chosen by the kernel and reserved for listeners.
 
-    A socket stays bound to each, so that the kernel gives it to no connection
-    before the listener comes: let go at once, one was taken in one of two
-    whole runs of the tests ("address already in use").
+    A socket stays bound to each port, so that the kernel doesn't assign the
+    port to a connection before the listener starts. Without the reservation,
+    one of two full test runs failed with "address already in use".
     """
-    kept = [_reserve() for _ in range(count)]
-    _reserved.extend(kept)
-    while len(_reserved) > _MOST_RESERVED:
-        _reserved.popleft().close()
-    return [one.getsockname()[1] for one in kept]
+    reservations = [_reserve_port() for _ in range(count)]
+    _reservations.extend(reservations)
+    while len(_reservations) > _MAX_RESERVATIONS:
+        _reservations.popleft().close()
+    return [reservation.getsockname()[1] for reservation in reservations]
 
 
-def _reserve() -> socket.socket:
-    one = socket.socket()
-    one.bind(("127.0.0.1", 0))
-    # Set after binding: the kernel chose a port that nobody shares, and
-    # listeners, which set it too, may bind to it beside this socket.
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    return one
+def _reserve_port() -> socket.socket:
+    reservation = socket.socket()
+    reservation.bind(("127.0.0.1", 0))
+    # Set only after binding, so that the kernel chose an unused port. Listeners
+    # set the option too and may then bind to the port beside this socket.
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    return reservation
 
 
 @atexit.register
-def _release() -> None:
-    while _reserved:
-        _reserved.pop().close()
+def _release_reservations() -> None:
+    while _reservations:
+        _reservations.pop().close()
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,4 +1,4 @@
-"""Stand-in for runners: endpoints of the small requests."""
+"""Stand-in for runners, which execute small requests."""
 
 import dataclasses
 import enum
@@ -15,17 +15,17 @@
 
 
 class Fault(enum.StrEnum):
-    """What a runner does wrong."""
+    """Faults of a runner."""
 
     NONE = "none"
-    SLOW = "slow"  # adds `delay_s`
+    SLOW = "slow"  # answers `delay_s` later
     SILENT = "silent"  # runs the request and never answers
     MISDIRECT = "misdirect"  # answers with another request's id
 
 
 @dataclasses.dataclass
 class Runner:
-    """Slots and the record of what ran."""
+    """State of one runner: slots, and the requests that it executed."""
 
     name: str
     slots: int
@@ -36,7 +36,7 @@
 
 
 class RunnerApp:
-    """HTTP face of a runner."""
+    """HTTP interface of a runner."""
 
     def __init__(self, runner: Runner) -> None:
         self.runner = runner
@@ -49,7 +49,7 @@
         )
 
     async def execute(self, request: requests.Request) -> responses.Response:
-        """Run a request in a slot, or refuse it unread."""
+        """Execute a request in a slot, or reject it without reading it."""
         if self.runner.busy >= self.runner.slots:
             return responses.Response(
                 status_code=503, headers={"Crocusrouter-Outcome": "not-run"}
@@ -83,11 +83,11 @@
         )
 
     async def show(self, _: requests.Request) -> responses.Response:
-        """Tell what ran."""
+        """Answer with the requests that were executed."""
         return responses.JSONResponse(self.runner.executions)
 
     async def set_fault(self, request: requests.Request) -> responses.Response:
-        """Set the fault switch."""
+        """Set the fault of the runner."""
         body = orjson.loads(await request.body())
         self.runner.fault = Fault(body["fault"])
         self.runner.delay_s = float(body.get("delay_s", 0.0))
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Start-up shared by the stand-ins: one ASGI app on one loopback port."""
+"""Serves an ASGI app on a loopback port; shared by the stand-ins."""
 
 import hypercorn
 import hypercorn.trio
@@ -7,7 +7,7 @@
 
 
 def build_config(port: int) -> hypercorn.Config:
-    """Return a quiet server configuration for a loopback port."""
+    """Return a server configuration without logs for a loopback port."""
     config = hypercorn.Config()
     config.bind = [f"127.0.0.1:{port}"]
     config.accesslog = None
--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,9 +1,9 @@
-"""Soak of real entry processes: faults from outside, promises checked.
+"""Soak tests of real entry processes under injected faults.
 
-Entries run as processes of their own, as on the users' platform. The
-emulated store and workers speak the platform's HTTP interface to them,
-through proxies that delay, silence and reset; signals pause, stop and kill.
-Only what callers and workers see is judged.
+Each entry runs as a process of its own, as on the users' platform. The
+emulated store and workers serve the platform's HTTP interface through proxies
+that delay, drop and reset traffic. Signals pause, stop and kill entries. Only
+what callers and workers observe is judged.
 """
 
 from standins.soak.run import CHECKED
--- a/standins/soak/__main__.py
+++ b/standins/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays soaks by hand: python -m standins.soak --seeds 50."""
+"""Runs soaks from the command line: python -m standins.soak --seeds 50."""
 
 import pathlib
 import tempfile
@@ -11,44 +11,58 @@
 
 
 def run(
-    seeds: Annotated[int, typer.Option(help="How many seeds.")] = 10,
+    seeds: Annotated[int, typer.Option(help="Number of seeds.")] = 10,
     first: Annotated[int, typer.Option(help="The first seed.")] = 0,
-    entries: Annotated[int, typer.Option(help="Entry processes.")] = 4,
-    faults: Annotated[int, typer.Option(help="Faults a soak.")] = 5,
-    length_s: Annotated[float, typer.Option(help="Seconds of load.")] = 15.0,
+    entries: Annotated[
+        int, typer.Option(help="Number of entry processes.")
+    ] = 4,
+    faults: Annotated[int, typer.Option(help="Number of faults per soak.")] = 5,
+    length_s: Annotated[
+        float, typer.Option(help="Seconds of load and faults.")
+    ] = 15.0,
     kinds: Annotated[
-        list[soak.Fault] | None, typer.Option("--kind", help="Only these.")
+        list[soak.Fault] | None,
+        typer.Option(
+            "--kind", help="Inject only this kind of fault; repeatable."
+        ),
     ] = None,
 ) -> None:
-    """Play seeds one after another; print what broke and keep its logs."""
+    """Run one soak per seed; print violations and keep the logs."""
     shape = soak.Shape(
-        entries=entries,
-        faults=faults,
+        entry_count=entries,
+        fault_count=faults,
         length_s=length_s,
-        kinds=tuple(kinds or soak.Fault),
+        fault_kinds=tuple(kinds or soak.Fault),
     )
-    failed = []
+    failed_seeds = []
     for seed in range(first, first + seeds):
-        folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        result = trio.run(soak.soak, seed, shape, folder)
-        seen = result.changes
-        counts = f"{result.accepted} jobs, {result.crashes} crashes"
-        counts += f", {seen.judged} calls on changes"
-        counts += f" (latest {seen.latest_s:.2f} s, excused"
-        counts += f" {dict(seen.excused)}, not ready {seen.unready})"
-        cut = result.cuts
-        counts += (
-            f", {cut.judged} cut beside planned work ({cut.excused} excused)"
+        log_folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
+        result = trio.run(soak.soak, seed, shape, log_folder)
+        config_oracle = result.config_oracle
+        summary = f"{result.accepted} jobs, {result.crashes} crashes"
+        summary += f", {config_oracle.judged} configuration calls judged"
+        summary += f" (longest delay {config_oracle.latest_s:.2f} s, excused"
+        summary += (
+            f" {dict(config_oracle.excused)}, not ready"
+            f" {config_oracle.unready})"
         )
-        print(f"seed {seed}: {result.verdict}, {counts}, {folder}")
+        cut_checker = result.cut_checker
+        summary += (
+            f", {cut_checker.judged} requests cut during planned stops"
+            f" ({cut_checker.excused} excused)"
+        )
+        print(f"seed {seed}: {result.verdict}, {summary}, {log_folder}")
         print(f"  no case of: {', '.join(result.list_idle_checks()) or '-'}")
         print("  " + "; ".join(result.faults), flush=True)
         for line in result.broken:
             print(f"  {line}", flush=True)
         if result.verdict != "kept":
-            failed.append(seed)
-    print(f"{seeds - len(failed)} of {seeds} seeds kept all promises: {failed}")
-    raise typer.Exit(1 if failed else 0)
+            failed_seeds.append(seed)
+    print(
+        f"{seeds - len(failed_seeds)} of {seeds} seeds broke no rule; "
+        f"failed seeds: {failed_seeds}"
+    )
+    raise typer.Exit(1 if failed_seeds else 0)
 
 
 if __name__ == "__main__":
--- a/standins/soak/changing.py
+++ b/standins/soak/changing.py
@@ -1,4 +1,4 @@
-"""Operators who change the configuration, and callers who notice."""
+"""Changes the configuration and checks it by calls to every entry."""
 
 import random
 
@@ -11,50 +11,50 @@
 from standins.soak import world as worlds
 
 _CHANGES_PER_S = 0.5
-_ASKING_S = 0.1
+_CALL_INTERVAL_S = 0.1
 _TIMEOUT_S = 3.0
 _CONNECTIONS = 100
 
 
-class Changing:
-    """Changes routes and keys, and calls every entry on them."""
+class ConfigTester:
+    """Changes routes and keys, and calls every entry with them."""
 
     def __init__(self, world: worlds.World, rng: random.Random) -> None:
-        """Prepare; nothing is written yet.
+        """Prepare a tester; nothing is written yet.
 
         Args:
-            world: Whose operators write, and whose entries are called.
-            rng: Draws changes and calls.
+            world: The world whose operators write and whose entries are called.
+            rng: Random generator that changes and calls are drawn from.
         """
         self._world = world
         self._rng = rng
         self._pool = httpcore.AsyncConnectionPool(max_connections=_CONNECTIONS)
 
-    async def change(self) -> None:
-        """Write drawn changes until cancelled."""
+    async def write_changes(self) -> None:
+        """Write random changes until cancelled."""
         while True:
             await trio.sleep(self._rng.expovariate(_CHANGES_PER_S))
             self._world.operators.draw_change(self._rng, trio.current_time())
 
-    async def ask_all(self) -> None:
-        """Call every entry on drawn routes and keys until cancelled."""
+    async def call_all_entries(self) -> None:
+        """Call every entry with random routes and keys until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                for name in self._world.entries:
+                for name in self._world.entry_names:
                     route = self._rng.choice((worlds.PREFIX, *operators.ROUTES))
                     key = self._rng.choice((worlds.KEY, *operators.KEYS))
-                    nursery.start_soon(self.ask, name, route, key)
-                await trio.sleep(_ASKING_S)
+                    nursery.start_soon(self.call_entry, name, route, key)
+                await trio.sleep(_CALL_INTERVAL_S)
 
-    async def ask(self, name: str, route: str, key: str) -> None:
-        """Call an entry on a route with a key; the answer is judged.
+    async def call_entry(self, name: str, route: str, key: str) -> None:
+        """Call an entry on a route with a key, and check the answer.
 
-        No job has the id that is asked for, so that only the configuration
-        decides what is answered.
+        No job has the requested id, so the answer depends on the
+        configuration alone.
         """
-        life = self._world.lives[name]
+        incarnation = self._world.start_counts[name]
         sent_at = trio.current_time()
-        asked = change_rules.Asked(name, life, route, key, sent_at)
+        call = change_rules.Asked(name, incarnation, route, key, sent_at)
         try:
             response = await self._pool.request(
                 "GET",
@@ -70,12 +70,14 @@
             return
         except (httpcore.NetworkError, httpcore.ProtocolError):
             now = trio.current_time()
-            self._world.cuts.note_cut(cuts.Cut(name, sent_at, now))
+            self._world.cut_checker.check_cut_request(
+                cuts.CutRequest(name, sent_at, now)
+            )
             return
-        if self._world.lives[name] != life:
+        if self._world.start_counts[name] != incarnation:
             return
         now = trio.current_time()
-        self._world.changes.note_answer(asked, response.status, now)
+        self._world.config_oracle.note_answer(call, response.status, now)
 
     async def aclose(self) -> None:
         """Close all connections."""
--- a/standins/soak/cuts.py
+++ b/standins/soak/cuts.py
@@ -1,4 +1,4 @@
-"""Checks that planned stops and reloads cut no request."""
+"""Checks that planned stops and reloads drop no request."""
 
 import dataclasses
 
@@ -7,20 +7,21 @@
 
 RULES = frozenset({rules.Rule.LOST_REQUESTS})
 
-# Planned work lasts until one second after `grace_s`; what ends this soon
-# after its last byte may not have been read.
-_PLANNED_S = 7.0
-_SLACK_S = 0.2
+# A planned stop or reload lasts until one second after `grace_s`.
+_PLANNED_EVENT_S = 7.0
+# A connection that ends this soon after the request was sent is not judged: the
+# entry may not have read the request.
+_UNREAD_REQUEST_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
-class Cut:
-    """A connection that ended without a whole answer.
+class CutRequest:
+    """A request whose connection ended before the answer was complete.
 
     Attributes:
-        entry: Who was asked.
-        sent_at: Seconds.
-        ended_at: Seconds.
+        entry: Name of the entry that was called.
+        sent_at: When the request was sent, in seconds.
+        ended_at: When the connection ended, in seconds.
     """
 
     entry: str
@@ -28,46 +29,48 @@
     ended_at: float
 
 
-class Cuts:
-    """Collects cut requests and judges those beside planned work.
+class CutRequestChecker:
+    """Checks cut requests that coincide with planned stops and reloads.
 
     Attributes:
-        broken: Broken rules, a line each.
-        judged: How many cut requests came beside planned work.
-        excused: How many of these had something unplanned beside them.
+        broken: Violations, one line each.
+        judged: How many cut requests coincided with a planned event.
+        excused: How many of these also coincided with an unplanned impairment.
     """
 
-    def __init__(self, unplanned: touches.Touch) -> None:
-        """Begin with none.
+    def __init__(self, unplanned_impairments: touches.Touch) -> None:
+        """Create a checker without planned stops.
 
         Args:
-            unplanned: When entries and service were impaired by what was not
-                planned.
+            unplanned_impairments: When entries and the key-value service were
+                impaired by anything but planned stops and reloads.
         """
         self.broken: list[str] = []
         self.judged = 0
         self.excused = 0
-        self._unplanned = unplanned
-        self._planned: list[tuple[str, float]] = []
+        self._unplanned_impairments = unplanned_impairments
+        self._planned_events: list[tuple[str, float]] = []
 
-    def note_planned(self, entry: str, now: float) -> None:
-        """Note a planned stop or a reload."""
-        self._planned.append((entry, now))
+    def record_planned_event(self, entry: str, now: float) -> None:
+        """Record a planned stop or a reload."""
+        self._planned_events.append((entry, now))
 
-    def note_cut(self, cut: Cut) -> None:
-        """Judge a request whose connection has ended."""
-        if cut.ended_at - cut.sent_at <= _SLACK_S:
+    def check_cut_request(self, request: CutRequest) -> None:
+        """Check a request whose connection ended without an answer."""
+        if request.ended_at - request.sent_at <= _UNREAD_REQUEST_S:
             return
         if not any(
-            entry == cut.entry and at <= cut.ended_at <= at + _PLANNED_S
-            for entry, at in self._planned
+            entry == request.entry
+            and at <= request.ended_at <= at + _PLANNED_EVENT_S
+            for entry, at in self._planned_events
         ):
             return
         self.judged += 1
-        if self._unplanned.explain(cut.entry, cut.sent_at):
+        if self._unplanned_impairments.explain(request.entry, request.sent_at):
             self.excused += 1
             return
         self.broken.append(
-            f"{cut.sent_at:.3f} lost: a request to {cut.entry} was cut "
-            f"{cut.ended_at - cut.sent_at:.2f} s later, beside planned work"
+            f"{request.sent_at:.3f} lost: a request to {request.entry} was cut "
+            f"{request.ended_at - request.sent_at:.2f} s later, during a "
+            "planned stop or reload"
         )
--- a/standins/soak/wire.py
+++ b/standins/soak/platform_server.py
@@ -18,9 +18,9 @@
 from standins.emulator import store as stores
 from standins.emulator import worker as workers
 
-# Longer than any caller waits: an answer that never comes.
-_NEVER_S = 8.0
-_REASONS = {
+# Longer than any caller's timeout, to emulate a call without an answer.
+_NO_ANSWER_DELAY_S = 8.0
+_REASON_TEXTS = {
     orders.Why.FENCED: "fence",
     orders.Why.OLD: "old",
     orders.Why.LATE: "late",
@@ -31,16 +31,16 @@
 
 
 class _NoAnswerError(Exception):
-    """The call gets no answer."""
+    """The call must stay unanswered until the caller times out."""
 
 
 class Platform:
-    """One ASGI application; the port tells whom a call is meant for."""
+    """ASGI application for store and workers, told apart by their ports."""
 
     def __init__(self) -> None:
         self.stores: dict[int, stores.StoreView] = {}
         self.workers: dict[int, workers.WorkerView] = {}
-        self.lives: dict[int, str] = {}
+        self.worker_names: dict[int, str] = {}
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
@@ -52,13 +52,13 @@
         body = await _read_body(receive)
         document = orjson.loads(body) if body else {}
         try:
-            status, answer = await self._answer(scope, document)
+            status, answer = await self._route_call(scope, document)
         except _NoAnswerError:
-            await trio.sleep(_NEVER_S)
+            await trio.sleep(_NO_ANSWER_DELAY_S)
             status, answer = 504, {}
         except client.StoreUnavailableError as error:
             if str(error) != "busy":
-                await trio.sleep(_NEVER_S)
+                await trio.sleep(_NO_ANSWER_DELAY_S)
             status, answer = 503, {}
         headers = [(b"content-type", b"application/json")]
         await send(
@@ -70,26 +70,30 @@
         )
         await send({"type": "http.response.body", "body": orjson.dumps(answer)})
 
-    async def _answer(self, scope: Scope, document: dict[str, Any]) -> Answer:
-        number = scope["server"][1]
+    async def _route_call(
+        self, scope: Scope, document: dict[str, Any]
+    ) -> Answer:
+        port_number = scope["server"][1]
         path = scope["path"]
-        if number in self.stores:
-            asked = urllib.parse.parse_qs(scope["query_string"].decode())
-            query = {name: values[0] for name, values in asked.items()}
+        if port_number in self.stores:
+            parameters = urllib.parse.parse_qs(scope["query_string"].decode())
+            query = {name: values[0] for name, values in parameters.items()}
             return await _answer_store(
-                self.stores[number], path, query, document
+                self.stores[port_number], path, query, document
             )
-        wanted = dict(scope["headers"]).get(b"x-expect-instance", b"").decode()
-        if wanted != self.lives.get(number):
+        expected_name = (
+            dict(scope["headers"]).get(b"x-expect-instance", b"").decode()
+        )
+        if expected_name != self.worker_names.get(port_number):
             return 421, {}
-        return await _answer_worker(self.workers[number], path, document)
+        return await _answer_worker(self.workers[port_number], path, document)
 
 
 async def _answer_lifespan(receive: Receive, send: Send) -> None:
     while True:
-        kind = (await receive())["type"]
-        await send({"type": f"{kind}.complete"})
-        if kind == "lifespan.shutdown":
+        message_type = (await receive())["type"]
+        await send({"type": f"{message_type}.complete"})
+        if message_type == "lifespan.shutdown":
             return
 
 
@@ -113,11 +117,11 @@
 ) -> Answer:
     match path.split("/")[1:]:
         case ["kv-key"]:
-            found = await view.read(query["key"])
-            return (200, _show_item(found)) if found else (404, {})
+            record = await view.read(query["key"])
+            return (200, _build_item(record)) if record else (404, {})
         case ["kv-range"]:
             snapshot = await view.read_prefix(query["prefix"])
-            items = [_show_item(record) for record in snapshot.records]
+            items = [_build_item(item) for item in snapshot.records]
             return 200, {
                 "items": items,
                 "has_more": False,
@@ -128,12 +132,12 @@
         case ["kv-txn"]:
             return await _write(view, document)
         case ["kv-lease"]:
-            ttl = document["ttl_ms"]
-            lease = await view.grant(ttl / 1000)
-            return 200, {"lease": lease, "ttl_ms": ttl}
+            ttl_ms = document["ttl_ms"]
+            lease = await view.grant(ttl_ms / 1000)
+            return 200, {"lease": lease, "ttl_ms": ttl_ms}
         case ["kv-keep", lease_text]:
-            kept = await view.keep(int(lease_text))
-            return (200, {}) if kept else (404, {})
+            is_kept = await view.keep(int(lease_text))
+            return (200, {}) if is_kept else (404, {})
     return 404, {}
 
 
@@ -147,7 +151,7 @@
     events = [
         {"key": event.key, "revision": event.revision, "deleted": True}
         if isinstance(event, records.Removed)
-        else _show_item(event.record)
+        else _build_item(event.record)
         for event in changes.events
     ]
     return 200, {"events": events, "at_rev": changes.revision}
@@ -173,7 +177,9 @@
         case port.Written(revision):
             return 200, {"revision": revision}
         case port.Mismatched(current):
-            return 412, {"items": [_show_item(r) for r in current.values()]}
+            return 412, {
+                "items": [_build_item(record) for record in current.values()]
+            }
         case port.LeaseEnded():
             return 404, {}
         case port.NotWritten():
@@ -181,7 +187,7 @@
     raise _NoAnswerError
 
 
-def _show_item(record: records.Record) -> dict[str, Any]:
+def _build_item(record: records.Record) -> dict[str, Any]:
     return {
         "key": record.key,
         "value": base64.b64encode(record.value).decode(),
@@ -197,7 +203,7 @@
 ) -> Answer:
     epoch = document.get("fencing_token", 0)
     if path == "/hold":
-        return _show(
+        return _build_answer(
             await view.hold(
                 epoch,
                 document.get("last_seen", 0),
@@ -207,18 +213,22 @@
         )
     key = names.parse_task(document["task"])
     assert key is not None
-    number = document["run_id"]
+    run_number = document["run_id"]
     if path == "/run-start":
         order = orders.Start(
-            key, number, document["spec"], document.get("checkpoint", "")
+            key, run_number, document["spec"], document.get("checkpoint", "")
         )
-        return _show(
-            await view.start(epoch, order, document["until_ms"], _NEVER_S)
+        return _build_answer(
+            await view.start(
+                epoch, order, document["until_ms"], _NO_ANSWER_DELAY_S
+            )
         )
-    return _show(await view.stop(epoch, orders.Stop(key, number), _NEVER_S))
+    return _build_answer(
+        await view.stop(epoch, orders.Stop(key, run_number), _NO_ANSWER_DELAY_S)
+    )
 
 
-def _show(
+def _build_answer(
     result: orders.Report | orders.Taken | orders.Rejected | orders.Silent,
 ) -> Answer:
     match result:
@@ -227,12 +237,23 @@
                 "clock_ms": clock_ms,
                 "born": born_ms,
                 "running": [
-                    [names.build_task(r.key), r.run, r.saved, r.percent]
-                    for r in running
+                    [
+                        names.build_task(task_run.key),
+                        task_run.run,
+                        task_run.saved,
+                        task_run.percent,
+                    ]
+                    for task_run in running
                 ],
                 "finished": [
-                    [e.number, names.build_task(e.key), e.run, str(e.how), ""]
-                    for e in ended
+                    [
+                        end.number,
+                        names.build_task(end.key),
+                        end.run,
+                        str(end.how),
+                        "",
+                    ]
+                    for end in ended
                 ],
             }
         case orders.Taken(clock_ms):
@@ -240,5 +261,5 @@
         case orders.Rejected(orders.Why.OTHER_INCARNATION):
             return 421, {}
         case orders.Rejected(why, clock_ms):
-            return 409, {"clock_ms": clock_ms, "reason": _REASONS[why]}
+            return 409, {"clock_ms": clock_ms, "reason": _REASON_TEXTS[why]}
     raise _NoAnswerError
--- a/standins/soak/proxy.py
+++ b/standins/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections it carries."""
+"""A loopback TCP proxy that injects faults into its connections."""
 
 import enum
 import socket
@@ -6,58 +6,58 @@
 
 import trio
 
-_CHUNK = 1 << 14
+_CHUNK_BYTES = 1 << 14
 _DELAY_S = 0.3
 _POLL_S = 0.05
 
 
-class Harm(enum.StrEnum):
-    """What a proxy does to its connections."""
+class LinkFault(enum.StrEnum):
+    """Faults that a proxy injects into its connections."""
 
     NONE = "none"
-    DELAY = "delay"  # each piece of data comes 0.3 s later
-    SILENCE = "silence"  # nothing passes, and nobody is told
-    ONE_WAY = "one-way"  # requests pass, answers don't
-    RESET = "reset"  # connections are reset, old and new ones
+    DELAY = "delay"  # each chunk is forwarded after 0.3 s
+    SILENCE = "silence"  # no data is forwarded; connections stay open
+    ONE_WAY = "one-way"  # requests are forwarded, answers aren't
+    RESET = "reset"  # open and new connections are reset
 
 
-class Ending(enum.StrEnum):
-    """What callers see of a process that ends, until the next one starts."""
+class ProcessEnd(enum.StrEnum):
+    """What clients see after a process ends, until the next one starts."""
 
     RESET = "reset"  # open connections and new ones are reset
     REFUSE = "refuse"  # open ones are reset, new ones are refused
-    STRAND = "strand"  # open ones are silent for good, new ones for now
+    STRAND = "strand"  # open ones never answer, new ones do later
 
 
-class _Carried:
-    """One connection that a proxy carries."""
+class _Connection:
+    """State of one connection through a proxy."""
 
     def __init__(self) -> None:
         self.is_stranded = False
 
 
 class Proxy:
-    """Carries connections from one loopback port to another."""
+    """Forwards connections from one loopback port to another."""
 
-    def __init__(self, target: int) -> None:
+    def __init__(self, target_port: int) -> None:
         """Prepare a proxy.
 
         Args:
-            target: Port on 127.0.0.1 to which connections go.
+            target_port: Port on 127.0.0.1 that connections are forwarded to.
         """
-        self.harm = Harm.NONE
+        self.fault = LinkFault.NONE
         self.port = 0
-        self._target = target
-        self._carried: set[_Carried] = set()
-        self._listening = trio.CancelScope()
-        self._accepts = trio.Event()
-        self._accepts.set()
+        self._target_port = target_port
+        self._connections: set[_Connection] = set()
+        self._listener_scope = trio.CancelScope()
+        self._may_listen = trio.Event()
+        self._may_listen.set()
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Carry connections until cancelled."""
-        async with trio.open_nursery() as carrying:
+        """Forward connections until cancelled."""
+        async with trio.open_nursery() as connections_nursery:
             while True:
                 [listener] = await trio.open_tcp_listeners(
                     self.port, host="127.0.0.1"
@@ -65,80 +65,99 @@
                 if not self.port:
                     self.port = listener.socket.getsockname()[1]
                     task_status.started()
-                with trio.CancelScope() as self._listening:
+                with trio.CancelScope() as self._listener_scope:
                     await trio.serve_listeners(
-                        self._carry, [listener], handler_nursery=carrying
+                        self._forward_connection,
+                        [listener],
+                        handler_nursery=connections_nursery,
                     )
-                await self._accepts.wait()
-
-    def end_process(self, ending: Ending) -> None:
-        """Let the process behind the proxy end."""
-        match ending:
-            case Ending.RESET:
-                self.harm = Harm.RESET
-            case Ending.REFUSE:
-                self.harm = Harm.RESET
-                self._accepts = trio.Event()
-                self._listening.cancel()
-            case Ending.STRAND:
-                self.harm = Harm.SILENCE
-                for carried in self._carried:
-                    carried.is_stranded = True
+                await self._may_listen.wait()
+
+    def end_process(self, process_end: ProcessEnd) -> None:
+        """Show clients that the process behind the proxy has ended."""
+        match process_end:
+            case ProcessEnd.RESET:
+                self.fault = LinkFault.RESET
+            case ProcessEnd.REFUSE:
+                self.fault = LinkFault.RESET
+                self._may_listen = trio.Event()
+                self._listener_scope.cancel()
+            case ProcessEnd.STRAND:
+                self.fault = LinkFault.SILENCE
+                for connection in self._connections:
+                    connection.is_stranded = True
 
     def start_process(self) -> None:
-        """Let the next process answer; connections to the last one are over."""
-        self.harm = Harm.NONE
-        self._accepts.set()
+        """Forward new connections again, to the next process.
 
-    async def _carry(self, caller: trio.SocketStream) -> None:
+        Connections to the previous process stay reset or stranded.
+        """
+        self.fault = LinkFault.NONE
+        self._may_listen.set()
+
+    async def _forward_connection(self, client: trio.SocketStream) -> None:
         try:
-            other = await trio.open_tcp_stream("127.0.0.1", self._target)
+            server = await trio.open_tcp_stream("127.0.0.1", self._target_port)
         except OSError:
-            await trio.aclose_forcefully(caller)
+            await trio.aclose_forcefully(client)
             return
-        carried = _Carried()
-        self._carried.add(carried)
+        connection = _Connection()
+        self._connections.add(connection)
         async with trio.open_nursery() as nursery:
-            scope = nursery.cancel_scope
-            nursery.start_soon(self._pass, carried, caller, other, False, scope)
-            nursery.start_soon(self._pass, carried, other, caller, True, scope)
-            nursery.start_soon(self._watch, caller, scope)
-        self._carried.discard(carried)
-        for stream in (caller, other):
+            connection_scope = nursery.cancel_scope
+            nursery.start_soon(
+                self._forward_data,
+                connection,
+                client,
+                server,
+                False,
+                connection_scope,
+            )
+            nursery.start_soon(
+                self._forward_data,
+                connection,
+                server,
+                client,
+                True,
+                connection_scope,
+            )
+            nursery.start_soon(self._reset_on_fault, client, connection_scope)
+        self._connections.discard(connection)
+        for stream in (client, server):
             await trio.aclose_forcefully(stream)
 
-    async def _pass(
+    async def _forward_data(
         self,
-        carried: _Carried,
+        connection: _Connection,
         source: trio.SocketStream,
         target: trio.SocketStream,
         is_answer: bool,
-        scope: trio.CancelScope,
+        connection_scope: trio.CancelScope,
     ) -> None:
-        """Pass one direction on, as the harm of the moment allows."""
+        """Forward one direction, subject to the current fault."""
         try:
             async for data in source:
-                if self.harm is Harm.DELAY:
+                if self.fault is LinkFault.DELAY:
                     await trio.sleep(_DELAY_S)
-                while carried.is_stranded or self._holds_back(is_answer):
+                while connection.is_stranded or self._is_blocked(is_answer):
                     await trio.sleep(_POLL_S)
                 await target.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        scope.cancel()
+        connection_scope.cancel()
 
-    def _holds_back(self, is_answer: bool) -> bool:
-        if self.harm is Harm.SILENCE:
+    def _is_blocked(self, is_answer: bool) -> bool:
+        if self.fault is LinkFault.SILENCE:
             return True
-        return self.harm is Harm.ONE_WAY and is_answer
+        return self.fault is LinkFault.ONE_WAY and is_answer
 
-    async def _watch(
-        self, caller: trio.SocketStream, scope: trio.CancelScope
+    async def _reset_on_fault(
+        self, client: trio.SocketStream, connection_scope: trio.CancelScope
     ) -> None:
-        """Reset the connection when it is to be reset."""
-        while self.harm is not Harm.RESET:
+        """Reset the connection once the fault is `RESET`."""
+        while self.fault is not LinkFault.RESET:
             await trio.sleep(_POLL_S)
-        # Closed with this option, a socket sends a reset and no goodbye.
+        # With a linger time of 0, closing sends RST instead of FIN.
         linger = struct.pack("ii", 1, 0)
-        caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-        scope.cancel()
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+        connection_scope.cancel()
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: load, drawn faults, calm, and the oracle's verdict."""
+"""One soak: load, random faults, recovery, and the oracles' verdict."""
 
 import dataclasses
 import enum
@@ -23,25 +23,25 @@
 from standins.soak import proxy as proxies
 from standins.soak import world as worlds
 
-# The rules that soaks are judged by.
+# The rules that soaks check.
 CHECKED = oracles.RULES | change_rules.RULES | cuts.RULES | {rules.Rule.DRAIN}
 
-_TRIES = 6
-_TIMEOUT_S = 3.0
-_RESTART_S = 0.8
-# An entry's calls in so short a time are few: its open watches lose their
-# answers, and nothing else tells it.
-_LOST_S = 0.1
+_SUBMIT_TRIES = 6
+_CALL_TIMEOUT_S = 3.0
+_RESTART_DELAY_S = 0.8
+# An entry makes few calls to the store in so short a time: its open watches
+# lose their answers, and no other failed call makes the entry notice.
+_LOST_ANSWERS_S = 0.1
 _LONGEST_PAUSE_S = 4.0
-_START_S = 20.0
-# Workers that could not be reached are waited out for 7.6 s, then gangs start
-# anew; twice that is calm enough for everything to end.
-_CALM_LIMIT_S = 60.0
+_START_STOP_TIMEOUT_S = 20.0
+# Entries wait 7.6 s for unreachable workers before they start gangs again.
+# Twice that time without faults is enough for all jobs to end.
+_JOB_END_TIMEOUT_S = 60.0
 _QUEUE = queues.Queue("q", worlds.HOST, worlds.PREFIX, worlds.POOL, 1, 3, 2.0)
 
 
 class Fault(enum.StrEnum):
-    """What is done from outside."""
+    """Faults that a soak injects from outside the entries."""
 
     KILL = "kill"
     KILL_ALL = "kill-all"
@@ -53,69 +53,69 @@
     STORE_AWAY = "store-away"
     STORE_LOSES = "store-loses"
     COMPACT = "compact"
-    LOSE_ANSWERS = "lose-answers"  # of one entry, for a moment
-    REFUSE_WATCHES = "refuse-watches"  # of the operators' keys
-    PAUSE_OTHERS = "pause-others"  # all but one
-    LOSE_PEERS = "lose-peers"  # a lost answer, then the others pause
+    LOSE_ANSWERS = "lose-answers"  # of the store to one entry, for 0.1 s
+    REFUSE_WATCHES = "refuse-watches"  # of the keys that operators write
+    PAUSE_OTHERS = "pause-others"  # all entries but one
+    LOSE_PEERS = "lose-peers"  # lost answers to one entry, others pause
     DRAIN_WORKER = "drain-worker"
     SHRINK_WORKER = "shrink-worker"
-    RESTART_WORKER = "restart-worker"  # under its id
-    FAIL_ALL = "fail-all"  # a worker fails what it starts
+    RESTART_WORKER = "restart-worker"  # under the same id
+    FAIL_ALL = "fail-all"  # a worker fails each task that it starts
     SLOW_WORKER = "slow-worker"
-    STALL_WORKER = "stall-worker"  # its tasks stand still, its answers don't
+    STALL_WORKER = "stall-worker"  # no progress of tasks, but answers
 
 
-# How fast the tasks of a worker go on.
-_SPEEDS = {Fault.SLOW_WORKER: 0.25, Fault.STALL_WORKER: 0.0}
+# Relative speed of the tasks on a worker.
+_TASK_SPEEDS = {Fault.SLOW_WORKER: 0.25, Fault.STALL_WORKER: 0.0}
 
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """How large and how long a soak is.
+    """Size, load and length of a soak.
 
     Attributes:
-        entries: Entry processes.
-        hosts: Workers.
-        per_s: Jobs a second.
-        length_s: Seconds in which jobs and faults come.
-        faults: How many faults.
-        crashing: The tasks of one job in so many crash each worker they
-            start on; 0 for none.
-        kinds: What faults are drawn from.
+        entry_count: Number of entry processes.
+        worker_count: Number of workers.
+        jobs_per_s: Jobs submitted per second.
+        length_s: Seconds during which jobs are submitted and faults injected.
+        fault_count: Number of faults.
+        jobs_per_crashing_job: One in this many jobs has tasks that crash each
+            worker they start on; 0 for none.
+        fault_kinds: The kinds that faults are drawn from.
     """
 
-    entries: int = 4
-    hosts: int = 6
-    per_s: float = 2.0
+    entry_count: int = 4
+    worker_count: int = 6
+    jobs_per_s: float = 2.0
     length_s: float = 15.0
-    faults: int = 5
-    crashing: int = 20
-    kinds: tuple[Fault, ...] = tuple(Fault)
+    fault_count: int = 5
+    jobs_per_crashing_job: int = 20
+    fault_kinds: tuple[Fault, ...] = tuple(Fault)
 
 
 @dataclasses.dataclass
 class Result:
-    """What a soak found.
+    """Findings of a soak.
 
     Attributes:
-        broken: Broken promises, a line each.
-        accepted: Jobs whose hand-in was confirmed.
-        crashes: How often a task has crashed its worker.
-        faults: What was done, in order.
-        changes: What was seen of changes of the configuration.
-        cuts: What was seen of requests that were cut.
+        broken: Violations, one line each.
+        accepted: Number of jobs whose submission was confirmed.
+        crashes: How often a task crashed its worker.
+        faults: The injected faults, in order.
+        config_oracle: Findings about changes of the configuration.
+        cut_checker: Findings about requests that were cut.
     """
 
     broken: list[str]
     accepted: int
     crashes: int
     faults: list[str]
-    changes: change_rules.Changes
-    cuts: cuts.Cuts
+    config_oracle: change_rules.Changes
+    cut_checker: cuts.CutRequestChecker
 
     @property
     def verdict(self) -> str:
-        """Whether all promises were kept; a run without a case says nothing."""
+        """Whether all rules held; without accepted jobs nothing was judged."""
         if self.broken:
             return "broken"
         return "kept" if self.accepted else "judged nothing"
@@ -125,40 +125,47 @@
         cases = {
             "jobs": self.accepted,
             "crashes": self.crashes,
-            "changes": self.changes.judged,
-            "cut requests": self.cuts.judged,
+            "changes": self.config_oracle.judged,
+            "cut requests": self.cut_checker.judged,
         }
         return [check for check, count in cases.items() if not count]
 
 
-async def soak(seed: int, shape: Shape, folder: pathlib.Path) -> Result:
-    """Play one soak; ends the processes that it started.
+async def soak(seed: int, shape: Shape, log_folder: pathlib.Path) -> Result:
+    """Run one soak, and stop the processes that it started.
 
     Args:
-        seed: Draws load and faults; real time makes each run differ.
-        shape: Size and length.
-        folder: Where the entries' logs go.
+        seed: Seeds load and faults. Runs of one seed still differ, since the
+            processes run in real time.
+        shape: Size, load and length.
+        log_folder: Folder for the entries' logs.
     """
-    world = worlds.World(seed, shape.entries, shape.hosts, folder)
-    played = _Soak(world, shape, random.Random(seed))
+    world = worlds.World(
+        seed, shape.entry_count, shape.worker_count, log_folder
+    )
+    soak_run = _SoakRun(world, shape, random.Random(seed))
     try:
         async with trio.open_nursery() as nursery:
             await nursery.start(world.run)
-            await played.run()
+            await soak_run.run()
             nursery.cancel_scope.cancel()
     finally:
         world.processes.stop_all()
     return Result(
-        world.oracle.broken + world.changes.broken + world.cuts.broken,
+        world.oracle.broken
+        + world.config_oracle.broken
+        + world.cut_checker.broken,
         len(world.oracle.accepted),
         len(world.oracle.crashed_at),
-        played.faults,
-        world.changes,
-        world.cuts,
+        soak_run.faults,
+        world.config_oracle,
+        world.cut_checker,
     )
 
 
-class _Soak:
+class _SoakRun:
+    """Callers and faults of one soak."""
+
     def __init__(
         self, world: worlds.World, shape: Shape, rng: random.Random
     ) -> None:
@@ -166,74 +173,79 @@
         self.shape = shape
         self.rng = rng
         self.faults: list[str] = []
-        self._drawn = 0
+        self._job_count = 0
         self._pool = httpcore.AsyncConnectionPool(max_connections=100)
-        self._changing = changing.Changing(world, random.Random(rng.random()))
+        self._config_tester = changing.ConfigTester(
+            world, random.Random(rng.random())
+        )
 
     async def run(self) -> None:
-        """Load and harm the system, then wait for calm and judge."""
-        await self._wait_until_served()
-        async with trio.open_nursery() as calling:
-            calling.start_soon(self._changing.change)
-            calling.start_soon(self._changing.ask_all)
-            await self._play_faults()
-            calling.cancel_scope.cancel()
-        # Entries that lost all power beside an unreadable document have none.
+        """Apply load and faults, wait for the jobs to end, and check them."""
+        await self._wait_until_serving()
+        async with trio.open_nursery() as config_nursery:
+            config_nursery.start_soon(self._config_tester.write_changes)
+            config_nursery.start_soon(self._config_tester.call_all_entries)
+            await self._apply_load_and_faults()
+            config_nursery.cancel_scope.cancel()
+        # Entries that restarted while the document was unreadable have no
+        # configuration yet.
         self.world.operators.write(trio.current_time())
-        states = await self._wait_for_ends()
+        states = await self._wait_for_jobs()
         self.world.oracle.check_over(states)
-        await self._changing.aclose()
+        await self._config_tester.aclose()
         await self._pool.aclose()
 
-    async def _play_faults(self) -> None:
+    async def _apply_load_and_faults(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._load, nursery)
-            for _ in range(self.shape.faults):
-                at = self.rng.uniform(0.5, self.shape.length_s)
-                fault = self.rng.choice(self.shape.kinds)
-                for_s = self.rng.uniform(0.5, 4.0)
-                nursery.start_soon(self._strike, at, fault, for_s)
+            nursery.start_soon(self._submit_jobs, nursery)
+            for _ in range(self.shape.fault_count):
+                delay_s = self.rng.uniform(0.5, self.shape.length_s)
+                fault = self.rng.choice(self.shape.fault_kinds)
+                duration_s = self.rng.uniform(0.5, 4.0)
+                nursery.start_soon(
+                    self._inject_fault, delay_s, fault, duration_s
+                )
 
     # Callers.
 
-    async def _wait_until_served(self) -> None:
-        with trio.fail_after(_START_S):
-            while await self._ask("GET", "", None) != 200:
+    async def _wait_until_serving(self) -> None:
+        with trio.fail_after(_START_STOP_TIMEOUT_S):
+            while await self._call_for_status("GET", "", None) != 200:
                 await trio.sleep(0.2)
 
-    async def _load(self, nursery: trio.Nursery) -> None:
-        until = trio.current_time() + self.shape.length_s
-        while trio.current_time() < until:
-            nursery.start_soon(self._submit)
-            await trio.sleep(self.rng.expovariate(self.shape.per_s))
+    async def _submit_jobs(self, nursery: trio.Nursery) -> None:
+        load_ends_at = trio.current_time() + self.shape.length_s
+        while trio.current_time() < load_ends_at:
+            nursery.start_soon(self._submit_job)
+            await trio.sleep(self.rng.expovariate(self.shape.jobs_per_s))
 
-    async def _submit(self) -> None:
-        """Hand a job in as a caller with retries does; cancel some."""
+    async def _submit_job(self) -> None:
+        """Submit a job with retries, as callers do; cancel some of the jobs."""
         job_id = f"{self.rng.getrandbits(64):016x}"
         body = self._draw_body()
         oracle = self.world.oracle
         oracle.jobs[job_id] = platform.parse_submission(
             body, job_id, _QUEUE, "a", time.time()
         )
-        cancels = self.rng.random() < 0.1
-        only_refused = True
+        should_cancel = self.rng.random() < 0.1
+        all_refused = True
         sent_at = trio.current_time()
-        for _ in range(_TRIES):
-            status = await self._ask("POST", job_id, body)
+        for _ in range(_SUBMIT_TRIES):
+            status = await self._call_for_status("POST", job_id, body)
             if status == 200:
                 oracle.accepted.add(job_id)
                 break
-            only_refused &= status in (429, 503)
+            all_refused &= status in (429, 503)
             await trio.sleep(0.5)
         oracle.tries.append((sent_at, job_id in oracle.accepted))
         if job_id not in oracle.accepted:
-            if only_refused:
+            if all_refused:
                 oracle.refused.add(job_id)
             return
-        if cancels:
+        if should_cancel:
             await trio.sleep(self.rng.uniform(0.1, 2.0))
             oracle.asked_to_cancel.add(job_id)
-            if await self._ask("DELETE", job_id, None) == 200:
+            if await self._call_for_status("DELETE", job_id, None) == 200:
                 oracle.cancelled[job_id] = trio.current_time()
 
     def _draw_body(self) -> bytes:
@@ -248,29 +260,29 @@
         steps = [step]
         if self.rng.random() < 0.3:
             steps.append(step | {"gang": False, "after": [0]})
-        return orjson.dumps({"spec": self._choose_spec(), "steps": steps})
+        return orjson.dumps({"spec": self._choose_task_spec(), "steps": steps})
 
-    def _choose_spec(self) -> str:
-        self._drawn += 1
-        every = self.shape.crashing
-        crashes = every > 0 and self._drawn % every == 0
-        return workers.CRASHING if crashes else "soak"
+    def _choose_task_spec(self) -> str:
+        self._job_count += 1
+        interval = self.shape.jobs_per_crashing_job
+        is_crashing = interval > 0 and self._job_count % interval == 0
+        return workers.CRASHING if is_crashing else "soak"
 
-    async def _ask(
+    async def _call_for_status(
         self, method: str, job_id: str, body: bytes | None
     ) -> int | None:
-        """Call some entry; None if it gave no whole answer."""
+        """Call a random entry; return None without a complete answer."""
         status, _ = await self._call(method, job_id, body)
         return status
 
     async def _call(
         self, method: str, job_id: str, body: bytes | None
     ) -> tuple[int | None, bytes]:
-        name = self.rng.choice(self.world.entries)
+        name = self.rng.choice(self.world.entry_names)
         url = self.world.urls[name]
         sent_at = trio.current_time()
-        waits = ("connect", "read", "write", "pool")
-        timeouts = dict.fromkeys(waits, _TIMEOUT_S)
+        phases = ("connect", "read", "write", "pool")
+        timeouts = dict.fromkeys(phases, _CALL_TIMEOUT_S)
         try:
             response = await self._pool.request(
                 method,
@@ -283,14 +295,16 @@
             return None, b""
         except (httpcore.NetworkError, httpcore.ProtocolError):
             now = trio.current_time()
-            self.world.cuts.note_cut(cuts.Cut(name, sent_at, now))
+            self.world.cut_checker.check_cut_request(
+                cuts.CutRequest(name, sent_at, now)
+            )
             return None, b""
         return response.status, response.content
 
-    async def _wait_for_ends(self) -> dict[str, str | None]:
-        """Read the states of all accepted jobs until all have ended."""
+    async def _wait_for_jobs(self) -> dict[str, str | None]:
+        """Poll the states of all accepted jobs until all have ended."""
         states: dict[str, str | None] = {}
-        with trio.move_on_after(_CALM_LIMIT_S):
+        with trio.move_on_after(_JOB_END_TIMEOUT_S):
             for job_id in sorted(self.world.oracle.accepted):
                 while states.get(job_id) not in ("done", "failed", "cancelled"):
                     states[job_id] = await self._read_state(job_id)
@@ -306,124 +320,149 @@
 
     # Faults.
 
-    async def _strike(self, at: float, fault: Fault, for_s: float) -> None:
-        """Do one thing, and take it back after its time."""
-        await trio.sleep(at)
-        name = self.rng.choice(self.world.entries)
+    async def _inject_fault(
+        self, delay_s: float, fault: Fault, duration_s: float
+    ) -> None:
+        """Inject one fault after a delay, and remove it after its duration."""
+        await trio.sleep(delay_s)
+        entry = self.rng.choice(self.world.entry_names)
         worker = self.rng.choice(sorted(self.world.workers))
-        harm = self.rng.choice(
-            [harm for harm in proxies.Harm if harm is not proxies.Harm.NONE]
+        link_fault = self.rng.choice(
+            [
+                link_fault
+                for link_fault in proxies.LinkFault
+                if link_fault is not proxies.LinkFault.NONE
+            ]
+        )
+        self.faults.append(
+            f"{delay_s:.1f} {fault} {entry} {worker} {link_fault}"
         )
-        self.faults.append(f"{at:.1f} {fault} {name} {worker} {harm}")
         match fault:
             case Fault.KILL:
-                await self._kill([name])
+                await self._kill_entries([entry])
             case Fault.KILL_ALL:
-                await self._kill(self.world.entries)
+                await self._kill_entries(self.world.entry_names)
             case Fault.PAUSE:
-                self.world.signal(name, signal.SIGSTOP)
-                await trio.sleep(for_s)
-                self.world.signal(name, signal.SIGCONT)
+                self.world.send_signal(entry, signal.SIGSTOP)
+                await trio.sleep(duration_s)
+                self.world.send_signal(entry, signal.SIGCONT)
             case Fault.STOP:
-                await self._stop(name)
+                await self._stop_entry(entry)
             case Fault.HANG_UP:
-                self.world.signal(name, signal.SIGHUP)
+                self.world.send_signal(entry, signal.SIGHUP)
             case Fault.DRAIN_WORKER:
                 await self.world.drain_worker(worker)
             case Fault.SHRINK_WORKER:
-                await self.world.shrink_worker(worker, for_s)
+                await self.world.shrink_worker(worker, duration_s)
             case Fault.RESTART_WORKER:
-                ending = self.rng.choice(list(proxies.Ending))
-                await self.world.restart_worker(worker, ending, for_s)
+                process_end = self.rng.choice(list(proxies.ProcessEnd))
+                await self.world.restart_worker(worker, process_end, duration_s)
             case Fault.FAIL_ALL | Fault.SLOW_WORKER | Fault.STALL_WORKER:
-                await self._spoil(self.world.workers[worker], fault, for_s)
+                await self._impair_tasks(
+                    self.world.workers[worker], fault, duration_s
+                )
             case _:
-                await self._strike_around(name, worker, harm, fault, for_s)
+                await self._inject_dependency_fault(
+                    entry, worker, link_fault, fault, duration_s
+                )
 
-    async def _strike_around(
+    async def _inject_dependency_fault(
         self,
-        name: str,
+        entry: str,
         worker: str,
-        harm: proxies.Harm,
+        link_fault: proxies.LinkFault,
         fault: Fault,
-        for_s: float,
+        duration_s: float,
     ) -> None:
-        """Harm what an entry depends on: links, store and peers."""
+        """Inject a fault into what an entry depends on: links, store, peers."""
         match fault:
             case Fault.HARM_STORE_LINK:
-                await self._harm(self.world.store_proxies[name], harm, for_s)
+                await self._apply_link_fault(
+                    self.world.store_proxies[entry], link_fault, duration_s
+                )
             case Fault.HARM_WORKER_LINK:
-                await self._harm(self.world.worker_proxies[worker], harm, for_s)
+                await self._apply_link_fault(
+                    self.world.worker_proxies[worker], link_fault, duration_s
+                )
             case Fault.STORE_AWAY:
-                await self._harm_store(stores.StoreFault.BUSY, for_s)
+                await self._apply_store_fault(
+                    stores.StoreFault.BUSY, duration_s
+                )
             case Fault.STORE_LOSES:
-                await self._harm_store(stores.StoreFault.LOST, for_s)
+                await self._apply_store_fault(
+                    stores.StoreFault.LOST, duration_s
+                )
             case Fault.COMPACT:
                 self.world.store.forget_history()
             case Fault.LOSE_ANSWERS:
-                await self._lose_answers(name)
+                await self._lose_store_answers(entry)
             case Fault.REFUSE_WATCHES:
                 self.world.store.refused_watches.add("op/")
-                await trio.sleep(for_s)
+                await trio.sleep(duration_s)
                 self.world.store.refused_watches.clear()
             case Fault.PAUSE_OTHERS:
-                await self._pause_others(name, for_s)
+                await self._pause_other_entries(entry, duration_s)
             case Fault.LOSE_PEERS:
-                await self._lose_answers(name)
-                await trio.sleep(for_s)
-                await self._pause_others(name, _LONGEST_PAUSE_S)
+                await self._lose_store_answers(entry)
+                await trio.sleep(duration_s)
+                await self._pause_other_entries(entry, _LONGEST_PAUSE_S)
 
-    async def _spoil(
-        self, worker: workers.Worker, fault: Fault, for_s: float
+    async def _impair_tasks(
+        self, worker: workers.Worker, fault: Fault, duration_s: float
     ) -> None:
-        """Let a worker do its work badly for some seconds."""
+        """Make a worker fail, slow down or stall its tasks for some seconds."""
         worker.fails_all = fault is Fault.FAIL_ALL
-        worker.speed = _SPEEDS.get(fault, 1.0)
-        await trio.sleep(for_s)
+        worker.speed = _TASK_SPEEDS.get(fault, 1.0)
+        await trio.sleep(duration_s)
         worker.fails_all = False
         worker.speed = 1.0
 
-    async def _lose_answers(self, name: str) -> None:
-        self.world.store.turned_away[name] = stores.StoreFault.SILENT
-        await trio.sleep(_LOST_S)
-        self.world.store.turned_away.pop(name, None)
+    async def _lose_store_answers(self, entry: str) -> None:
+        self.world.store.turned_away[entry] = stores.StoreFault.SILENT
+        await trio.sleep(_LOST_ANSWERS_S)
+        self.world.store.turned_away.pop(entry, None)
 
-    async def _pause_others(self, name: str, for_s: float) -> None:
-        others = [other for other in self.world.entries if other != name]
+    async def _pause_other_entries(self, entry: str, duration_s: float) -> None:
+        others = [other for other in self.world.entry_names if other != entry]
         for other in others:
-            self.world.signal(other, signal.SIGSTOP)
-        await trio.sleep(for_s)
+            self.world.send_signal(other, signal.SIGSTOP)
+        await trio.sleep(duration_s)
         for other in others:
-            self.world.signal(other, signal.SIGCONT)
+            self.world.send_signal(other, signal.SIGCONT)
 
-    async def _kill(self, names: list[str]) -> None:
+    async def _kill_entries(self, names: list[str]) -> None:
         for name in names:
-            self.world.signal(name, signal.SIGKILL)
-        await trio.sleep(_RESTART_S)
-        await self._restart(names)
-        if len(names) == len(self.world.entries):
+            self.world.send_signal(name, signal.SIGKILL)
+        await trio.sleep(_RESTART_DELAY_S)
+        await self._restart_entries(names)
+        if len(names) == len(self.world.entry_names):
             self.world.oracle.back_at = trio.current_time()
 
-    async def _stop(self, name: str) -> None:
-        self.world.signal(name, signal.SIGTERM)
-        with trio.move_on_after(_START_S):
+    async def _stop_entry(self, name: str) -> None:
+        self.world.send_signal(name, signal.SIGTERM)
+        with trio.move_on_after(_START_STOP_TIMEOUT_S):
             while self.world.processes.is_running(name):
                 await trio.sleep(0.1)
-        await self._restart([name])
+        await self._restart_entries([name])
 
-    async def _restart(self, names: list[str]) -> None:
+    async def _restart_entries(self, names: list[str]) -> None:
         for name in names:
             if not self.world.processes.is_running(name):
                 self.world.start_entry(name)
 
-    async def _harm(
-        self, proxy: proxies.Proxy, harm: proxies.Harm, for_s: float
+    async def _apply_link_fault(
+        self,
+        proxy: proxies.Proxy,
+        link_fault: proxies.LinkFault,
+        duration_s: float,
     ) -> None:
-        proxy.harm = harm
-        await trio.sleep(for_s)
-        proxy.harm = proxies.Harm.NONE
+        proxy.fault = link_fault
+        await trio.sleep(duration_s)
+        proxy.fault = proxies.LinkFault.NONE
 
-    async def _harm_store(self, fault: stores.StoreFault, for_s: float) -> None:
+    async def _apply_store_fault(
+        self, fault: stores.StoreFault, duration_s: float
+    ) -> None:
         self.world.store.fault = fault
-        await trio.sleep(for_s)
+        await trio.sleep(duration_s)
         self.world.store.fault = stores.StoreFault.NONE
--- a/standins/soak/tests/test_changes.py
+++ b/standins/soak/tests/test_changes.py
@@ -11,52 +11,54 @@
 from standins.soak import changing
 from standins.soak import world as worlds
 
-_SETTLED_S = 6.0
-_LOST_S = 0.1
-_ASKED_S = 4.5
-_ASKING_S = 0.05
-_REST_S = 4.0
+_START_WAIT_S = 6.0
+_LOST_ANSWERS_S = 0.1
+_CALL_DURATION_S = 4.5
+_CALL_INTERVAL_S = 0.05
+_RECOVERY_S = 4.0
 _ROUTE, _KEY = operators.ROUTES[0], operators.KEYS[0]
 
 
-async def _change_alone(world, calls, name, wait_s):
-    """Change the configuration where one entry alone can notice."""
-    others = [other for other in world.entries if other != name]
+async def _change_while_peers_are_paused(world, config_tester, name, wait_s):
+    """Change the configuration while all peers of one entry are paused."""
+    others = [other for other in world.entry_names if other != name]
     world.store.turned_away[name] = stores.StoreFault.SILENT
-    await trio.sleep(_LOST_S)
+    await trio.sleep(_LOST_ANSWERS_S)
     del world.store.turned_away[name]
     await trio.sleep(wait_s)
     for other in others:
-        world.signal(other, signal.SIGSTOP)
-    await trio.sleep(_ASKING_S)
+        world.send_signal(other, signal.SIGSTOP)
+    await trio.sleep(_CALL_INTERVAL_S)
     world.operators.toggle(_ROUTE, _KEY, trio.current_time())
-    with trio.move_on_after(_ASKED_S):
+    with trio.move_on_after(_CALL_DURATION_S):
         async with trio.open_nursery() as nursery:
             while True:
-                nursery.start_soon(calls.ask, name, _ROUTE, _KEY)
-                await trio.sleep(_ASKING_S)
+                nursery.start_soon(config_tester.call_entry, name, _ROUTE, _KEY)
+                await trio.sleep(_CALL_INTERVAL_S)
     for other in others:
-        world.signal(other, signal.SIGCONT)
+        world.send_signal(other, signal.SIGCONT)
 
 
-# Callers of an entry are served on a route that was taken away seconds ago:
-# its watch has lost one answer, and no peer runs that could tell it.
+# Guards against an entry that serves a route removed seconds ago: the answer to
+# its watch is lost, and its paused peers can't tell it about the change.
 @pytest.mark.parametrize("wait_s", [1.1, 1.4, 1.9])
 async def test_change_is_in_force_in_time_while_all_peers_are_paused(
     wait_s, tmp_path
 ):
     world = worlds.World(1, 3, 2, tmp_path)
-    calls = changing.Changing(world, random.Random(1))
+    config_tester = changing.ConfigTester(world, random.Random(1))
     try:
         async with trio.open_nursery() as nursery:
             await nursery.start(world.run)
-            await trio.sleep(_SETTLED_S)
-            for name in world.entries:
-                await _change_alone(world, calls, name, wait_s)
-                await trio.sleep(_REST_S)
+            await trio.sleep(_START_WAIT_S)
+            for name in world.entry_names:
+                await _change_while_peers_are_paused(
+                    world, config_tester, name, wait_s
+                )
+                await trio.sleep(_RECOVERY_S)
             nursery.cancel_scope.cancel()
-        await calls.aclose()
+        await config_tester.aclose()
     finally:
         world.processes.stop_all()
-    assert world.changes.broken == []
-    assert world.changes.judged > 100
+    assert world.config_oracle.broken == []
+    assert world.config_oracle.judged > 100
--- a/standins/soak/tests/test_cuts.py
+++ b/standins/soak/tests/test_cuts.py
@@ -1,4 +1,4 @@
-"""Requests that end without an answer beside planned work."""
+"""Tests for requests that are cut during planned stops and reloads."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from standins.soak import cuts
 
 
-# A caller's connection ends without an answer while its entry is being stopped
-# as planned. The stop was at 10 s; something unplanned at another time.
+# A connection ends without an answer around a planned stop that begins at 10 s.
+# An unplanned impairment at about that time excuses it.
 @pytest.mark.parametrize(
     ("sent_at", "ended_at", "impaired_at", "broken"),
     [
@@ -21,12 +21,14 @@
         (10.5, 11.0, 10.8, False),
     ],
 )
-def test_request_that_is_cut(sent_at, ended_at, impaired_at, broken):
-    unplanned = touches.Touch()
+def test_cut_request_during_planned_stop(
+    sent_at, ended_at, impaired_at, broken
+):
+    unplanned_impairments = touches.Touch()
     if impaired_at is not None:
-        unplanned.note_impaired("e0", impaired_at)
-    held = cuts.Cuts(unplanned)
-    held.note_planned("e0", 10.0)
-    held.note_cut(cuts.Cut("e0", sent_at, ended_at))
-    held.note_cut(cuts.Cut("e1", sent_at, ended_at))
-    assert bool(held.broken) is broken
+        unplanned_impairments.note_impaired("e0", impaired_at)
+    checker = cuts.CutRequestChecker(unplanned_impairments)
+    checker.record_planned_event("e0", 10.0)
+    checker.check_cut_request(cuts.CutRequest("e0", sent_at, ended_at))
+    checker.check_cut_request(cuts.CutRequest("e1", sent_at, ended_at))
+    assert bool(checker.broken) is broken
--- a/standins/soak/tests/test_proxy.py
+++ b/standins/soak/tests/test_proxy.py
@@ -5,7 +5,7 @@
 
 from standins.soak import proxy as proxies
 
-Harm = proxies.Harm
+LinkFault = proxies.LinkFault
 
 
 async def _echo(stream):
@@ -13,8 +13,8 @@
         await stream.send_all(data)
 
 
-async def _exchange(harm):
-    """Send through a harmed proxy; return what comes back in half a second."""
+async def _exchange(fault):
+    """Send a byte through a faulty proxy; return what comes back in 0.5 s."""
     async with trio.open_nursery() as nursery:
         serve = functools.partial(trio.serve_tcp, host="127.0.0.1")
         [listener] = await nursery.start(serve, _echo, 0)
@@ -23,7 +23,7 @@
         stream = await trio.open_tcp_stream("127.0.0.1", proxy.port)
         await stream.send_all(b"a")
         assert await stream.receive_some(1) == b"a"
-        proxy.harm = harm
+        proxy.fault = fault
         await trio.sleep(0.1)
         answer = b"nothing"
         with trio.move_on_after(0.5):
@@ -37,21 +37,21 @@
 
 
 @pytest.mark.parametrize(
-    ("harm", "answer"),
+    ("fault", "answer"),
     [
-        (Harm.NONE, b"b"),
-        (Harm.DELAY, b"nothing"),
-        (Harm.SILENCE, b"nothing"),
-        (Harm.ONE_WAY, b"nothing"),
-        (Harm.RESET, b"reset"),
+        (LinkFault.NONE, b"b"),
+        (LinkFault.DELAY, b"nothing"),
+        (LinkFault.SILENCE, b"nothing"),
+        (LinkFault.ONE_WAY, b"nothing"),
+        (LinkFault.RESET, b"reset"),
     ],
 )
-async def test_what_a_harmed_proxy_does(harm, answer):
-    assert await _exchange(harm) == answer
+async def test_proxy_injects_fault(fault, answer):
+    assert await _exchange(fault) == answer
 
 
-async def _try(port):
-    """Exchange a byte over a new connection; tell how that went."""
+async def _exchange_on_new_connection(port):
+    """Exchange a byte over a new connection; return the outcome."""
     with trio.move_on_after(0.3):
         try:
             stream = await trio.open_tcp_stream("127.0.0.1", port)
@@ -66,14 +66,16 @@
 
 
 @pytest.mark.parametrize(
-    ("ending", "opened", "fresh"),
+    ("process_end", "old_outcome", "new_outcome"),
     [
-        (proxies.Ending.RESET, "reset", "reset"),
-        (proxies.Ending.REFUSE, "reset", "refused"),
-        (proxies.Ending.STRAND, "silent", "silent"),
+        (proxies.ProcessEnd.RESET, "reset", "reset"),
+        (proxies.ProcessEnd.REFUSE, "reset", "refused"),
+        (proxies.ProcessEnd.STRAND, "silent", "silent"),
     ],
 )
-async def test_connections_end_with_their_process(ending, opened, fresh):
+async def test_proxy_emulates_end_of_process(
+    process_end, old_outcome, new_outcome
+):
     async with trio.open_nursery() as nursery:
         serve = functools.partial(trio.serve_tcp, host="127.0.0.1")
         [listener] = await nursery.start(serve, _echo, 0)
@@ -82,19 +84,19 @@
         stream = await trio.open_tcp_stream("127.0.0.1", proxy.port)
         await stream.send_all(b"a")
         assert await stream.receive_some(1) == b"a"
-        proxy.end_process(ending)
+        proxy.end_process(process_end)
         await trio.sleep(0.1)
-        assert await _try(proxy.port) == fresh
+        assert await _exchange_on_new_connection(proxy.port) == new_outcome
         proxy.start_process()
         await trio.sleep(0.1)
-        assert await _try(proxy.port) == "answered"
-        seen = "silent"
+        assert await _exchange_on_new_connection(proxy.port) == "answered"
+        outcome = "silent"
         with trio.move_on_after(0.3):
             try:
                 await stream.send_all(b"b")
                 await stream.receive_some(1)
-                seen = "answered"
+                outcome = "answered"
             except trio.BrokenResourceError:
-                seen = "reset"
-        assert seen == opened
+                outcome = "reset"
+        assert outcome == old_outcome
         nursery.cancel_scope.cancel()
--- a/standins/soak/tests/test_soak.py
+++ b/standins/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes; longer ones: python -m standins.soak."""
+"""Short soaks of real processes; longer ones: python -m standins.soak."""
 
 import dataclasses
 
@@ -11,52 +11,60 @@
 from standins.soak import __main__ as commands
 from standins.soak import cuts
 
-_SHAPE = soak.Shape(entries=3, hosts=4, per_s=2.0, length_s=6.0, faults=3)
-_CRASHING = soak.Shape(
-    entries=3, hosts=6, per_s=2.0, length_s=6.0, faults=1, crashing=5
+_SHAPE = soak.Shape(
+    entry_count=3, worker_count=4, jobs_per_s=2.0, length_s=6.0, fault_count=3
+)
+_CRASHING_SHAPE = soak.Shape(
+    entry_count=3,
+    worker_count=6,
+    jobs_per_s=2.0,
+    length_s=6.0,
+    fault_count=1,
+    jobs_per_crashing_job=5,
 )
 
 
-_RESTARTING = soak.Shape(
-    entries=3,
-    hosts=6,
-    per_s=3.0,
+_MANY_RESTARTS = soak.Shape(
+    entry_count=3,
+    worker_count=6,
+    jobs_per_s=3.0,
     length_s=12.0,
-    faults=12,
-    crashing=0,
-    kinds=(soak.Fault.RESTART_WORKER,),
+    fault_count=12,
+    jobs_per_crashing_job=0,
+    fault_kinds=(soak.Fault.RESTART_WORKER,),
 )
 
 
-# Too few restarts for a sound task to be given up after three of them.
-_RESTARTING_SELDOM = dataclasses.replace(_RESTARTING, length_s=8.0, faults=2)
+# Too few restarts for an innocent task to be given up after three crashes.
+_FEW_RESTARTS = dataclasses.replace(_MANY_RESTARTS, length_s=8.0, fault_count=2)
 
 
-# Callers see a job lost, run twice, or refused though it ran. Entries are
-# killed, paused and stopped, and their links to store and workers are harmed,
-# at times drawn from the seed.
+# Guards against jobs that are lost, run twice, or rejected although they ran.
+# Entries are killed, paused and stopped, and their links to store and workers
+# fail, at times drawn from the seed.
 @pytest.mark.parametrize("seed", [0, 1])
-async def test_entries_keep_their_promises_under_faults(seed, tmp_path):
+async def test_entries_break_no_rule_under_faults(seed, tmp_path):
     result = await soak.soak(seed, _SHAPE, tmp_path)
     assert result.broken == []
     assert result.accepted > 3
 
 
-# Callers see a job "running" for ever whose tasks end each worker that starts
-# them, and others that start again with each lost worker. Owner processes end
-# meanwhile, so the count of crashes has to outlive them.
+# Guards against a job that stays "running" forever because its tasks crash each
+# worker that starts them, and restarts other jobs with each lost worker. The
+# count of crashes must survive the end of the owner's process.
 async def test_jobs_that_crash_workers_are_given_up(tmp_path):
-    result = await soak.soak(2, _CRASHING, tmp_path)
+    result = await soak.soak(2, _CRASHING_SHAPE, tmp_path)
     assert result.broken == []
     assert result.accepted > 3
     assert result.crashes > 1
 
 
-# Tasks ran again whose ends a restarted worker had listed: the owner confirmed
-# them unread, since the next process had the id of the one before.
+# Guards against tasks that run again although a restarted worker had reported
+# their ends: its new process has the id of the previous one, so the owner
+# confirmed ends that it had not read.
 @pytest.mark.parametrize(
     ("seed", "shape"),
-    [(4, _RESTARTING), (5, _RESTARTING_SELDOM)],
+    [(4, _MANY_RESTARTS), (5, _FEW_RESTARTS)],
     ids=["often", "seldom"],
 )
 async def test_processes_of_one_worker_are_told_apart(seed, shape, tmp_path):
@@ -74,17 +82,22 @@
         (["1.0 twice: a"], 0, "broken"),
     ],
 )
-def test_soak_without_a_case_is_not_kept(broken, accepted, verdict):
-    """Entries that never served anybody passed for ones that kept all."""
-    seen = touch.Touch()
+def test_verdict_is_kept_only_if_jobs_were_accepted(broken, accepted, verdict):
+    """Guards against a verdict "kept" for entries that never served a job."""
+    impairments = touch.Touch()
     result = soak.Result(
-        broken, accepted, 0, [], changes.Changes(seen), cuts.Cuts(seen)
+        broken,
+        accepted,
+        0,
+        [],
+        changes.Changes(impairments),
+        cuts.CutRequestChecker(impairments),
     )
     assert result.verdict == verdict
     assert ("jobs" in result.list_idle_checks()) is (accepted == 0)
 
 
-def test_fault_that_does_not_exist_is_refused_with_those_that_do():
+def test_unknown_fault_is_rejected_with_list_of_faults():
     application = typer.Typer()
     application.command()(commands.run)
     runner = typer.testing.CliRunner()
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -1,4 +1,4 @@
-"""Store, workers, proxies and entry processes of one soak."""
+"""The system under soak: emulated store and workers, entry processes."""
 
 import collections
 import pathlib
@@ -22,82 +22,90 @@
 from standins.emulator import touch as touches
 from standins.emulator import worker as workers
 from standins.soak import cuts
+from standins.soak import platform_server
 from standins.soak import proxy as proxies
-from standins.soak import wire
 
 POOL = "match"
 HOST = "queue.example"
 PREFIX = "/match/"
 KEY = "key-of-a"
-_STEP_S = 0.02
-_HEARTBEAT_S = 1.5
-# A crashed worker is back after this, under another name at its address.
-_RETURN_S = 3.2
-_ROOM = work.Room(32_000, 131_072, 8)
+_STEP_INTERVAL_S = 0.02
+_HEARTBEAT_INTERVAL_S = 1.5
+# After this delay another worker runs at a crashed worker's address, under
+# another name.
+_REPLACEMENT_DELAY_S = 3.2
+_FULL_ROOM = work.Room(32_000, 131_072, 8)
 _SMALL_ROOM = work.Room(8_000, 65_536, 2)
-# A worker that leaves gets nothing new from two seconds on, and is gone later.
-_DRAIN_S = 2.0
-_LEAVES_S = 4.5
+# From two seconds after a worker started draining, no entry may start a task on
+# it. It exits later.
+_DRAIN_NOTICE_S = 2.0
+_DRAINED_EXIT_DELAY_S = 4.5
 
 
 class World:
-    """Everything but callers and faults."""
+    """Everything in a soak except callers and injected faults."""
 
     def __init__(
-        self, seed: int, entries: int, hosts: int, folder: pathlib.Path
+        self,
+        seed: int,
+        entry_count: int,
+        worker_count: int,
+        log_folder: pathlib.Path,
     ) -> None:
-        """Prepare a world; `run` starts it.
+        """Create a world; `run` starts it.
 
         Args:
-            seed: Draws clocks of workers and lost answers.
-            entries: How many entry processes.
-            hosts: How many workers.
-            folder: Where the processes' logs go.
+            seed: Seeds the clocks of the workers and the lost answers.
+            entry_count: Number of entry processes.
+            worker_count: Number of workers.
+            log_folder: Folder for the processes' logs.
         """
         self.oracle = oracles.Oracle()
-        self.touch = touches.Touch()
-        self.changes = change_rules.Changes(self.touch)
-        # The same without planned stops.
-        self.unplanned = touches.Touch()
-        self.cuts = cuts.Cuts(self.unplanned)
+        self.impairments = touches.Touch()
+        self.config_oracle = change_rules.Changes(self.impairments)
+        # Like `impairments`, but without planned stops.
+        self.unplanned_impairments = touches.Touch()
+        self.cut_checker = cuts.CutRequestChecker(self.unplanned_impairments)
         self.store = stores.Store(seed)
         self.operators = operators.Operators(
             self.store,
             "op/config",
-            self.changes,
+            self.config_oracle,
             _build_config(checks_room=seed % 2 == 0),
         )
         # How often each entry's process was started.
-        self.lives: collections.Counter[str] = collections.Counter()
-        self._paused: set[str] = set()
-        self._stopping: set[str] = set()
-        self.processes = processes.Processes(folder)
-        self.entries = [f"e{number}" for number in range(entries)]
+        self.start_counts: collections.Counter[str] = collections.Counter()
+        self._paused_entries: set[str] = set()
+        self._stopping_entries: set[str] = set()
+        self.processes = processes.Processes(log_folder)
+        self.entry_names = [f"e{number}" for number in range(entry_count)]
         self.urls: dict[str, str] = {}
         self.store_proxies: dict[str, proxies.Proxy] = {}
         self.worker_proxies: dict[str, proxies.Proxy] = {}
         self.workers: dict[str, workers.Worker] = {}
-        self._platform = wire.Platform()
+        self._platform = platform_server.Platform()
         self._ports = ports.Ports()
         self._settings: dict[str, dict[str, str]] = {}
         self._seed = seed
-        # Workers that check nothing start whatever they are told to.
-        self._guards = seed % 2 == 0
+        # Workers that don't check their room start every task they are sent.
+        self._workers_check_room = seed % 2 == 0
         self._gangs = workers.Gangs()
         self._policy = policies.Policy()
-        self._numbers: dict[str, int] = {}
-        for number in range(hosts):
+        self._worker_ports: dict[str, int] = {}
+        for number in range(worker_count):
             labels = frozenset({"a", f"r0-{number // 3}"})
             self._add_worker(f"w{number}", labels)
 
     def _add_worker(self, name: str, labels: frozenset[str]) -> None:
-        entry = orders.WorkerEntry(name, POOL, "", "dc", False, _ROOM, labels)
+        worker_entry = orders.WorkerEntry(
+            name, POOL, "", "dc", False, _FULL_ROOM, labels
+        )
         self._seed += 1
-        held = workers.Worker(
-            entry, self.oracle, self._gangs, self._policy, self._seed
+        worker = workers.Worker(
+            worker_entry, self.oracle, self._gangs, self._policy, self._seed
         )
-        held.guards = self._guards
-        self.workers[name] = held
+        worker.guards = self._workers_check_room
+        self.workers[name] = worker
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -106,227 +114,249 @@
         async with trio.open_nursery() as nursery:
             await self._serve_platform(nursery)
             self.operators.write(trio.current_time())
-            nursery.start_soon(self._beat)
-            nursery.start_soon(self._let_time_pass, nursery)
-            for name in self.entries:
+            nursery.start_soon(self._send_heartbeats)
+            nursery.start_soon(self._run_steps, nursery)
+            for name in self.entry_names:
                 self.start_entry(name)
             task_status.started()
 
     async def _serve_platform(self, nursery: trio.Nursery) -> None:
-        listed = self._ports.take(len(self.entries) + len(self.workers))
+        free_ports = self._ports.take(len(self.entry_names) + len(self.workers))
         config = server.build_config("127.0.0.1:0", 1.0, Metrics())
-        config.bind = [f"127.0.0.1:{number}" for number in listed]
+        config.bind = [f"127.0.0.1:{port}" for port in free_ports]
         await nursery.start(
             server.serve_http, self._platform, config, trio.sleep_forever
         )
-        for name in self.entries:
-            number = listed.pop()
-            self._platform.stores[number] = stores.StoreView(self.store, name)
-            self.store_proxies[name] = proxies.Proxy(number)
+        for name in self.entry_names:
+            port = free_ports.pop()
+            self._platform.stores[port] = stores.StoreView(self.store, name)
+            self.store_proxies[name] = proxies.Proxy(port)
             await nursery.start(self.store_proxies[name].run)
             self._settings[name] = self._build_settings(name)
         for name, worker in self.workers.items():
-            number = listed.pop()
-            self._numbers[name] = number
-            self._platform.workers[number] = _open_view(worker)
-            self._platform.lives[number] = name
-            self.worker_proxies[name] = proxies.Proxy(number)
+            port = free_ports.pop()
+            self._worker_ports[name] = port
+            self._platform.workers[port] = _build_worker_view(worker)
+            self._platform.worker_names[port] = name
+            self.worker_proxies[name] = proxies.Proxy(port)
             await nursery.start(self.worker_proxies[name].run)
 
     def _build_settings(self, name: str) -> dict[str, str]:
-        front, ready, mesh, metrics = self._ports.take(4)
-        self.urls[name] = f"http://127.0.0.1:{front}"
-        found = {
+        http_port, ready_port, mesh_port, metrics_port = self._ports.take(4)
+        self.urls[name] = f"http://127.0.0.1:{http_port}"
+        settings = {
             "NAME": name,
             "IP": "127.0.0.1",
-            "LISTEN": f"127.0.0.1:{front}",
-            "READY_LISTEN": f"127.0.0.1:{ready}",
-            "MESH_PORT": str(mesh),
-            "METRICS_PORT": str(metrics),
+            "LISTEN": f"127.0.0.1:{http_port}",
+            "READY_LISTEN": f"127.0.0.1:{ready_port}",
+            "MESH_PORT": str(mesh_port),
+            "METRICS_PORT": str(metrics_port),
             "STORE_ADDRESS": f"127.0.0.1:{self.store_proxies[name].port}",
         }
-        return {f"CROCUSROUTER_{key}": value for key, value in found.items()}
+        return {f"CROCUSROUTER_{key}": value for key, value in settings.items()}
 
-    async def _beat(self) -> None:
-        """Keep the workers listed, as they do by their heartbeats."""
-        number = 0
+    async def _send_heartbeats(self) -> None:
+        """Write the workers' entries regularly, as their heartbeats do."""
+        sequence = 0
         while True:
-            number += 1
+            sequence += 1
             for name in self.workers:
-                self._list_worker(name, number)
-            await trio.sleep(_HEARTBEAT_S)
+                self._write_worker_entry(name, sequence)
+            await trio.sleep(_HEARTBEAT_INTERVAL_S)
 
-    def _list_worker(self, name: str, number: int) -> None:
-        self.store.put(f"servers/{name}", self._list(name, number))
+    def _write_worker_entry(self, name: str, sequence: int) -> None:
+        self.store.put(
+            f"servers/{name}", self._build_worker_entry(name, sequence)
+        )
 
-    def _list(self, name: str, number: int) -> bytes:
+    def _build_worker_entry(self, name: str, sequence: int) -> bytes:
         worker = self.workers[name]
-        entry = worker.entry
+        worker_entry = worker.entry
         port = self.worker_proxies[name].port
         room = {
-            "cpu": entry.room.cpu,
-            "mem_mb": entry.room.memory_mb,
-            "gpu": entry.room.accelerators,
+            "cpu": worker_entry.room.cpu,
+            "mem_mb": worker_entry.room.memory_mb,
+            "gpu": worker_entry.room.accelerators,
         }
         return orjson.dumps(
             {
                 "service": POOL,
                 "address": f"127.0.0.1:{port}",
                 "zone": "dc",
-                "state": "draining" if entry.draining else "ready",
+                "state": "draining" if worker_entry.draining else "ready",
                 "capacity": room,
-                "labels": sorted(entry.labels),
-                "seq": number,
+                "labels": sorted(worker_entry.labels),
+                "seq": sequence,
                 "born": worker.born_ms,
             }
         )
 
-    async def _let_time_pass(self, nursery: trio.Nursery) -> None:
+    async def _run_steps(self, nursery: trio.Nursery) -> None:
         while True:
             now = trio.current_time()
             for name, worker in list(self.workers.items()):
                 worker.step(now)
                 if worker.crashed_by_task:
                     del self.workers[name]
-                    nursery.start_soon(self._return_crashed, name, worker)
-            self._note_impairments(now)
-            self._check_drains()
-            self.oracle.judge_alone(self.touch.is_calm)
-            self.store.note_silences(self.entries, now)
+                    nursery.start_soon(
+                        self._replace_crashed_worker, name, worker
+                    )
+            self._record_impairments(now)
+            self._check_starts_while_draining()
+            self.oracle.judge_alone(self.impairments.is_calm)
+            self.store.note_silences(self.entry_names, now)
             self.store.expire(now)
-            await trio.sleep(_STEP_S)
+            await trio.sleep(_STEP_INTERVAL_S)
 
-    def _note_impairments(self, now: float) -> None:
-        """Take note of who is not in touch."""
+    def _record_impairments(self, now: float) -> None:
+        """Record which entries, workers and links are impaired."""
         if self.store.is_impaired(now):
-            self.touch.note_store_impaired(now)
-            self.unplanned.note_store_impaired(now)
+            self.impairments.note_store_impaired(now)
+            self.unplanned_impairments.note_store_impaired(now)
         for name, worker in self.workers.items():
-            harm = self.worker_proxies[name].harm
-            if worker.is_impaired(now) or harm is not proxies.Harm.NONE:
-                self.touch.note_impaired(name, now)
-        for name in self.entries:
-            impaired = name in self.store.turned_away
-            impaired |= name in self._paused
-            impaired |= self.store_proxies[name].harm is not proxies.Harm.NONE
-            ended = not self.processes.is_running(name)
-            if impaired or ended:
-                self.touch.note_impaired(name, now)
-            if impaired or (ended and name not in self._stopping):
-                self.unplanned.note_impaired(name, now)
-
-    def _check_drains(self) -> None:
-        """Judge starts on workers that had said long before that they leave.
-
-        Orders don't tell their sender, so nobody may have been impaired.
+            link_fault = self.worker_proxies[name].fault
+            if (
+                worker.is_impaired(now)
+                or link_fault is not proxies.LinkFault.NONE
+            ):
+                self.impairments.note_impaired(name, now)
+        for name in self.entry_names:
+            is_impaired = name in self.store.turned_away
+            is_impaired |= name in self._paused_entries
+            is_impaired |= (
+                self.store_proxies[name].fault is not proxies.LinkFault.NONE
+            )
+            has_ended = not self.processes.is_running(name)
+            if is_impaired or has_ended:
+                self.impairments.note_impaired(name, now)
+            if is_impaired or (
+                has_ended and name not in self._stopping_entries
+            ):
+                self.unplanned_impairments.note_impaired(name, now)
+
+    def _check_starts_while_draining(self) -> None:
+        """Check for starts on workers that have been draining for long.
+
+        Orders don't name the entry that sent them, so a start counts only if
+        nothing at all was impaired.
         """
         for name, worker in self.workers.items():
             starts, worker.started_draining = worker.started_draining, []
-            since = worker.drains_since
-            if since is None:
+            draining_since = worker.drains_since
+            if draining_since is None:
                 continue
-            for key, at in starts:
-                calm = self.touch.is_calm(at - touches.STABLE_S)
-                if at > since + _DRAIN_S and calm:
+            for key, started_at in starts:
+                is_calm = self.impairments.is_calm(
+                    started_at - touches.STABLE_S
+                )
+                if started_at > draining_since + _DRAIN_NOTICE_S and is_calm:
                     self.oracle.broken.append(
-                        f"{at:.3f} drain: {key} on {name}, which drains since "
-                        f"{since:.3f}"
+                        f"{started_at:.3f} drain: {key} on {name}, which has "
+                        f"been draining since {draining_since:.3f}"
                     )
 
     async def drain_worker(self, name: str) -> None:
-        """Let a worker leave; another one comes under another name."""
+        """Drain a worker until it exits, and replace it by a new worker."""
         worker = self.workers[name]
         worker.drain(trio.current_time())
-        self._list_worker(name, 0)
-        await trio.sleep(_LEAVES_S)
+        self._write_worker_entry(name, 0)
+        await trio.sleep(_DRAINED_EXIT_DELAY_S)
         if self.workers.get(name) is not worker:
             return
         worker.crash()
         del self.workers[name]
         self.store.remove(f"servers/{name}")
-        await self._return_crashed(name, worker)
+        await self._replace_crashed_worker(name, worker)
 
-    async def shrink_worker(self, name: str, for_s: float) -> None:
-        """Take a part of a worker's room away for some seconds."""
+    async def shrink_worker(self, name: str, duration_s: float) -> None:
+        """Reduce a worker's room for some seconds."""
         worker = self.workers[name]
-        for room, wait_s in ((_SMALL_ROOM, for_s), (_ROOM, 0.0)):
+        for room, wait_s in ((_SMALL_ROOM, duration_s), (_FULL_ROOM, 0.0)):
             worker.set_room(room, trio.current_time())
             await trio.sleep(wait_s)
 
     async def restart_worker(
-        self, name: str, ending: proxies.Ending, away_s: float
+        self, name: str, process_end: proxies.ProcessEnd, downtime_s: float
     ) -> None:
-        """Crash a worker's process; the next one takes its id.
+        """Crash a worker's process and start another under the same id.
 
-        Until its next heartbeat the list tells of the earlier one.
+        Until the next heartbeat, the worker's entry in the store describes the
+        crashed process.
         """
         worker = self.workers[name]
         if not worker.alive:
             return
         proxy = self.worker_proxies[name]
-        proxy.end_process(ending)
+        proxy.end_process(process_end)
         worker.crash()
-        await trio.sleep(away_s)
+        await trio.sleep(downtime_s)
         proxy.start_process()
         if self.workers.get(name) is not worker:
             return
         self._add_worker(name, worker.entry.labels)
-        again = self.workers[name]
-        again.start_anew(trio.current_time())
-        self._platform.workers[self._numbers[name]] = _open_view(again)
+        new_worker = self.workers[name]
+        new_worker.start_anew(trio.current_time())
+        self._platform.workers[self._worker_ports[name]] = _build_worker_view(
+            new_worker
+        )
 
-    async def _return_crashed(self, name: str, worker: workers.Worker) -> None:
-        """Bring a crashed worker back under another name.
+    async def _replace_crashed_worker(
+        self, name: str, worker: workers.Worker
+    ) -> None:
+        """Start a new worker at a crashed worker's address.
 
-        Its earlier life stays listed until three heartbeats are missed.
+        The crashed worker's entry stays in the store until three heartbeats
+        are missed.
         """
         proxy = self.worker_proxies[name]
-        proxy.harm = proxies.Harm.RESET
-        await trio.sleep(_RETURN_S)
-        proxy.harm = proxies.Harm.NONE
-        again = f"{name}+"
-        number = self._numbers[name]
-        self._numbers[again] = number
-        self.worker_proxies[again] = proxy
-        self._add_worker(again, worker.entry.labels)
-        self._platform.workers[number] = _open_view(self.workers[again])
-        self._platform.lives[number] = again
-        await trio.sleep(3 * _HEARTBEAT_S - _RETURN_S)
+        proxy.fault = proxies.LinkFault.RESET
+        await trio.sleep(_REPLACEMENT_DELAY_S)
+        proxy.fault = proxies.LinkFault.NONE
+        new_name = f"{name}+"
+        port = self._worker_ports[name]
+        self._worker_ports[new_name] = port
+        self.worker_proxies[new_name] = proxy
+        self._add_worker(new_name, worker.entry.labels)
+        self._platform.workers[port] = _build_worker_view(
+            self.workers[new_name]
+        )
+        self._platform.worker_names[port] = new_name
+        await trio.sleep(3 * _HEARTBEAT_INTERVAL_S - _REPLACEMENT_DELAY_S)
         self.store.remove(f"servers/{name}")
 
     # Entry processes.
 
     def start_entry(self, name: str) -> None:
-        """Start an entry, or start it again."""
-        self.lives[name] += 1
-        self._paused.discard(name)
-        self._stopping.discard(name)
-        self.touch.note_impaired(name, trio.current_time())
+        """Start or restart an entry's process."""
+        self.start_counts[name] += 1
+        self._paused_entries.discard(name)
+        self._stopping_entries.discard(name)
+        self.impairments.note_impaired(name, trio.current_time())
         self.processes.start(
             name, "crocusrouter", "entry", **self._settings[name]
         )
 
-    def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to an entry; one that has ended gets none."""
+    def send_signal(self, name: str, signal_number: signal.Signals) -> None:
+        """Send a signal to an entry unless its process has ended."""
         if not self.processes.is_running(name):
             return
-        self.processes.signal(name, number)
+        self.processes.signal(name, signal_number)
         now = trio.current_time()
-        if number != signal.SIGHUP:
-            self.touch.note_impaired(name, now)
-        if number in (signal.SIGHUP, signal.SIGTERM):
-            self.cuts.note_planned(name, now)
+        if signal_number != signal.SIGHUP:
+            self.impairments.note_impaired(name, now)
+        if signal_number in (signal.SIGHUP, signal.SIGTERM):
+            self.cut_checker.record_planned_event(name, now)
         else:
-            self.unplanned.note_impaired(name, now)
-        if number == signal.SIGTERM:
-            self._stopping.add(name)
-        if number == signal.SIGSTOP:
-            self._paused.add(name)
-        elif number == signal.SIGCONT:
-            self._paused.discard(name)
+            self.unplanned_impairments.note_impaired(name, now)
+        if signal_number == signal.SIGTERM:
+            self._stopping_entries.add(name)
+        if signal_number == signal.SIGSTOP:
+            self._paused_entries.add(name)
+        elif signal_number == signal.SIGCONT:
+            self._paused_entries.discard(name)
 
 
-def _open_view(worker: workers.Worker) -> workers.WorkerView:
+def _build_worker_view(worker: workers.Worker) -> workers.WorkerView:
     return workers.WorkerView(lambda: worker, "")
 
 
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's key-value service, with a fault switch."""
+"""Stand-in for the platform's key-value service, with injected faults."""
 
 import base64
 import collections
@@ -20,23 +20,23 @@
 from standins import serving
 
 Pair = dict[str, str]
-_WATCH_BUFFER = 10_000
+_WATCH_BUFFER_EVENTS = 10_000
 
 
 class Fault(enum.StrEnum):
-    """What the service does wrong."""
+    """Faults of the service."""
 
     NONE = "none"
-    DOWN = "down"  # refuses every call
-    SILENT = "silent"  # takes calls and never answers
+    DOWN = "down"  # answers every call with 503
+    SILENT = "silent"  # accepts calls and never answers
     SLOW = "slow"  # answers after `delay_s`
-    LOSE_ANSWERS = "lose-answers"  # applies writes, then drops the answer
-    CUT_WATCHES = "cut-watches"  # watches stay open and say nothing more
+    LOSE_ANSWERS = "lose-answers"  # applies writes, then answers some with 504
+    CUT_WATCHES = "cut-watches"  # watches stay open without further events
 
 
 @dataclasses.dataclass
 class Switch:
-    """The fault in force."""
+    """The current fault and its parameters."""
 
     fault: Fault = Fault.NONE
     delay_s: float = 0.0
@@ -65,19 +65,19 @@
         self._ids = itertools.count(1)
 
     def read(self, key: str, range_end: str | None) -> list[Pair]:
-        """Return the pairs in [key, range_end), or of one key."""
+        """Return the pairs in [key, range_end), or the pair of one key."""
         return [
-            self._show(name)
+            self._build_pair(name)
             for name in sorted(self.values)
             if _is_in(name, key, range_end)
         ]
 
     def swap(self, request: dict[str, Any]) -> tuple[bool, list[Pair]]:
-        """Apply a one-key transaction."""
+        """Apply a compare-and-swap of one key; return its success and pairs."""
         compare = request["compare"][0]
         key = compare["key"]
-        held = self.values.get(key)
-        revision = held.mod_revision if held else 0
+        value = self.values.get(key)
+        revision = value.mod_revision if value else 0
         if revision != int(compare["mod_revision"]):
             return False, self.read(key, None)
         put = request["success"][0]["request_put"]
@@ -85,55 +85,63 @@
         return True, []
 
     def put(self, key: str, data: str, lease: int = 0) -> None:
-        """Write one key and tell the watchers."""
+        """Write one key and notify the watchers."""
         self.revision += 1
         self.values[key] = _Value(data, self.revision, lease)
-        self._tell({"type": "PUT", "kv": self._show(key)})
+        self._notify_watchers({"type": "PUT", "kv": self._build_pair(key)})
 
     def delete(self, key: str) -> None:
-        """Remove one key and tell the watchers."""
+        """Remove one key and notify the watchers."""
         self.revision += 1
         del self.values[key]
         pair = {"key": key, "mod_revision": str(self.revision)}
-        self._tell({"type": "DELETE", "kv": pair})
+        self._notify_watchers({"type": "DELETE", "kv": pair})
 
     def grant(self, ttl_s: int, now: float) -> int:
-        """Open a lease."""
+        """Grant a lease and return its id."""
         lease = next(self._ids)
         self.leases[lease] = now + ttl_s
         return lease
 
     def expire(self, now: float) -> None:
-        """Remove the keys of leases that have run out."""
-        gone = {lease for lease, end in self.leases.items() if end <= now}
-        for lease in gone:
+        """Remove expired leases and their keys."""
+        expired_leases = {
+            lease for lease, end in self.leases.items() if end <= now
+        }
+        for lease in expired_leases:
             del self.leases[lease]
-        held = [k for k, value in self.values.items() if value.lease in gone]
-        for key in held:
+        expired_keys = [
+            key
+            for key, value in self.values.items()
+            if value.lease in expired_leases
+        ]
+        for key in expired_keys:
             self.delete(key)
 
     def open_watch(
         self, key: str, range_end: str | None, start: int
     ) -> tuple[int, "trio.MemoryReceiveChannel[dict[str, Any]]"]:
         """Subscribe to changes, including those since revision `start`."""
-        send, receive = trio.open_memory_channel[dict[str, Any]](_WATCH_BUFFER)
+        send, receive = trio.open_memory_channel[dict[str, Any]](
+            _WATCH_BUFFER_EVENTS
+        )
         for revision, event in self.history:
             if revision >= start:
                 send.send_nowait(event)
-        identity = next(self._ids)
-        self.watchers[identity] = send
-        return identity, receive
+        watch_id = next(self._ids)
+        self.watchers[watch_id] = send
+        return watch_id, receive
 
-    def _tell(self, event: dict[str, Any]) -> None:
+    def _notify_watchers(self, event: dict[str, Any]) -> None:
         self.history.append((self.revision, event))
-        del self.history[:-_WATCH_BUFFER]
-        for identity, send in list(self.watchers.items()):
+        del self.history[:-_WATCH_BUFFER_EVENTS]
+        for watch_id, send in list(self.watchers.items()):
             try:
                 send.send_nowait(event)
             except (trio.WouldBlock, trio.BrokenResourceError):
-                del self.watchers[identity]
+                del self.watchers[watch_id]
 
-    def _show(self, key: str) -> Pair:
+    def _build_pair(self, key: str) -> Pair:
         value = self.values[key]
         return {
             "key": key,
@@ -142,20 +150,20 @@
         }
 
 
-# Keys are compared in their base64 form's plain bytes.
+# Keys arrive in base64 and are compared as decoded bytes.
 @functools.lru_cache(maxsize=100_000)
-def _plain(text: str) -> bytes:
+def _decode_key(text: str) -> bytes:
     return base64.b64decode(text)
 
 
 def _is_in(name: str, key: str, range_end: str | None) -> bool:
     if range_end is None:
         return name == key
-    return _plain(key) <= _plain(name) < _plain(range_end)
+    return _decode_key(key) <= _decode_key(name) < _decode_key(range_end)
 
 
 class StoreApp:
-    """HTTP face of the store."""
+    """HTTP interface of the store."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
@@ -174,16 +182,16 @@
         """Answer a range read."""
         body = orjson.loads(await request.body())
         self.store.calls["range"] += 1
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_fault()) is not None:
             return failure
         pairs = self.store.read(body["key"], body.get("range_end"))
-        return self._answer({"kvs": pairs, "count": str(len(pairs))})
+        return self._build_response({"kvs": pairs, "count": str(len(pairs))})
 
     async def txn(self, request: requests.Request) -> responses.Response:
         """Answer a compare-and-swap."""
         body = orjson.loads(await request.body())
         self.store.calls["txn"] += 1
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_fault()) is not None:
             return failure
         succeeded, pairs = self.store.swap(body)
         if self._loses_answer():
@@ -191,41 +199,41 @@
         answer: dict[str, Any] = {"succeeded": succeeded, "responses": []}
         if not succeeded:
             answer["responses"] = [{"response_range": {"kvs": pairs}}]
-        return self._answer(answer)
+        return self._build_response(answer)
 
     async def grant(self, request: requests.Request) -> responses.Response:
         """Answer a lease grant."""
         body = orjson.loads(await request.body())
         self.store.calls["grant"] += 1
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_fault()) is not None:
             return failure
         lease = self.store.grant(int(body["TTL"]), trio.current_time())
-        return self._answer({"ID": str(lease), "TTL": body["TTL"]})
+        return self._build_response({"ID": str(lease), "TTL": body["TTL"]})
 
     async def watch(self, request: requests.Request) -> responses.Response:
         """Answer a watch with a stream of JSON lines."""
         body = orjson.loads(await request.body())["create_request"]
         self.store.calls["watch"] += 1
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_fault()) is not None:
             return failure
         return responses.StreamingResponse(self._stream(body))
 
     async def _stream(self, body: dict[str, str]) -> AsyncIterator[bytes]:
         key, end = body["key"], body.get("range_end")
         start = int(body.get("start_revision", self.store.revision + 1))
-        identity, receive = self.store.open_watch(key, end, start)
+        watch_id, receive = self.store.open_watch(key, end, start)
         try:
-            yield self._line({"created": True})
+            yield self._build_line({"created": True})
             async for event in receive:
                 if self.store.switch.fault is Fault.CUT_WATCHES:
                     await trio.sleep_forever()
                 if _is_in(event["kv"]["key"], key, end):
-                    yield self._line({"events": [event]})
+                    yield self._build_line({"events": [event]})
         finally:
-            self.store.watchers.pop(identity, None)
+            self.store.watchers.pop(watch_id, None)
 
     async def set_fault(self, request: requests.Request) -> responses.Response:
-        """Set the fault switch."""
+        """Set the current fault."""
         body = orjson.loads(await request.body())
         self.store.switch = Switch(
             Fault(body["fault"]),
@@ -235,11 +243,11 @@
         return responses.Response(status_code=204)
 
     async def show_calls(self, _: requests.Request) -> responses.Response:
-        """Tell the calls taken so far, and the watches that wait."""
+        """Answer with the number of calls by kind, and of open watches."""
         calls = dict(self.store.calls) | {"waiting": len(self.store.watchers)}
         return responses.JSONResponse(calls)
 
-    async def _fail(self) -> responses.Response | None:
+    async def _apply_fault(self) -> responses.Response | None:
         switch = self.store.switch
         if switch.fault is Fault.DOWN:
             return responses.Response(status_code=503)
@@ -255,19 +263,19 @@
             return False
         return self.store.random.random() < switch.share
 
-    def _answer(self, body: dict[str, Any]) -> responses.Response:
+    def _build_response(self, body: dict[str, Any]) -> responses.Response:
         header = {"header": {"revision": str(self.store.revision)}}
         return responses.Response(
             orjson.dumps(header | body), media_type="application/json"
         )
 
-    def _line(self, result: dict[str, Any]) -> bytes:
+    def _build_line(self, result: dict[str, Any]) -> bytes:
         header = {"header": {"revision": str(self.store.revision)}}
         return orjson.dumps({"result": header | result}) + b"\n"
 
 
 async def expire_leases(store: Store) -> None:
-    """Expire leases once a second."""
+    """Remove expired leases once a second."""
     while True:
         store.expire(trio.current_time())
         await trio.sleep(1.0)
--- a/standins/tests/test_history.py
+++ b/standins/tests/test_history.py
@@ -1,11 +1,11 @@
-"""The checkers must find what is wrong in histories known to be bad."""
+"""Tests that the checkers find the violations in faulty histories."""
 
 import pytest
 
 from standins import history
 
 
-def _record(at, worker, what, attempt=1, size=1, job_id="dc.1"):
+def _build_record(at, worker, what, attempt=1, size=1, job_id="dc.1"):
     return {
         "at": at,
         "worker": worker,
@@ -16,52 +16,67 @@
     }
 
 
-_GOOD = [
-    _record(0.0, "a", "reserved"),
-    _record(0.1, "b", "reserved"),
-    _record(0.2, "a", "started"),
-    _record(0.2, "b", "started"),
-    _record(5.0, "a", "succeeded"),
-    _record(5.0, "b", "succeeded"),
+_VALID_HISTORY = [
+    _build_record(0.0, "a", "reserved"),
+    _build_record(0.1, "b", "reserved"),
+    _build_record(0.2, "a", "started"),
+    _build_record(0.2, "b", "started"),
+    _build_record(5.0, "a", "succeeded"),
+    _build_record(5.0, "b", "succeeded"),
 ]
 
 
 @pytest.mark.parametrize(
-    ("records", "early"),
+    ("records", "early_jobs"),
     [
-        (_GOOD, []),
-        (_GOOD[:1] + _GOOD[2:], ["dc.1"]),
-        ([*_GOOD[:1], _GOOD[2], _GOOD[1], *_GOOD[3:]], []),
-        ([_GOOD[0], _record(0.05, "a", "started"), *_GOOD[1:]], ["dc.1"]),
+        (_VALID_HISTORY, []),
+        (_VALID_HISTORY[:1] + _VALID_HISTORY[2:], ["dc.1"]),
+        (
+            [
+                *_VALID_HISTORY[:1],
+                _VALID_HISTORY[2],
+                _VALID_HISTORY[1],
+                *_VALID_HISTORY[3:],
+            ],
+            [],
+        ),
+        (
+            [
+                _VALID_HISTORY[0],
+                _build_record(0.05, "a", "started"),
+                *_VALID_HISTORY[1:],
+            ],
+            ["dc.1"],
+        ),
     ],
 )
-def test_early_starts(records, early):
-    assert history.find_early_starts(records, {"dc.1": 2}) == early
+def test_early_starts(records, early_jobs):
+    assert history.find_early_starts(records, {"dc.1": 2}) == early_jobs
 
 
 @pytest.mark.parametrize(
-    ("second_start", "overlaps"), [(5.0, []), (4.9, ["dc.1"])]
+    ("second_start", "overlapping_jobs"), [(5.0, []), (4.9, ["dc.1"])]
 )
-def test_overlaps(second_start, overlaps):
+def test_overlaps(second_start, overlapping_jobs):
     records = [
-        *_GOOD,
-        _record(second_start, "c", "started", attempt=2),
-        _record(9.0, "c", "succeeded", attempt=2),
+        *_VALID_HISTORY,
+        _build_record(second_start, "c", "started", attempt=2),
+        _build_record(9.0, "c", "succeeded", attempt=2),
     ]
     attempts = history.collect_attempts(records, {})
-    assert history.find_overlaps(attempts) == overlaps
+    assert history.find_overlaps(attempts) == overlapping_jobs
 
 
 @pytest.mark.parametrize(
-    ("records", "killed", "partial"),
+    ("records", "killed_at", "partial_s"),
     [
-        (_GOOD, {}, 0.0),
-        ([*_GOOD[:5], _record(7.5, "b", "stopped")], {}, 2.5),
-        (_GOOD[:4] + _GOOD[5:], {"a": 1.0}, 4.0),
-        (_GOOD[:4] + _GOOD[5:], {"a": 5.0}, 0.0),
+        (_VALID_HISTORY, {}, 0.0),
+        ([*_VALID_HISTORY[:5], _build_record(7.5, "b", "stopped")], {}, 2.5),
+        (_VALID_HISTORY[:4] + _VALID_HISTORY[5:], {"a": 1.0}, 4.0),
+        (_VALID_HISTORY[:4] + _VALID_HISTORY[5:], {"a": 5.0}, 0.0),
     ],
 )
-def test_partial_runs(records, killed, partial):
-    attempts = history.collect_attempts(records, killed)
+def test_partial_runs(records, killed_at, partial_s):
+    attempts = history.collect_attempts(records, killed_at)
     runs = attempts[("dc.1", 1)]
-    assert history.measure_partial(runs, 2, now=10.0) == partial
+    assert history.measure_partial(runs, 2, now=10.0) == partial_s
--- a/standins/tests/test_matrix.py
+++ b/standins/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""The table of rules in docs/proof.md says what the oracles judge."""
+"""Tests that the table of rules in docs/proof.md matches the oracles."""
 
 import pathlib
 
@@ -8,14 +8,14 @@
 from standins import soak
 
 _PROOF = pathlib.Path(__file__).parents[2] / "docs" / "proof.md"
-_TITLE = "| rule | emulator | histories | soak | bench |"
+_HEADER_ROW = "| rule | emulator | histories | soak | bench |"
 _COLUMNS = {"emulator": 1, "soak": 3}
 
 
 def _read_rows():
     lines = _PROOF.read_text().splitlines()
     rows = {}
-    for line in lines[lines.index(_TITLE) + 2 :]:
+    for line in lines[lines.index(_HEADER_ROW) + 2 :]:
         if not line.startswith("|"):
             break
         cells = [cell.strip() for cell in line.strip("|").split("|")]
@@ -28,13 +28,13 @@
 
 
 @pytest.mark.parametrize(
-    ("column", "checked"),
+    ("column", "checked_rules"),
     [("emulator", emulator.CHECKED), ("soak", soak.CHECKED)],
 )
-def test_rules_are_judged_where_the_table_says(column, checked):
-    told = {
+def test_rules_are_judged_where_the_table_says(column, checked_rules):
+    rules_in_table = {
         rule
         for rule, cells in _read_rows().items()
         if not cells[_COLUMNS[column]].startswith("no")
     }
-    assert told == {str(rule) for rule in checked}
+    assert rules_in_table == {str(rule) for rule in checked_rules}
--- a/standins/tests/test_worker.py
+++ b/standins/tests/test_worker.py
@@ -15,15 +15,15 @@
     return worker
 
 
-# The owner counts the task as gone two leases after the last answer. The
-# worker was paused and reads a renewal only then; it must not revive the task.
+# The owner considers the task stopped two lease times after the last answer. A
+# paused worker that reads a renewal only then must not revive the task.
 @pytest.mark.parametrize(
-    ("read_at", "lives"), [(5.9, True), (6.0, False), (60.0, False)]
+    ("read_at", "is_alive"), [(5.9, True), (6.0, False), (60.0, False)]
 )
-def test_renewal_read_after_the_lapse_revives_nothing(read_at, lives):
+def test_renewal_after_lease_expiry_revives_no_task(read_at, is_alive):
     worker = _run_task()
     worker.take(messages.Renew(), read_at)
-    assert (_TASK in worker.tasks) is lives
+    assert (_TASK in worker.tasks) is is_alive
 
 
 def test_lower_epoch_is_fenced():
@@ -44,12 +44,14 @@
     [finished] = worker.advance(2.0)
     assert finished.ok
     inventory = worker.hello(messages.Hello("e2", 2, 6.0), 100.0)
-    assert [t.phase for t in inventory.tasks] == [messages.TaskPhase.SUCCEEDED]
+    assert [task.phase for task in inventory.tasks] == [
+        messages.TaskPhase.SUCCEEDED
+    ]
     worker.take(messages.Acknowledge(*_TASK), 101.0)
     assert worker.hello(messages.Hello("e2", 2, 6.0), 102.0).tasks == ()
 
 
-def test_checkpoint_takes_its_time():
+def test_checkpoint_delays_stop():
     worker = _run_task()
     assert worker.take(messages.Stop(*_TASK, True), 1.0) == []
     assert worker.advance(1.2) == [messages.Stopped(*_TASK)]
--- a/standins/vmlist.py
+++ b/standins/vmlist.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's VM list, which lags behind the truth."""
+"""Stand-in for the platform's VM list, which shows changes with a lag."""
 
 import dataclasses
 from typing import Any
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass
 class VmList:
-    """What is true, and what the list shows after its lag."""
+    """The VMs that the list shows, and changes that it doesn't show yet."""
 
     lag_s: float
     truth: dict[str, dict[str, Any]] = dataclasses.field(default_factory=dict)
@@ -25,14 +25,14 @@
     )
 
     def change(self, name: str, vm: dict[str, Any] | None, now: float) -> None:
-        """Record that a VM came, changed, or (with None) went."""
+        """Record that a VM was added, changed, or (with None) removed."""
         self.changes.append((now + self.lag_s, name, vm))
 
     def show(self, now: float) -> list[dict[str, Any]]:
         """Return the VMs as the list shows them at `now`."""
-        due = [change for change in self.changes if change[0] <= now]
-        self.changes = [c for c in self.changes if c[0] > now]
-        for _, name, vm in due:
+        due_changes = [change for change in self.changes if change[0] <= now]
+        self.changes = [change for change in self.changes if change[0] > now]
+        for _, name, vm in due_changes:
             if vm is None:
                 self.truth.pop(name, None)
             else:
@@ -41,7 +41,7 @@
 
 
 class VmListApp:
-    """HTTP face of the list."""
+    """HTTP interface of the list."""
 
     def __init__(self, vms: VmList) -> None:
         self.vms = vms
@@ -56,7 +56,7 @@
         )
 
     async def show(self, request: requests.Request) -> responses.Response:
-        """Answer the list, or that it has not changed."""
+        """Answer with the list, or with 304 if it has not changed."""
         body = orjson.dumps({"vms": self.vms.show(trio.current_time())})
         etag = f'"{zlib.crc32(body):08x}"'
         if request.headers.get("If-None-Match") == etag:
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,7 +1,7 @@
-"""Stand-in for workers: tasks under leases, fenced by the owner's epoch.
+"""Stand-in for workers: runs tasks under leases, fenced by owner epochs.
 
-One process can speak for many workers, each on a port of its own. Every
-change of a task is recorded, so that a checker can tell what ran when.
+One process can serve many workers, each on its own port. Every state change of
+a task is recorded, so that a checker can tell which tasks ran at which time.
 """
 
 import dataclasses
@@ -16,16 +16,16 @@
 
 from crocusrouter.fleet import messages
 
-_TICK_S = 0.02
-_MANY_TICK_S = 0.25
+_STEP_INTERVAL_S = 0.02
+_MANY_WORKERS_STEP_INTERVAL_S = 0.25
 
 
 class Fault(enum.StrEnum):
-    """What a worker does wrong."""
+    """Faults of a worker."""
 
     NONE = "none"
     FAIL_TASKS = "fail-tasks"  # every task fails at once
-    SILENT = "silent"  # takes messages and answers nothing
+    SILENT = "silent"  # reads messages and never answers
 
 
 @dataclasses.dataclass
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """One change, for the checker."""
+    """One state change of a task, for the checker."""
 
     at: float
     worker: str
@@ -50,7 +50,7 @@
 
 
 class Worker:
-    """Tasks, leases and the epoch of one worker; decides on a given time."""
+    """State of one worker: tasks, lease and epoch; callers pass the time."""
 
     def __init__(
         self, name: str, accelerators: int, checkpoint_s: float = 0.1
@@ -67,7 +67,7 @@
         self.prints = False
 
     def hello(self, message: messages.Hello, now: float) -> object:
-        """Answer an owner: its inventory, or that it is fenced."""
+        """Answer an owner's greeting: with an inventory, or `Fenced`."""
         self.advance(now)
         if message.epoch < self.epoch:
             return messages.Fenced(self.epoch)
@@ -79,9 +79,9 @@
         return messages.Inventory(reports)
 
     def take(self, message: object, now: float) -> list[object]:
-        """Take one command and return the answers."""
-        # The lease goes first: a renewal that was read late, after a pause,
-        # must not revive tasks that its owner counts as stopped.
+        """Handle one command and return the answers."""
+        # Check the lease first: a renewal that is read late, after a pause,
+        # must not revive tasks that the owner considers stopped.
         answers = self.advance(now)
         if isinstance(message, messages.Renew):
             self.lapses_at = now + self.lease_s
@@ -98,31 +98,31 @@
         return answers
 
     def advance(self, now: float) -> list[object]:
-        """Let tasks end and leases lapse; return what to tell the owner."""
-        told: list[object] = []
+        """End due tasks and expired leases; return messages for the owner."""
+        events: list[object] = []
         for key, task in list(self.tasks.items()):
             phase = task.report.phase
-            running = phase is messages.TaskPhase.RUNNING
-            if task.report.phase in _ENDED:
+            is_running = phase is messages.TaskPhase.RUNNING
+            if task.report.phase in _ENDED_PHASES:
                 continue
             if now >= self.lapses_at:
-                told.append(self._drop(key, "lapsed", now))
+                events.append(self._end_without_result(key, "lapsed", now))
             elif task.ends_at and now >= task.ends_at:
                 if task.report.result == "stopping":
-                    told.append(self._drop(key, "stopped", now))
-                elif running:
-                    told.append(self._finish(key, task, now))
-        return told
+                    events.append(self._end_without_result(key, "stopped", now))
+                elif is_running:
+                    events.append(self._finish(key, task, now))
+        return events
 
     def _reserve(self, message: messages.Reserve, now: float) -> object:
         key = (message.job_id, message.attempt)
         if key in self.tasks:
             return messages.Reserved(*key)
-        busy = 0
+        busy_mask = 0
         for task in self.tasks.values():
-            if task.report.phase not in _ENDED:
-                busy |= task.report.mask
-        if busy & message.mask or message.mask >> self.accelerators:
+            if task.report.phase not in _ENDED_PHASES:
+                busy_mask |= task.report.mask
+        if busy_mask & message.mask or message.mask >> self.accelerators:
             return messages.Declined(*key, "accelerators are in use")
         if not self.tasks:
             self.lapses_at = max(self.lapses_at, now + self.lease_s)
@@ -156,10 +156,12 @@
         if task is None:
             report = messages.TaskReport(*key, messages.TaskPhase.RESERVED, 0)
             task = self.tasks[key] = Task(report)
-        running = task.report.phase is messages.TaskPhase.RUNNING
-        delay_s = self.checkpoint_s if message.checkpoint and running else 0.0
+        is_running = task.report.phase is messages.TaskPhase.RUNNING
+        delay_s = (
+            self.checkpoint_s if message.checkpoint and is_running else 0.0
+        )
         task.report = dataclasses.replace(task.report, result="stopping")
-        if task.report.phase in _ENDED:
+        if task.report.phase in _ENDED_PHASES:
             task.report = dataclasses.replace(
                 task.report, phase=messages.TaskPhase.RESERVED
             )
@@ -168,20 +170,20 @@
     def _finish(
         self, key: tuple[str, int], task: Task, now: float
     ) -> messages.Finished:
-        ok = self.fault is not Fault.FAIL_TASKS
-        done = json.dumps({"worker": self.name, "input": task.payload})
-        result = done if ok else f"{self.name} fails everything"
+        succeeded = self.fault is not Fault.FAIL_TASKS
+        output = json.dumps({"worker": self.name, "input": task.payload})
+        result = output if succeeded else f"{self.name} fails everything"
         phase = messages.TaskPhase.SUCCEEDED
-        if not ok:
+        if not succeeded:
             phase = messages.TaskPhase.FAILED
         task.report = dataclasses.replace(
             task.report, phase=phase, result=result
         )
-        what = "succeeded" if ok else "failed"
+        what = "succeeded" if succeeded else "failed"
         self._record(key, task.report.mask.bit_count(), what, now)
-        return messages.Finished(*key, ok, result)
+        return messages.Finished(*key, succeeded, result)
 
-    def _drop(
+    def _end_without_result(
         self, key: tuple[str, int], what: str, now: float
     ) -> messages.Stopped:
         task = self.tasks.pop(key)
@@ -197,25 +199,27 @@
             print(json.dumps(dataclasses.asdict(record)), flush=True)
 
 
-_ENDED = (messages.TaskPhase.SUCCEEDED, messages.TaskPhase.FAILED)
+_ENDED_PHASES = (messages.TaskPhase.SUCCEEDED, messages.TaskPhase.FAILED)
 
 
 class WorkerServer:
-    """Serves one worker's link on a loopback port.
+    """Serves one worker to its owner on a loopback port.
 
-    Time is the machine's monotonic clock, so that records of several
-    processes can be compared.
+    Timestamps come from the machine's monotonic clock, so that records of
+    several processes can be compared.
     """
 
-    def __init__(self, worker: Worker, tick_s: float = _TICK_S) -> None:
+    def __init__(
+        self, worker: Worker, interval_s: float = _STEP_INTERVAL_S
+    ) -> None:
         self.worker = worker
-        self._tick_s = tick_s
-        self._current: Any = None
+        self._interval_s = interval_s
+        self._owner_connection: Any = None
 
     async def run(self, port: int) -> None:
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tick)
+            nursery.start_soon(self._advance_regularly)
             await websockets.trio.server.serve(
                 self._serve_owner,
                 port,
@@ -231,7 +235,7 @@
         await self._send(connection, answer)
         if isinstance(answer, messages.Fenced):
             return
-        self._current = connection
+        self._owner_connection = connection
         try:
             await self._serve_commands(connection)
         except websockets.ConnectionClosed:
@@ -239,35 +243,35 @@
 
     async def _serve_commands(self, connection: Any) -> None:
         async for frame in connection:
-            if self._current is not connection:
-                # Another connection was opened since. Its owner knows from
-                # the inventory what is here; a late command over the old one
-                # would leave a task that nobody accounts for.
+            if self._owner_connection is not connection:
+                # A newer connection has been opened, and its owner has read
+                # the inventory. A late command over this older connection
+                # would leave a task that no owner knows of.
                 await self._send(connection, messages.Fenced(self.worker.epoch))
                 return
             if self.worker.fault is Fault.SILENT:
                 continue
             message = messages.REGISTRY.decode(frame)
-            for told in self.worker.take(message, time.monotonic()):
-                await self._send(connection, told)
+            for event in self.worker.take(message, time.monotonic()):
+                await self._send(connection, event)
 
-    async def _tick(self) -> None:
+    async def _advance_regularly(self) -> None:
         while True:
-            await trio.sleep(self._tick_s)
-            for told in self.worker.advance(time.monotonic()):
-                if self._current is not None:
-                    await self._send(self._current, told)
+            await trio.sleep(self._interval_s)
+            for event in self.worker.advance(time.monotonic()):
+                if self._owner_connection is not None:
+                    await self._send(self._owner_connection, event)
 
     async def _send(self, connection: Any, message: object) -> None:
         try:
             await connection.send(messages.REGISTRY.encode(message))
         except websockets.ConnectionClosed:
-            if self._current is connection:
-                self._current = None
+            if self._owner_connection is connection:
+                self._owner_connection = None
 
 
 async def run(name: str, port: int, accelerators: int) -> None:
-    """Serve one worker on a loopback port; records go to standard output."""
+    """Serve one worker on a loopback port; print records to standard output."""
     worker = Worker(name, accelerators)
     worker.prints = True
     await WorkerServer(worker).run(port)
@@ -277,6 +281,6 @@
     """Serve many workers, named after their ports."""
     async with trio.open_nursery() as nursery:
         for port in ports:
-            held = Worker(f"w{port}", accelerators)
-            server = WorkerServer(held, _MANY_TICK_S)
+            worker = Worker(f"w{port}", accelerators)
+            server = WorkerServer(worker, _MANY_WORKERS_STEP_INTERVAL_S)
             nursery.start_soon(server.run, port)
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,7 +1,7 @@
-"""A whole path in one process, for tests: stand-ins and entries in one loop.
+"""Stand-ins and entries in one process and one event loop, for tests.
 
-The parts talk over real loopback sockets, but tests reach into the stand-ins
-directly: they set faults, look at records, and need no processes.
+The parts communicate over real loopback sockets. Tests access the stand-ins
+directly to set faults and read records, and start no processes.
 """
 
 from collections.abc import AsyncIterator
@@ -30,12 +30,12 @@
 DATA_CENTRE = "dc"
 OPERATOR_KEY = "operator-key"
 CUSTOMER_KEY = "customer-key"
-_POLL_S = 0.01
+_POLL_INTERVAL_S = 0.01
 
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """An answer as a caller sees it."""
+    """An HTTP answer as a caller sees it."""
 
     status: int
     headers: dict[str, str]
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass
 class Served:
-    """One entry that runs."""
+    """One running entry."""
 
     entry: controllers.Entry
     port: int
@@ -52,7 +52,7 @@
 
 
 class World:
-    """Stand-ins and entries."""
+    """Stand-ins and entries, with an HTTP client to call them."""
 
     def __init__(self, nursery: trio.Nursery, **options: Any) -> None:
         self.nursery = nursery
@@ -71,42 +71,42 @@
             (store.StoreApp(self.store).app, self._store_port),
             (vmlist.VmListApp(self.vms).app, self._vms_port),
         )
-        for served, port in apps:
-            await self.nursery.start(serving.serve, served, port)
+        for application, port in apps:
+            await self.nursery.start(serving.serve, application, port)
 
     async def add_runner(self, name: str, slots: int = 8) -> None:
-        """Start a runner and list it."""
+        """Start a runner and add it to the VM list."""
         [port] = ports.find_ports(1)
-        held = self.runners[name] = runner.Runner(name, slots)
-        app = runner.RunnerApp(held).app
-        await self.nursery.start(serving.serve, app, port)
+        new_runner = self.runners[name] = runner.Runner(name, slots)
+        application = runner.RunnerApp(new_runner).app
+        await self.nursery.start(serving.serve, application, port)
         self.list_vm(name, "runner", port, service="matching", slots=8)
 
     def add_worker(self, name: str, rack: str, accelerators: int = 8) -> None:
-        """Start a worker and list it."""
+        """Start a worker and add it to the VM list."""
         [port] = ports.find_ports(1)
-        held = self.workers[name] = worker.Worker(name, accelerators)
-        self.nursery.start_soon(worker.WorkerServer(held).run, port)
+        new_worker = self.workers[name] = worker.Worker(name, accelerators)
+        self.nursery.start_soon(worker.WorkerServer(new_worker).run, port)
         self.list_vm(name, "worker", port, rack=rack, accelerators=8)
 
-    def list_vm(self, name: str, role: str, port: int, **more: Any) -> None:
-        """Put a VM into the list."""
+    def list_vm(self, name: str, role: str, port: int, **fields: Any) -> None:
+        """Add a VM to the VM list."""
         vm = {
             "name": name,
             "role": role,
             "address": f"127.0.0.1:{port}",
             "data_centre": DATA_CENTRE,
         }
-        self.vms.change(name, vm | more, trio.current_time())
+        self.vms.change(name, vm | fields, trio.current_time())
 
     def unlist_vm(self, name: str) -> None:
-        """Take a VM from the list."""
+        """Remove a VM from the VM list."""
         self.vms.change(name, None, trio.current_time())
 
     async def add_entry(self, name: str, *, wait: bool = True) -> Served:
-        """Start an entry; wait until it is ready and every part is owned."""
+        """Start an entry; by default, wait until the entry is ready."""
         port, mesh_port = ports.find_ports(2)
-        chosen = {
+        entry_settings = {
             "name": name,
             "data_centre": DATA_CENTRE,
             "listen": f"127.0.0.1:{port}",
@@ -123,7 +123,9 @@
         } | self.options
         self.list_vm(name, "entry", mesh_port)
         entry = controllers.Entry(
-            settings.load_settings(chosen), Metrics(), seed=len(self.entries)
+            settings.load_settings(entry_settings),
+            Metrics(),
+            seed=len(self.entries),
         )
         served = Served(entry, port, trio.CancelScope())
         self.entries[name] = served
@@ -158,17 +160,17 @@
                 )
                 task_status.started()
 
-    async def wait_for(self, holds: Any, limit_s: float = 10.0) -> None:
+    async def wait_for(self, condition: Any, timeout_s: float = 10.0) -> None:
         """Wait until a condition holds.
 
         Raises:
-            TimeoutError: It doesn't within `limit_s`.
+            TimeoutError: The condition doesn't hold within `timeout_s`.
         """
-        with trio.move_on_after(limit_s):
-            while not holds():
-                await trio.sleep(_POLL_S)
+        with trio.move_on_after(timeout_s):
+            while not condition():
+                await trio.sleep(_POLL_INTERVAL_S)
             return
-        raise TimeoutError("the condition never held")
+        raise TimeoutError("the condition didn't hold in time")
 
     async def ask(
         self,
@@ -181,32 +183,34 @@
         body: bytes | None = None,
         **headers: str,
     ) -> Reply:
-        """Send one request; header names are written with underscores."""
-        sent = {name.replace("_", "-"): text for name, text in headers.items()}
+        """Send one request; underscores in header names become hyphens."""
+        sent_headers = {
+            name.replace("_", "-"): text for name, text in headers.items()
+        }
         if key is not None:
-            sent["Authorization"] = f"Bearer {key}"
+            sent_headers["Authorization"] = f"Bearer {key}"
         if body is None and document is not None:
             body = orjson.dumps(document)
         response = await self.pool.request(
             method,
             f"http://127.0.0.1:{self.entries[entry].port}{path}",
-            headers=list(sent.items()),
+            headers=list(sent_headers.items()),
             content=body,
         )
-        found = {
+        received_headers = {
             name.decode().lower(): value.decode()
             for name, value in response.headers
         }
-        is_json = "json" in found.get("content-type", "")
+        is_json = "json" in received_headers.get("content-type", "")
         content = response.content
         return Reply(
             response.status,
-            found,
+            received_headers,
             orjson.loads(content) if is_json and content else content,
         )
 
     async def put_template(self, **fields: Any) -> Reply:
-        """Write the template of customer "a"."""
+        """Write customer "a"'s template; wait until all entries have it."""
         document = build_template() | fields
         reply = await self.ask(
             "PUT", "/v1/templates/a", document, key=OPERATOR_KEY
@@ -224,11 +228,14 @@
 
         def is_owned() -> bool:
             return any(
-                held.is_ready
-                and set(held.book.workers) >= set(self.workers)
-                and all(w.known for w in held.book.workers.values())
+                owner.is_ready
+                and set(owner.book.workers) >= set(self.workers)
+                and all(
+                    entry_worker.known
+                    for entry_worker in owner.book.workers.values()
+                )
                 for served in self.entries.values()
-                for held in served.entry.owned.values()
+                for owner in served.entry.owned.values()
             )
 
         await self.wait_for(is_owned)
@@ -254,7 +261,7 @@
 async def open_world(
     entries: int = 1, runners: int = 2, workers: int = 2, **options: Any
 ) -> AsyncIterator[World]:
-    """Run a world for the length of a block; options are settings."""
+    """Run a world for the duration of a block; options are settings."""
     async with trio.open_nursery() as nursery:
         world = World(nursery, **options)
         await world.start_platform()
