--- a/standins/history.py
+++ b/standins/history.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """Run of a task on a worker; `end` is None if no end was recorded."""
+    """One run of a task on a worker; `end` is None if no end was recorded."""
 
     worker: str
     start: float
