--- a/standins/tests/test_worker.py
+++ b/standins/tests/test_worker.py
@@ -8,7 +8,7 @@
 
 def _run_task(run_time_s=30.0):
     worker = workers.Worker("w", 4)
-    worker.hello(messages.Hello("e1", 1, 6.0), 0.0)
+    worker.handle_hello(messages.Hello("e1", 1, 6.0), 0.0)
     worker.take(messages.Renew(), 0.0)
     worker.take(messages.Reserve(*_TASK, 0b11), 0.0)
     worker.take(messages.Start(*_TASK, "tag", "null", run_time_s), 0.0)
@@ -28,8 +28,8 @@
 
 def test_lower_epoch_is_fenced():
     worker = workers.Worker("w", 4)
-    worker.hello(messages.Hello("e1", 2, 6.0), 0.0)
-    answer = worker.hello(messages.Hello("e2", 1, 6.0), 1.0)
+    worker.handle_hello(messages.Hello("e1", 2, 6.0), 0.0)
+    answer = worker.handle_hello(messages.Hello("e2", 1, 6.0), 1.0)
     assert answer == messages.Fenced(2)
 
 
@@ -43,12 +43,12 @@
     worker = _run_task(run_time_s=1.0)
     [finished] = worker.advance(2.0)
     assert finished.ok
-    inventory = worker.hello(messages.Hello("e2", 2, 6.0), 100.0)
+    inventory = worker.handle_hello(messages.Hello("e2", 2, 6.0), 100.0)
     assert [task.phase for task in inventory.tasks] == [
         messages.TaskPhase.SUCCEEDED
     ]
     worker.take(messages.Acknowledge(*_TASK), 101.0)
-    assert worker.hello(messages.Hello("e2", 2, 6.0), 102.0).tasks == ()
+    assert worker.handle_hello(messages.Hello("e2", 2, 6.0), 102.0).tasks == ()
 
 
 def test_checkpoint_delays_stop():
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -66,7 +66,7 @@
         self.fault = Fault.NONE
         self.prints = False
 
-    def hello(self, message: messages.Hello, now: float) -> object:
+    def handle_hello(self, message: messages.Hello, now: float) -> object:
         """Answer an owner's greeting: with an inventory, or `Fenced`."""
         self.advance(now)
         if message.epoch < self.epoch:
@@ -231,7 +231,7 @@
 
     async def _serve_owner(self, connection: Any) -> None:
         greeting = messages.REGISTRY.decode(await connection.recv())
-        answer = self.worker.hello(greeting, time.monotonic())
+        answer = self.worker.handle_hello(greeting, time.monotonic())
         await self._send(connection, answer)
         if isinstance(answer, messages.Fenced):
             return
