--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -229,7 +229,7 @@
         message = link.to_worker.popleft()
         worker = self.workers[name]
         if isinstance(message, messages.Hello):
-            link.to_owner.append(worker.hello(message, self.now))
+            link.to_owner.append(worker.handle_hello(message, self.now))
         else:
             link.to_owner.extend(worker.take(message, self.now))
 
