--- a/standins/tests/test_worker.py
+++ b/standins/tests/test_worker.py
@@ -9,9 +9,11 @@
 def _run_task(run_time_s=30.0):
     worker = workers.Worker("w", 4)
     worker.handle_hello(messages.Hello("e1", 1, 6.0), 0.0)
-    worker.take(messages.Renew(), 0.0)
-    worker.take(messages.Reserve(*_TASK, 0b11), 0.0)
-    worker.take(messages.Start(*_TASK, "tag", "null", run_time_s), 0.0)
+    worker.handle_command(messages.Renew(), 0.0)
+    worker.handle_command(messages.Reserve(*_TASK, 0b11), 0.0)
+    worker.handle_command(
+        messages.Start(*_TASK, "tag", "null", run_time_s), 0.0
+    )
     return worker
 
 
@@ -22,7 +24,7 @@
 )
 def test_renewal_after_lease_expiry_revives_no_task(read_at, is_alive):
     worker = _run_task()
-    worker.take(messages.Renew(), read_at)
+    worker.handle_command(messages.Renew(), read_at)
     assert (_TASK in worker.tasks) is is_alive
 
 
@@ -35,7 +37,7 @@
 
 def test_accelerators_in_use_are_declined():
     worker = _run_task()
-    [answer] = worker.take(messages.Reserve("dc.2", 1, 0b110), 1.0)
+    [answer] = worker.handle_command(messages.Reserve("dc.2", 1, 0b110), 1.0)
     assert isinstance(answer, messages.Declined)
 
 
@@ -47,11 +49,11 @@
     assert [task.phase for task in inventory.tasks] == [
         messages.TaskPhase.SUCCEEDED
     ]
-    worker.take(messages.Acknowledge(*_TASK), 101.0)
+    worker.handle_command(messages.Acknowledge(*_TASK), 101.0)
     assert worker.handle_hello(messages.Hello("e2", 2, 6.0), 102.0).tasks == ()
 
 
 def test_checkpoint_delays_stop():
     worker = _run_task()
-    assert worker.take(messages.Stop(*_TASK, True), 1.0) == []
+    assert worker.handle_command(messages.Stop(*_TASK, True), 1.0) == []
     assert worker.advance(1.2) == [messages.Stopped(*_TASK)]
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -78,7 +78,7 @@
         reports = tuple(task.report for task in self.tasks.values())
         return messages.Inventory(reports)
 
-    def take(self, message: object, now: float) -> list[object]:
+    def handle_command(self, message: object, now: float) -> list[object]:
         """Handle one command and return the answers."""
         # Check the lease first: a renewal that is read late, after a pause,
         # must not revive tasks that the owner considers stopped.
@@ -252,7 +252,7 @@
             if self.worker.fault is Fault.SILENT:
                 continue
             message = messages.REGISTRY.decode(frame)
-            for event in self.worker.take(message, time.monotonic()):
+            for event in self.worker.handle_command(message, time.monotonic()):
                 await self._send(connection, event)
 
     async def _advance_regularly(self) -> None:
