--- a/crocusrouter/jobs/tests/test_book_machine.py
+++ b/crocusrouter/jobs/tests/test_book_machine.py
@@ -231,7 +231,7 @@
         if isinstance(message, messages.Hello):
             link.to_owner.append(worker.handle_hello(message, self.now))
         else:
-            link.to_owner.extend(worker.take(message, self.now))
+            link.to_owner.extend(worker.handle_command(message, self.now))
 
     @stateful.rule(index=_INDICES, count=strategies.integers(1, 6))
     def deliver_to_owner(self, index, count):
@@ -346,7 +346,7 @@
             name, epoch, message = self.late_messages.pop(0)
             worker = self.workers.get(name)
             if worker is not None and worker.epoch == epoch:
-                worker.take(message, self.now)
+                worker.handle_command(message, self.now)
 
     def _replace_worker(self, name):
         self.replaced_at[name] = self.now
