--- a/standins/worker.py
+++ b/standins/worker.py
@@ -64,7 +64,7 @@
         self.tasks: dict[tuple[str, int], Task] = {}
         self.records: list[Record] = []
         self.fault = Fault.NONE
-        self.prints = False
+        self.prints_records = False
 
     def handle_hello(self, message: messages.Hello, now: float) -> object:
         """Answer an owner's greeting: with an inventory, or `Fenced`."""
@@ -195,7 +195,7 @@
     ) -> None:
         record = Record(now, self.name, *key, size, what)
         self.records.append(record)
-        if self.prints:
+        if self.prints_records:
             print(json.dumps(dataclasses.asdict(record)), flush=True)
 
 
@@ -273,7 +273,7 @@
 async def run(name: str, port: int, accelerators: int) -> None:
     """Serve one worker on a loopback port; print records to standard output."""
     worker = Worker(name, accelerators)
-    worker.prints = True
+    worker.prints_records = True
     await WorkerServer(worker).run(port)
 
 
