--- a/standins/worker.py
+++ b/standins/worker.py
@@ -60,7 +60,7 @@
         self.checkpoint_s = checkpoint_s
         self.epoch = 0
         self.lease_s = 0.0
-        self.lapses_at = 0.0
+        self.lease_expires_at = 0.0
         self.tasks: dict[tuple[str, int], Task] = {}
         self.records: list[Record] = []
         self.fault = Fault.NONE
@@ -74,7 +74,7 @@
         self.epoch = message.epoch
         self.lease_s = message.lease_s
         if not self.tasks:
-            self.lapses_at = now + self.lease_s
+            self.lease_expires_at = now + self.lease_s
         reports = tuple(task.report for task in self.tasks.values())
         return messages.Inventory(reports)
 
@@ -84,7 +84,7 @@
         # must not revive tasks that the owner considers stopped.
         answers = self.advance(now)
         if isinstance(message, messages.Renew):
-            self.lapses_at = now + self.lease_s
+            self.lease_expires_at = now + self.lease_s
             answers.append(messages.Renewed())
         elif isinstance(message, messages.Reserve):
             answers.append(self._reserve(message, now))
@@ -105,7 +105,7 @@
             is_running = phase is messages.TaskPhase.RUNNING
             if task.report.phase in _ENDED_PHASES:
                 continue
-            if now >= self.lapses_at:
+            if now >= self.lease_expires_at:
                 events.append(self._end_without_result(key, "lapsed", now))
             elif task.ends_at and now >= task.ends_at:
                 if task.report.result == "stopping":
@@ -125,7 +125,9 @@
         if busy_mask & message.mask or message.mask >> self.accelerators:
             return messages.Declined(*key, "accelerators are in use")
         if not self.tasks:
-            self.lapses_at = max(self.lapses_at, now + self.lease_s)
+            self.lease_expires_at = max(
+                self.lease_expires_at, now + self.lease_s
+            )
         report = messages.TaskReport(
             *key, messages.TaskPhase.RESERVED, message.mask
         )
