--- a/standins/store.py
+++ b/standins/store.py
@@ -72,7 +72,9 @@
             if _is_in(name, key, range_end)
         ]
 
-    def swap(self, request: dict[str, Any]) -> tuple[bool, list[Pair]]:
+    def compare_and_swap(
+        self, request: dict[str, Any]
+    ) -> tuple[bool, list[Pair]]:
         """Apply a compare-and-swap of one key; return its success and pairs."""
         compare = request["compare"][0]
         key = compare["key"]
@@ -193,7 +195,7 @@
         self.store.calls["txn"] += 1
         if (failure := await self._apply_fault()) is not None:
             return failure
-        succeeded, pairs = self.store.swap(body)
+        succeeded, pairs = self.store.compare_and_swap(body)
         if self._loses_answer():
             return responses.Response(status_code=504)
         answer: dict[str, Any] = {"succeeded": succeeded, "responses": []}
