--- a/crocusrouter/controllers/tests/test_entry.py
+++ b/crocusrouter/controllers/tests/test_entry.py
@@ -273,7 +273,7 @@
     async with worlds.open_world(workers=0) as world:
         await world.put_template()
         entry = world.entries["e1"].entry
-        vm = world.vms.truth["run0"]
+        vm = world.vms.listed_vms["run0"]
         world.vms.change("run0", vm | {"state": "leaving"}, 0.0)
         await world.wait_for(
             lambda: any(
--- a/standins/vmlist.py
+++ b/standins/vmlist.py
@@ -19,7 +19,9 @@
     """The VMs that the list shows, and changes that it doesn't show yet."""
 
     lag_s: float
-    truth: dict[str, dict[str, Any]] = dataclasses.field(default_factory=dict)
+    listed_vms: dict[str, dict[str, Any]] = dataclasses.field(
+        default_factory=dict
+    )
     changes: list[tuple[float, str, dict[str, Any] | None]] = dataclasses.field(
         default_factory=list
     )
@@ -34,10 +36,10 @@
         self.changes = [change for change in self.changes if change[0] > now]
         for _, name, vm in due_changes:
             if vm is None:
-                self.truth.pop(name, None)
+                self.listed_vms.pop(name, None)
             else:
-                self.truth[name] = vm
-        return list(self.truth.values())
+                self.listed_vms[name] = vm
+        return list(self.listed_vms.values())
 
 
 class VmListApp:
