--- a/standins/vmlist.py
+++ b/standins/vmlist.py
@@ -22,18 +22,22 @@
     listed_vms: dict[str, dict[str, Any]] = dataclasses.field(
         default_factory=dict
     )
-    changes: list[tuple[float, str, dict[str, Any] | None]] = dataclasses.field(
-        default_factory=list
+    pending_changes: list[tuple[float, str, dict[str, Any] | None]] = (
+        dataclasses.field(default_factory=list)
     )
 
     def change(self, name: str, vm: dict[str, Any] | None, now: float) -> None:
         """Record that a VM was added, changed, or (with None) removed."""
-        self.changes.append((now + self.lag_s, name, vm))
+        self.pending_changes.append((now + self.lag_s, name, vm))
 
     def show(self, now: float) -> list[dict[str, Any]]:
         """Return the VMs as the list shows them at `now`."""
-        due_changes = [change for change in self.changes if change[0] <= now]
-        self.changes = [change for change in self.changes if change[0] > now]
+        due_changes = [
+            change for change in self.pending_changes if change[0] <= now
+        ]
+        self.pending_changes = [
+            change for change in self.pending_changes if change[0] > now
+        ]
         for _, name, vm in due_changes:
             if vm is None:
                 self.listed_vms.pop(name, None)
