--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -197,7 +197,7 @@
                 continue
             for (name, _), runs in attempts.items():
                 if name == job_id:
-                    longest = history.measure_partial(
+                    longest = history.measure_longest_partial_run(
                         runs, _GANG_MEMBERS, time.monotonic()
                     )
                     partial = max(partial, longest)
--- a/standins/history.py
+++ b/standins/history.py
@@ -54,7 +54,9 @@
     return attempts
 
 
-def measure_partial(runs: list[Run], members: int, now: float) -> float:
+def measure_longest_partial_run(
+    runs: list[Run], members: int, now: float
+) -> float:
     """Return the longest time that only some members of a gang ran.
 
     >>> runs = [Run("a", 0.0, 5.0), Run("b", 0.1, 3.0)]
--- a/standins/tests/test_history.py
+++ b/standins/tests/test_history.py
@@ -79,4 +79,4 @@
 def test_partial_runs(records, killed_at, partial_s):
     attempts = history.collect_attempts(records, killed_at)
     runs = attempts[("dc.1", 1)]
-    assert history.measure_partial(runs, 2, now=10.0) == partial_s
+    assert history.measure_longest_partial_run(runs, 2, now=10.0) == partial_s
