--- a/standins/history.py
+++ b/standins/history.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Run:
+class TaskRun:
     """One run of a task on a worker; `end` is None if no end was recorded."""
 
     worker: str
@@ -18,7 +18,7 @@
     end: float | None
 
 
-Attempts = dict[tuple[str, int], list[Run]]
+Attempts = dict[tuple[str, int], list[TaskRun]]
 
 
 def read_records(texts: Iterable[str]) -> list[dict[str, Any]]:
@@ -47,15 +47,15 @@
         if record["what"] == "started":
             started_at[key] = record["at"]
         elif record["what"] in _END_KINDS and key in started_at:
-            run = Run(record["worker"], started_at.pop(key), record["at"])
+            run = TaskRun(record["worker"], started_at.pop(key), record["at"])
             attempts[key[1:]].append(run)
     for key, start in started_at.items():
-        attempts[key[1:]].append(Run(key[0], start, killed_at.get(key[0])))
+        attempts[key[1:]].append(TaskRun(key[0], start, killed_at.get(key[0])))
     return attempts
 
 
 def measure_longest_partial_run(
-    runs: list[Run], members: int, now: float
+    runs: list[TaskRun], members: int, now: float
 ) -> float:
     """Return the longest time that only some members of a gang ran.
 
