--- a/standins/history.py
+++ b/standins/history.py
@@ -59,7 +59,7 @@
 ) -> float:
     """Return the longest time that only some members of a gang ran.
 
-    >>> runs = [Run("a", 0.0, 5.0), Run("b", 0.1, 3.0)]
+    >>> runs = [TaskRun("a", 0.0, 5.0), TaskRun("b", 0.1, 3.0)]
     >>> measure_longest_partial_run(runs, 2, now=9.0)
     2.0
 
