--- a/standins/ports.py
+++ b/standins/ports.py
@@ -15,7 +15,7 @@
 _reservations: collections.deque[socket.socket] = collections.deque()
 
 
-class Ports:
+class PortAllocator:
     """Allocates ports in sequence, starting at an offset per process.
 
     The ports lie below the kernel's ephemeral range. When ports came from that
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -84,7 +84,7 @@
         self.worker_proxies: dict[str, proxies.Proxy] = {}
         self.workers: dict[str, workers.Worker] = {}
         self._platform = wire.Platform()
-        self._ports = ports.Ports()
+        self._ports = ports.PortAllocator()
         self._settings: dict[str, dict[str, str]] = {}
         self._seed = seed
         # Workers that don't check their room start every task they are sent.
