--- a/standins/ports.py
+++ b/standins/ports.py
@@ -28,7 +28,7 @@
             _LAST_PORT - _FIRST_PORT
         )
 
-    def take(self, count: int) -> list[int]:
+    def allocate_ports(self, count: int) -> list[int]:
         """Return `count` ports that no socket listens on at this moment."""
         free_ports: list[int] = []
         while len(free_ports) < count:
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -121,7 +121,9 @@
             task_status.started()
 
     async def _serve_platform(self, nursery: trio.Nursery) -> None:
-        free_ports = self._ports.take(len(self.entry_names) + len(self.workers))
+        free_ports = self._ports.allocate_ports(
+            len(self.entry_names) + len(self.workers)
+        )
         config = server.build_config("127.0.0.1:0", 1.0, Metrics())
         config.bind = [f"127.0.0.1:{port}" for port in free_ports]
         await nursery.start(
@@ -142,7 +144,9 @@
             await nursery.start(self.worker_proxies[name].run)
 
     def _build_settings(self, name: str) -> dict[str, str]:
-        http_port, ready_port, mesh_port, metrics_port = self._ports.take(4)
+        http_port, ready_port, mesh_port, metrics_port = (
+            self._ports.allocate_ports(4)
+        )
         self.urls[name] = f"http://127.0.0.1:{http_port}"
         settings = {
             "NAME": name,
--- a/standins/tests/test_ports.py
+++ b/standins/tests/test_ports.py
@@ -11,17 +11,19 @@
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         lowest = min(32_768, probe.getsockname()[1])
-    assert all(port < lowest for port in ports.PortAllocator().take(50))
+    assert all(
+        port < lowest for port in ports.PortAllocator().allocate_ports(50)
+    )
 
 
 # Guards against two entries that get the same port because neither listens yet:
 # a caller of one entry received the empty "ready" answer of the other.
 def test_ports_in_use_are_skipped():
     allocator = ports.PortAllocator()
-    taken = allocator.take(4) + allocator.take(4)
+    taken = allocator.allocate_ports(4) + allocator.allocate_ports(4)
     assert len(set(taken)) == 8
     with socket.create_server(("127.0.0.1", taken[-1] + 1)):
-        assert taken[-1] + 1 not in allocator.take(4)
+        assert taken[-1] + 1 not in allocator.allocate_ports(4)
 
 
 def test_found_port_is_reserved_for_listener():
