--- a/bench/passing.py
+++ b/bench/passing.py
@@ -90,7 +90,7 @@
     ]
     with clusters.run_cluster(shape) as held:
         held.put_template(document, "e1")
-        [port] = ports.find_ports(1)
+        [port] = ports.reserve_ports(1)
         target = f"http://127.0.0.1:{next(iter(held.runners.values()))}"
         held.processes.start("bare", "bench.passing", str(port), target)
         processes.wait_for_port(port)
--- a/bench/polling.py
+++ b/bench/polling.py
@@ -64,7 +64,7 @@
 
 
 async def _measure(count: int) -> list[accounting.Usage]:
-    numbers = ports.find_ports(count)
+    numbers = ports.reserve_ports(count)
     text = ",".join(map(str, numbers))
     usages = []
     async with trio.open_nursery() as nursery:
--- a/crocusrouter/cli/tests/test_entry_service.py
+++ b/crocusrouter/cli/tests/test_entry_service.py
@@ -15,7 +15,7 @@
 
 def _make_settings():
     """Return settings whose store nobody listens for."""
-    front, ready, mesh, metrics, store = ports.find_ports(5)
+    front, ready, mesh, metrics, store = ports.reserve_ports(5)
     return settings.EntrySettings(
         name="e0",
         ip="127.0.0.1",
--- a/crocusrouter/http/tests/test_reasons.py
+++ b/crocusrouter/http/tests/test_reasons.py
@@ -307,7 +307,7 @@
 
 
 async def _endpoint_unreachable(world):
-    [port] = ports.find_ports(1)
+    [port] = ports.reserve_ports(1)
     world.list_vm("run0", "runner", port, service="matching", slots=8)
     world.unlist_vm("run1")
     await _wait_one_runner(world)
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -52,7 +52,7 @@
         self.processes = processes.Processes(log_folder)
         workers = shape.racks * shape.workers_per_rack
         single = 2 + workers + shape.runners + 2 * shape.entries
-        free = ports.find_ports(single + shape.bulk_workers)
+        free = ports.reserve_ports(single + shape.bulk_workers)
         self.store_port, self.vms_port, *rest = free
         self.workers = {f"w{i + 1}": rest.pop() for i in range(workers)}
         self.bulk = [rest.pop() for _ in range(shape.bulk_workers)]
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -52,7 +52,7 @@
     return True
 
 
-def find_ports(count: int) -> list[int]:
+def reserve_ports(count: int) -> list[int]:
     """Return loopback ports chosen by the kernel and reserved for listeners.
 
     A socket stays bound to each port, so that the kernel doesn't assign the
--- a/standins/tests/test_ports.py
+++ b/standins/tests/test_ports.py
@@ -30,7 +30,7 @@
     """Guards against a connection that takes a port before its listener starts;
     the listener then fails with "address already in use".
     """
-    [port] = ports.find_ports(1)
+    [port] = ports.reserve_ports(1)
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(("127.0.0.1", port))
     with (
--- a/standins/world.py
+++ b/standins/world.py
@@ -63,7 +63,7 @@
         self.workers: dict[str, worker.Worker] = {}
         self.entries: dict[str, Served] = {}
         self.pool = httpcore.AsyncConnectionPool(max_connections=100)
-        self._store_port, self._vms_port = ports.find_ports(2)
+        self._store_port, self._vms_port = ports.reserve_ports(2)
 
     async def start_platform(self) -> None:
         """Start the key-value service and the VM list."""
@@ -76,7 +76,7 @@
 
     async def add_runner(self, name: str, slots: int = 8) -> None:
         """Start a runner and add it to the VM list."""
-        [port] = ports.find_ports(1)
+        [port] = ports.reserve_ports(1)
         new_runner = self.runners[name] = runner.Runner(name, slots)
         application = runner.RunnerApp(new_runner).app
         await self.nursery.start(serving.serve, application, port)
@@ -84,7 +84,7 @@
 
     def add_worker(self, name: str, rack: str, accelerators: int = 8) -> None:
         """Start a worker and add it to the VM list."""
-        [port] = ports.find_ports(1)
+        [port] = ports.reserve_ports(1)
         new_worker = self.workers[name] = worker.Worker(name, accelerators)
         self.nursery.start_soon(worker.WorkerServer(new_worker).run, port)
         self.list_vm(name, "worker", port, rack=rack, accelerators=8)
@@ -105,7 +105,7 @@
 
     async def add_entry(self, name: str, *, wait: bool = True) -> Served:
         """Start an entry; by default, wait until the entry is ready."""
-        port, mesh_port = ports.find_ports(2)
+        port, mesh_port = ports.reserve_ports(2)
         entry_settings = {
             "name": name,
             "data_centre": DATA_CENTRE,
