--- a/standins/world.py
+++ b/standins/world.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass
-class Served:
+class RunningEntry:
     """One running entry."""
 
     entry: controllers.Entry
@@ -61,7 +61,7 @@
         self.vms = vmlist.VmList(lag_s=0.0)
         self.runners: dict[str, runner.Runner] = {}
         self.workers: dict[str, worker.Worker] = {}
-        self.entries: dict[str, Served] = {}
+        self.entries: dict[str, RunningEntry] = {}
         self.pool = httpcore.AsyncConnectionPool(max_connections=100)
         self._store_port, self._vms_port = ports.reserve_ports(2)
 
@@ -103,7 +103,7 @@
         """Remove a VM from the VM list."""
         self.vms.change(name, None, trio.current_time())
 
-    async def add_entry(self, name: str, *, wait: bool = True) -> Served:
+    async def add_entry(self, name: str, *, wait: bool = True) -> RunningEntry:
         """Start an entry; by default, wait until the entry is ready."""
         port, mesh_port = ports.reserve_ports(2)
         entry_settings = {
@@ -127,7 +127,7 @@
             Metrics(),
             seed=len(self.entries),
         )
-        served = Served(entry, port, trio.CancelScope())
+        served = RunningEntry(entry, port, trio.CancelScope())
         self.entries[name] = served
         await self.nursery.start(self._run_entry, served, mesh_port)
         if wait:
@@ -136,7 +136,7 @@
 
     async def _run_entry(
         self,
-        served: Served,
+        served: RunningEntry,
         mesh_port: int,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
