--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -22,8 +22,8 @@
 from standins.emulator import touch as touches
 from standins.emulator import worker as workers
 from standins.soak import cuts
+from standins.soak import platform_server
 from standins.soak import proxy as proxies
-from standins.soak import wire
 
 POOL = "match"
 HOST = "queue.example"
@@ -83,7 +83,7 @@
         self.store_proxies: dict[str, proxies.Proxy] = {}
         self.worker_proxies: dict[str, proxies.Proxy] = {}
         self.workers: dict[str, workers.Worker] = {}
-        self._platform = wire.Platform()
+        self._platform = platform_server.Platform()
         self._ports = ports.PortAllocator()
         self._settings: dict[str, dict[str, str]] = {}
         self._seed = seed
