--- a/standins/soak/changing.py
+++ b/standins/soak/changing.py
@@ -7,7 +7,7 @@
 
 from standins.emulator import changes as change_rules
 from standins.emulator import operators
-from standins.soak import cuts
+from standins.soak import cut_requests
 from standins.soak import world as worlds
 
 _CHANGES_PER_S = 0.5
@@ -71,7 +71,7 @@
         except (httpcore.NetworkError, httpcore.ProtocolError):
             now = trio.current_time()
             self._world.cut_checker.check_cut_request(
-                cuts.CutRequest(name, sent_at, now)
+                cut_requests.CutRequest(name, sent_at, now)
             )
             return
         if self._world.start_counts[name] != incarnation:
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -19,12 +19,14 @@
 from standins.emulator import store as stores
 from standins.emulator import worker as workers
 from standins.soak import changing
-from standins.soak import cuts
+from standins.soak import cut_requests
 from standins.soak import proxy as proxies
 from standins.soak import world as worlds
 
 # The rules that soaks check.
-CHECKED = oracles.RULES | change_rules.RULES | cuts.RULES | {rules.Rule.DRAIN}
+CHECKED = (
+    oracles.RULES | change_rules.RULES | cut_requests.RULES | {rules.Rule.DRAIN}
+)
 
 _SUBMIT_TRIES = 6
 _CALL_TIMEOUT_S = 3.0
@@ -111,7 +113,7 @@
     crashes: int
     faults: list[str]
     config_oracle: change_rules.Changes
-    cut_checker: cuts.CutRequestChecker
+    cut_checker: cut_requests.CutRequestChecker
 
     @property
     def verdict(self) -> str:
@@ -296,7 +298,7 @@
         except (httpcore.NetworkError, httpcore.ProtocolError):
             now = trio.current_time()
             self.world.cut_checker.check_cut_request(
-                cuts.CutRequest(name, sent_at, now)
+                cut_requests.CutRequest(name, sent_at, now)
             )
             return None, b""
         return response.status, response.content
--- a/standins/soak/tests/test_cuts.py
+++ b/standins/soak/tests/test_cuts.py
@@ -3,7 +3,7 @@
 import pytest
 
 from standins.emulator import touch as touches
-from standins.soak import cuts
+from standins.soak import cut_requests
 
 
 # A connection ends without an answer around a planned stop that begins at 10 s.
@@ -27,8 +27,8 @@
     unplanned_impairments = touches.Touch()
     if impaired_at is not None:
         unplanned_impairments.note_impaired("e0", impaired_at)
-    checker = cuts.CutRequestChecker(unplanned_impairments)
+    checker = cut_requests.CutRequestChecker(unplanned_impairments)
     checker.record_planned_event("e0", 10.0)
-    checker.check_cut_request(cuts.CutRequest("e0", sent_at, ended_at))
-    checker.check_cut_request(cuts.CutRequest("e1", sent_at, ended_at))
+    checker.check_cut_request(cut_requests.CutRequest("e0", sent_at, ended_at))
+    checker.check_cut_request(cut_requests.CutRequest("e1", sent_at, ended_at))
     assert bool(checker.broken) is broken
--- a/standins/soak/tests/test_soak.py
+++ b/standins/soak/tests/test_soak.py
@@ -9,7 +9,7 @@
 from standins.emulator import changes
 from standins.emulator import touch
 from standins.soak import __main__ as commands
-from standins.soak import cuts
+from standins.soak import cut_requests
 
 _SHAPE = soak.Shape(
     entry_count=3, worker_count=4, jobs_per_s=2.0, length_s=6.0, fault_count=3
@@ -91,7 +91,7 @@
         0,
         [],
         changes.Changes(impairments),
-        cuts.CutRequestChecker(impairments),
+        cut_requests.CutRequestChecker(impairments),
     )
     assert result.verdict == verdict
     assert ("jobs" in result.list_idle_checks()) is (accepted == 0)
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -21,7 +21,7 @@
 from standins.emulator import store as stores
 from standins.emulator import touch as touches
 from standins.emulator import worker as workers
-from standins.soak import cuts
+from standins.soak import cut_requests
 from standins.soak import platform_server
 from standins.soak import proxy as proxies
 
@@ -65,7 +65,9 @@
         self.config_oracle = change_rules.Changes(self.impairments)
         # Like `impairments`, but without planned stops.
         self.unplanned_impairments = touches.Touch()
-        self.cut_checker = cuts.CutRequestChecker(self.unplanned_impairments)
+        self.cut_checker = cut_requests.CutRequestChecker(
+            self.unplanned_impairments
+        )
         self.store = stores.Store(seed)
         self.operators = operators.Operators(
             self.store,
