--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -18,7 +18,7 @@
 from standins.emulator import rules
 from standins.emulator import store as stores
 from standins.emulator import worker as workers
-from standins.soak import changing
+from standins.soak import config_calls
 from standins.soak import cut_requests
 from standins.soak import proxy as proxies
 from standins.soak import world as worlds
@@ -177,7 +177,7 @@
         self.faults: list[str] = []
         self._job_count = 0
         self._pool = httpcore.AsyncConnectionPool(max_connections=100)
-        self._config_tester = changing.ConfigTester(
+        self._config_tester = config_calls.ConfigTester(
             world, random.Random(rng.random())
         )
 
--- a/standins/soak/tests/test_changes.py
+++ b/standins/soak/tests/test_changes.py
@@ -8,7 +8,7 @@
 
 from standins.emulator import operators
 from standins.emulator import store as stores
-from standins.soak import changing
+from standins.soak import config_calls
 from standins.soak import world as worlds
 
 _START_WAIT_S = 6.0
@@ -46,7 +46,7 @@
     wait_s, tmp_path
 ):
     world = worlds.World(1, 3, 2, tmp_path)
-    config_tester = changing.ConfigTester(world, random.Random(1))
+    config_tester = config_calls.ConfigTester(world, random.Random(1))
     try:
         async with trio.open_nursery() as nursery:
             await nursery.start(world.run)
