--- a/crocusrouter/cli/tests/test_entry_service.py
+++ b/crocusrouter/cli/tests/test_entry_service.py
@@ -16,7 +16,7 @@
 def _build_settings():
     """Return settings with a store address on which nothing listens."""
     call_port, ready_port, mesh_port, metrics_port, store_port = (
-        ports.find_ports(5)
+        ports.reserve_ports(5)
     )
     return settings.EntrySettings(
         name="e0",
--- a/standins/vmlist.py
+++ b/standins/vmlist.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's VM list, which lags behind the truth."""
+"""Stand-in for the platform's VM list, which shows changes with a lag."""
 
 import dataclasses
 from typing import Any
@@ -16,32 +16,38 @@
 
 @dataclasses.dataclass
 class VmList:
-    """What is true, and what the list shows after its lag."""
+    """The VMs that the list shows, and changes that it doesn't show yet."""
 
     lag_s: float
-    truth: dict[str, dict[str, Any]] = dataclasses.field(default_factory=dict)
-    changes: list[tuple[float, str, dict[str, Any] | None]] = dataclasses.field(
-        default_factory=list
+    listed_vms: dict[str, dict[str, Any]] = dataclasses.field(
+        default_factory=dict
+    )
+    pending_changes: list[tuple[float, str, dict[str, Any] | None]] = (
+        dataclasses.field(default_factory=list)
     )
 
     def change(self, name: str, vm: dict[str, Any] | None, now: float) -> None:
-        """Record that a VM came, changed, or (with None) went."""
-        self.changes.append((now + self.lag_s, name, vm))
+        """Record that a VM was added, changed, or (with None) removed."""
+        self.pending_changes.append((now + self.lag_s, name, vm))
 
     def show(self, now: float) -> list[dict[str, Any]]:
         """Return the VMs as the list shows them at `now`."""
-        due = [change for change in self.changes if change[0] <= now]
-        self.changes = [c for c in self.changes if c[0] > now]
-        for _, name, vm in due:
+        due_changes = [
+            change for change in self.pending_changes if change[0] <= now
+        ]
+        self.pending_changes = [
+            change for change in self.pending_changes if change[0] > now
+        ]
+        for _, name, vm in due_changes:
             if vm is None:
-                self.truth.pop(name, None)
+                self.listed_vms.pop(name, None)
             else:
-                self.truth[name] = vm
-        return list(self.truth.values())
+                self.listed_vms[name] = vm
+        return list(self.listed_vms.values())
 
 
 class VmListApp:
-    """HTTP face of the list."""
+    """HTTP interface of the list."""
 
     def __init__(self, vms: VmList) -> None:
         self.vms = vms
@@ -56,7 +62,7 @@
         )
 
     async def show(self, request: requests.Request) -> responses.Response:
-        """Answer the list, or that it has not changed."""
+        """Answer with the list, or with 304 if it has not changed."""
         body = orjson.dumps({"vms": self.vms.show(trio.current_time())})
         etag = f'"{zlib.crc32(body):08x}"'
         if request.headers.get("If-None-Match") == etag:
