--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,8 +1,8 @@
-"""Replays a day's arrivals against policies of steps, side by side.
+"""Simulates days of jobs in a pool, to compare scheduling policies.
 
-No sockets and no store: the pool's own book and planner decide, and a model
-of the workers carries the decisions out. A day takes some seconds, so that
-two policies can be compared over many drawn days.
+The simulation needs no sockets and no store: the pool's own book and planner
+decide, and a model of the workers carries out the decisions. A day takes a few
+seconds, so policies can be compared over many random days.
 """
 
 from bench.replay.bound import measure_bound
@@ -12,19 +12,19 @@
 from bench.replay.load import Arrival
 from bench.replay.load import Site
 from bench.replay.load import draw_arrivals
-from bench.replay.load import draw_troubles
-from bench.replay.worth import Worth
-from bench.replay.worth import measure_worth
+from bench.replay.load import draw_disruptions
+from bench.replay.worth import DayScore
+from bench.replay.worth import score_day
 
 __all__ = [
     "SITES",
     "Arrival",
     "Outcome",
     "Site",
-    "Worth",
+    "DayScore",
     "draw_arrivals",
-    "draw_troubles",
+    "draw_disruptions",
     "measure_bound",
-    "measure_worth",
+    "score_day",
     "play_day",
 ]
--- a/bench/replay/bound.py
+++ b/bench/replay/bound.py
@@ -1,12 +1,12 @@
-"""What no policy can exceed on a replayed day.
-
-The pool is taken as one fluid: work may be split, moved and interrupted at no
-cost, racks and gangs don't matter, nothing fails, and all that will come is
-known. A job keeps one limit of its own: it can't run faster than all its tasks
-at once. Slots of a second have prices; by weak duality any prices give an
-upper bound (S. Boyd and L. Vandenberghe, Convex Optimization, 2004, section
-5.2.2), and prices that fall where room is left and rise where it is short bring
-the bound down.
+"""Upper bound of the share of value that any policy can earn on a day.
+
+The problem is relaxed to one divisible capacity: work may be split, moved and
+interrupted at no cost, racks and gangs don't matter, nothing fails, and all
+future jobs are known. One limit per job remains: it can't run faster than with
+all its tasks at once. Each time slot of one second has a price. By weak duality
+any prices give an upper bound (S. Boyd and L. Vandenberghe, Convex
+Optimization, 2004, section 5.2.2). Lowering the price of slots with unused
+capacity and raising it for overbooked slots tightens the bound.
 """
 
 from collections.abc import Callable
@@ -18,12 +18,12 @@
 
 _SLOT_S = 1.0
 _LATE_FACTOR = 3.0
-_ROUNDS = 150
+_ITERATIONS = 150
 _FIRST_STEP = 0.5
 
-Measure = Callable[[work.Room], float]
-# A bound by each of these holds; the lowest one counts.
-_MEASURES: tuple[Measure, ...] = (
+CapacityMeasure = Callable[[work.Room], float]
+# Each measure of capacity gives a valid bound; the lowest bound is used.
+_MEASURES: tuple[CapacityMeasure, ...] = (
     lambda room: room.accelerators / 8,
     lambda room: room.cpu / 32_000,
     lambda room: (room.accelerators / 8 + room.cpu / 32_000) / 2,
@@ -31,193 +31,207 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Chance:
-    """One way for a job to earn: all its work within a window.
+class _Window:
+    """A value that a job earns if all its work is done within a window.
 
     Attributes:
-        value: What it earns.
-        first: The window's first slot.
-        last: The slot after its last one.
+        value: Value that the job earns.
+        first: First slot of the window.
+        end: Slot after the last slot of the window.
     """
 
     value: float
     first: int
-    last: int
+    end: int
 
 
 @dataclasses.dataclass(frozen=True)
 class _Demand:
-    """A job as the fluid sees it.
+    """Capacity that a job needs in the relaxed problem.
 
     Attributes:
-        rate: Room that all its tasks take at once.
-        slots: For how many slots they would need it, the fastest worker's
-            speed taken.
-        longest: Slots that its longest task takes there.
-        chances: In time, and late.
+        rate: Capacity that all its tasks use at once.
+        slots: Number of slots for which they use it on the fastest worker.
+        longest: Number of slots of its longest task on the fastest worker.
+        windows: The windows for ending in time and for ending late.
     """
 
     rate: float
     slots: float
     longest: float
-    chances: tuple[_Chance, ...]
+    windows: tuple[_Window, ...]
 
 
 def measure_bound(
     site: loads.Site,
     arrivals: list[loads.Arrival],
-    troubles: list[loads.Trouble],
+    disruptions: list[loads.Disruption],
     seed: int,
     length_s: float,
 ) -> float:
-    """Return the share of what is owed that no policy can exceed.
+    """Return an upper bound of the share of value that any policy earns.
 
     Args:
-        site: Workers and kinds.
-        arrivals: What comes.
-        troubles: What goes wrong; only slow and missing workers count.
-        seed: The day's, which draws how fast workers are.
-        length_s: Seconds that are played, the calm at the end included.
+        site: Workers and kinds of jobs.
+        arrivals: Jobs that arrive.
+        disruptions: Disruptions; only slow and missing workers count.
+        seed: Seed of the day, from which worker speeds are drawn.
+        length_s: Simulated seconds, including the idle period at the end.
     """
-    owed = [a for a in arrivals if a.cancelled_at is None and not a.poisoned]
-    total = sum(arrival.value for arrival in owed)
-    if not total:
+    finishable = [
+        a for a in arrivals if a.cancelled_at is None and not a.poisoned
+    ]
+    finishable_value = sum(arrival.value for arrival in finishable)
+    if not finishable_value:
         return 1.0
-    # Jobs that can never be done earn when they are shown as failed.
+    # Poisoned jobs earn their value once they are reported as failed.
     poisoned = [a for a in arrivals if a.cancelled_at is None and a.poisoned]
-    easy = sum(arrival.value for arrival in poisoned)
+    poisoned_value = sum(arrival.value for arrival in poisoned)
     best = min(
         _minimize(
-            [_describe(site, arrival, measure, length_s) for arrival in owed],
-            _list_room(site, troubles, seed, measure, length_s),
+            [
+                _build_demand(site, arrival, measure, length_s)
+                for arrival in finishable
+            ],
+            _list_capacity(site, disruptions, seed, measure, length_s),
         )
         for measure in _MEASURES
     )
-    return min(1.0, (best + easy) / (total + easy))
+    return min(
+        1.0, (best + poisoned_value) / (finishable_value + poisoned_value)
+    )
 
 
-def _describe(
+def _build_demand(
     site: loads.Site,
     arrival: loads.Arrival,
-    measure: Measure,
+    measure: CapacityMeasure,
     length_s: float,
 ) -> _Demand:
     [step] = arrival.job.steps
     fastest = max(site.speeds)
     mean_s = sum(arrival.task_s) / len(arrival.task_s)
-    late = arrival.value * arrival.kind.late_worth / arrival.kind.worth
-    ends = (arrival.objective_s, _LATE_FACTOR * arrival.objective_s)
-    chances = tuple(
-        _Chance(
+    late_value = (
+        arrival.value * arrival.kind.value_late / arrival.kind.value_on_time
+    )
+    deadlines_s = (arrival.objective_s, _LATE_FACTOR * arrival.objective_s)
+    windows = tuple(
+        _Window(
             value,
             math.floor(arrival.at / _SLOT_S),
-            math.ceil(min(arrival.at + end_s, length_s) / _SLOT_S),
+            math.ceil(min(arrival.at + deadline_s, length_s) / _SLOT_S),
+        )
+        for value, deadline_s in zip(
+            (arrival.value, late_value), deadlines_s, strict=True
         )
-        for value, end_s in zip((arrival.value, late), ends, strict=True)
     )
     return _Demand(
         measure(step.room) * step.count,
         mean_s / fastest / _SLOT_S,
         max(arrival.task_s) / fastest / _SLOT_S,
-        chances,
+        windows,
     )
 
 
-def _list_room(
+def _list_capacity(
     site: loads.Site,
-    troubles: list[loads.Trouble],
+    disruptions: list[loads.Disruption],
     seed: int,
-    measure: Measure,
+    measure: CapacityMeasure,
     length_s: float,
 ) -> list[float]:
-    """Return the room of the pool in each slot, fast workers counted as more.
+    """Return the capacity of the pool in each slot, weighted by speed.
 
-    A worker counts by its best moment in the slot.
+    A worker counts with its highest speed within the slot.
     """
     fastest = max(site.speeds)
-    room = []
+    capacities = []
     for slot in range(math.ceil(length_s / _SLOT_S)):
-        total = 0.0
+        worker_sum = 0.0
         for name in loads.name_workers(site):
             speed = loads.draw_speed(site, seed, name) / fastest
-            for trouble in troubles:
-                if trouble.worker == name:
-                    speed *= _find_share(trouble, slot)
-            total += speed
-        room.append(total * measure(site.room))
-    return room
+            for disruption in disruptions:
+                if disruption.worker == name:
+                    speed *= _find_speed_share(disruption, slot)
+            worker_sum += speed
+        capacities.append(worker_sum * measure(site.room))
+    return capacities
 
 
-def _find_share(trouble: loads.Trouble, slot: int) -> float:
-    """Return how much of a worker is there in a slot, at most."""
+def _find_speed_share(disruption: loads.Disruption, slot: int) -> float:
+    """Return the highest share of its speed that a worker has in a slot."""
     begin, end = slot * _SLOT_S, (slot + 1) * _SLOT_S
-    if trouble.leaves:
-        gone = trouble.end <= begin and end <= trouble.replaced_at
-        return 0.0 if gone else 1.0
-    whole = trouble.start <= begin and end <= trouble.end
-    return trouble.speed if whole else 1.0
+    if disruption.leaves:
+        is_absent = disruption.end <= begin and end <= disruption.replaced_at
+        return 0.0 if is_absent else 1.0
+    is_throughout = disruption.start <= begin and end <= disruption.end
+    return disruption.speed if is_throughout else 1.0
 
 
-def _minimize(demands: list[_Demand], room: list[float]) -> float:
+def _minimize(demands: list[_Demand], capacities: list[float]) -> float:
     """Return the lowest bound that a subgradient method finds."""
-    # What a second of room is worth on the whole. Small jobs are worth many
-    # times as much; steps of that size never settle.
-    scale = sum(d.chances[0].value for d in demands) / sum(
+    # Mean value of a second of capacity. Scaling by the value of small jobs,
+    # which is many times higher, would give steps that never converge.
+    scale = sum(d.windows[0].value for d in demands) / sum(
         d.rate * d.slots for d in demands
     )
-    prices = [0.0] * len(room)
+    prices = [0.0] * len(capacities)
     best = math.inf
-    for number in range(_ROUNDS):
-        used = [0.0] * len(room)
-        bound = sum(map(_multiply, prices, room))
+    for number in range(_ITERATIONS):
+        used = [0.0] * len(capacities)
+        bound = sum(map(_compute_cost, prices, capacities))
         for demand in demands:
-            bound += _take_best(demand, prices, used)
+            bound += _book_best_window(demand, prices, used)
         best = min(best, bound)
         step = scale * _FIRST_STEP / math.sqrt(number + 1)
         prices = [
-            max(0.0, price + step * (taken - has) / has) if has else scale
-            for price, taken, has in zip(prices, used, room, strict=True)
+            max(0.0, price + step * (used_capacity - available) / available)
+            if available
+            else scale
+            for price, used_capacity, available in zip(
+                prices, used, capacities, strict=True
+            )
         ]
     return best
 
 
-def _multiply(price: float, has: float) -> float:
-    return price * has
+def _compute_cost(price: float, available: float) -> float:
+    return price * available
 
 
-def _take_best(
+def _book_best_window(
     demand: _Demand, prices: list[float], used: list[float]
 ) -> float:
-    """Let a job buy the cheapest seconds of its best chance.
+    """Book the cheapest slots of a job's most profitable window in `used`.
 
     Returns:
-        What it earns beyond their price; 0 if none pays.
+        The job's value minus the price of the slots; 0 if no window pays off.
     """
-    best, bought = 0.0, []
-    for chance in demand.chances:
-        if chance.last - chance.first < demand.longest:
+    best, booked = 0.0, []
+    for window in demand.windows:
+        if window.end - window.first < demand.longest:
             continue
-        slots = sorted(range(chance.first, chance.last), key=prices.__getitem__)
-        taken = _split(slots, demand.slots)
-        cost = demand.rate * sum(prices[slot] * part for slot, part in taken)
-        if chance.value - cost > best:
-            best, bought = chance.value - cost, taken
-    for slot, part in bought:
+        slots = sorted(range(window.first, window.end), key=prices.__getitem__)
+        parts = _fill_slots(slots, demand.slots)
+        cost = demand.rate * sum(prices[slot] * part for slot, part in parts)
+        if window.value - cost > best:
+            best, booked = window.value - cost, parts
+    for slot, part in booked:
         used[slot] += demand.rate * part
     return best
 
 
-def _split(slots: list[int], needed: float) -> list[tuple[int, float]]:
-    """Return the first slots, with how much of each is needed.
+def _fill_slots(slots: list[int], needed: float) -> list[tuple[int, float]]:
+    """Return the slots to use, each with the part of the slot needed.
 
-    >>> _split([4, 2, 3], 1.5)
+    >>> _fill_slots([4, 2, 3], 1.5)
     [(4, 1.0), (2, 0.5)]
     """
-    taken = []
+    parts = []
     for slot in slots:
         if needed <= 0:
             break
         part = min(1.0, needed)
-        taken.append((slot, part))
+        parts.append((slot, part))
         needed -= part
-    return taken
+    return parts
--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -1,4 +1,4 @@
-"""One replayed day: the pool's book and planner against a model of workers."""
+"""Simulates one day: the pool's book and planner with modelled workers."""
 
 import collections
 from collections.abc import Callable
@@ -15,19 +15,19 @@
 from crocusrouter.work import replacement
 from crocusrouter.work import runs
 
-_WALL = 1_000_000.0
+_WALL_CLOCK_START_S = 1_000_000.0
 _TICK_S = 0.05
-_LOOK_S = 1.0
-_DECISION_S = 0.25
-_REMOTE = 3.0
-_CALM_S = 25.0
-_OWN_FAILURES = 0.02
-_JOB = re.compile(r"\b[0-9a-f]{16}\b")
+_REPORT_INTERVAL_S = 1.0
+_DECISION_INTERVAL_S = 0.25
+_SPREAD_GANG_SLOWDOWN = 3.0
+_IDLE_END_S = 25.0
+_JOB_FAILURE_SHARE = 0.02
+_JOB_ID = re.compile(r"\b[0-9a-f]{16}\b")
 
 
 @dataclasses.dataclass
-class _Running:
-    """A run as its worker has it; work in seconds at full speed."""
+class _SimulatedRun:
+    """A run on a modelled worker; `total_s` and `done_s` are at full speed."""
 
     key: work.TaskKey
     number: int
@@ -38,61 +38,61 @@
     fails_at: float | None
     restored_at: float
     stops_at: float | None = None
-    began: float = 0.0
+    started_at: float = 0.0
 
 
 @dataclasses.dataclass
 class Outcome:
-    """How a day ended.
+    """Results of a simulated day.
 
     Attributes:
-        served: Each job that was owed.
-        wasted_by: Core-seconds that were stopped or lost, less what was
-            saved, by what ended the work.
-        stops: Runs stopped for others.
-        decisions_s: Real seconds of each decision.
+        job_results: One result for each job that was not cancelled.
+        wasted_by: Core-seconds of stopped or lost work that no checkpoint
+            saved, by the cause of its end.
+        stops: Number of runs that were preempted.
+        decisions_s: Real duration of each decision in seconds.
     """
 
-    served: list[worth.Served]
+    job_results: list[worth.JobResult]
     wasted_by: dict[str, float]
     stops: int
     decisions_s: list[float]
 
     @property
     def wasted(self) -> float:
-        """All core-seconds that came to nothing."""
+        """Core-seconds of wasted work, over all causes."""
         return sum(self.wasted_by.values())
 
 
-class _Day:
+class _DaySimulation:
     def __init__(
         self,
         site: loads.Site,
         arrivals: list[loads.Arrival],
-        troubles: list[loads.Trouble],
+        disruptions: list[loads.Disruption],
         policy: work.Policy,
         seed: int,
         read_clock: Callable[[], float],
     ) -> None:
         self.site = site
         self.arrivals = {a.job.id: a for a in arrivals}
-        self.pending = list(arrivals)
-        self.troubles = troubles
+        self.future_arrivals = list(arrivals)
+        self.disruptions = disruptions
         self.policy = policy
         self.rng = random.Random(seed)
         self.read_clock = read_clock
         self.book = work.Book(1)
         self.reserved = reservations.Reservations()
-        self.running: dict[work.TaskKey, _Running] = {}
-        self.ends: dict[str, list[orders.Ended]] = {}
-        self.numbers: dict[str, int] = {}
+        self.running: dict[work.TaskKey, _SimulatedRun] = {}
+        self.unreported_ends: dict[str, list[orders.Ended]] = {}
+        self.last_end_numbers: dict[str, int] = {}
         self.speeds: dict[str, float] = {}
         self.ended_at: dict[str, float] = {}
         self.wasted_by: collections.defaultdict[str, float] = (
             collections.defaultdict(float)
         )
         self.stops = 0
-        self.next_run = 1
+        self.next_run_number = 1
         self.decisions_s: list[float] = []
         self.book.guaranteed = {
             f"c{n}": site.guaranteed for n in range(site.customers)
@@ -108,78 +108,81 @@
         )
         self.book.set_worker(entry, now)
         self.book.workers[name].reached = True
-        self.ends[name] = []
-        self.numbers[name] = 0
+        self.unreported_ends[name] = []
+        self.last_end_numbers[name] = 0
         self.speeds[name] = loads.draw_speed(self.site, self.seed, name)
 
     def run(self, length_s: float) -> Outcome:
-        """Play the day and the calm after it."""
-        steps = round((length_s + _CALM_S) / _TICK_S)
-        decided = 0.0
-        for number in range(steps):
-            now = number * _TICK_S
-            changed = self._take_arrivals(now)
-            changed |= self._take_departures(now)
-            self._work(now)
-            if self._is_away(now):
+        """Simulate the day and the idle period after it."""
+        tick_count = round((length_s + _IDLE_END_S) / _TICK_S)
+        decided_at = 0.0
+        for tick in range(tick_count):
+            now = tick * _TICK_S
+            changed = self._submit_arrivals(now)
+            changed |= self._apply_departures(now)
+            self._advance_runs(now)
+            if self._is_owner_absent(now):
                 continue
-            changed |= self._report(now, number)
-            if changed or now >= decided + _DECISION_S:
-                self._decide(now)
-                decided = now
+            changed |= self._deliver_reports(now, tick)
+            if changed or now >= decided_at + _DECISION_INTERVAL_S:
+                self._make_decision(now)
+                decided_at = now
         return Outcome(
-            self._list_served(), self.wasted_by, self.stops, self.decisions_s
+            self._list_job_results(),
+            self.wasted_by,
+            self.stops,
+            self.decisions_s,
         )
 
-    def _is_away(self, now: float) -> bool:
+    def _is_owner_absent(self, now: float) -> bool:
         return any(
-            not t.worker and t.start <= now < t.end for t in self.troubles
+            not t.worker and t.start <= now < t.end for t in self.disruptions
         )
 
-    def _take_departures(self, now: float) -> bool:
-        """Let workers say that they leave, go, and be replaced."""
+    def _apply_departures(self, now: float) -> bool:
+        """Announce, remove and replace the workers whose time has come."""
         changed = False
-        for trouble in self.troubles:
-            if not trouble.leaves:
+        for disruption in self.disruptions:
+            if not disruption.leaves:
                 continue
-            entry = self.book.workers[trouble.worker].entry
-            if now - _TICK_S < trouble.start <= now:
-                stays_s = trouble.end - trouble.start
+            entry = self.book.workers[disruption.worker].entry
+            if now - _TICK_S < disruption.start <= now:
+                stays_s = disruption.end - disruption.start
                 leaving = dataclasses.replace(
                     entry, draining=True, stays_s=stays_s
                 )
                 self.book.set_worker(leaving, now)
                 changed = True
-            if now - _TICK_S < trouble.end <= now:
-                self._remove_worker(trouble.worker, now)
+            if now - _TICK_S < disruption.end <= now:
+                self._remove_worker(disruption.worker, now)
                 changed = True
-            if now - _TICK_S < trouble.replaced_at <= now:
+            if now - _TICK_S < disruption.replaced_at <= now:
                 rack = packing.find_rack(entry.labels)
-                self._add_worker(f"{trouble.worker}+", rack, now)
+                self._add_worker(f"{disruption.worker}+", rack, now)
                 changed = True
         return changed
 
     def _remove_worker(self, name: str, now: float) -> None:
-        """End a worker with all that runs there."""
-        self.ends.pop(name)
+        """Remove a worker and end all its runs."""
+        self.unreported_ends.pop(name)
         for run in list(self.running.values()):
             if run.worker == name and self.running.get(run.key) is run:
-                self._end(run, orders.How.BROKEN)
+                self._end_run(run, orders.How.BROKEN)
         self.book.unlist_worker(name)
         replacement.note_gone(self.book, name, now)
 
-    def _take_arrivals(self, now: float) -> bool:
+    def _submit_arrivals(self, now: float) -> bool:
         changed = False
-        while self.pending and self.pending[0].at <= now:
-            job = self.pending.pop(0).job
+        while self.future_arrivals and self.future_arrivals[0].at <= now:
+            job = self.future_arrivals.pop(0).job
             self.book.put_job(job, work.Progress(), 2, now)
             changed = True
-        self.book.open_due(_WALL + now, now)
+        self.book.open_due(_WALL_CLOCK_START_S + now, now)
         for arrival in self.arrivals.values():
-            at = arrival.cancelled_at
-            if at is not None and now - _TICK_S < at <= now:
-                gone = dataclasses.replace(arrival.job, cancelled=True)
-                self.book.put_job(gone, work.Progress(), 2, now)
+            cancelled_at = arrival.cancelled_at
+            if cancelled_at is not None and now - _TICK_S < cancelled_at <= now:
+                cancelled_job = dataclasses.replace(arrival.job, cancelled=True)
+                self.book.put_job(cancelled_job, work.Progress(), 2, now)
                 changed = True
         return changed
 
@@ -187,13 +190,16 @@
 
     def _find_speed(self, worker: str, now: float) -> float:
         speed = self.speeds[worker]
-        for trouble in self.troubles:
-            if trouble.worker == worker and trouble.start <= now < trouble.end:
-                speed = min(speed, self.speeds[worker] * trouble.speed)
+        for disruption in self.disruptions:
+            if (
+                disruption.worker == worker
+                and disruption.start <= now < disruption.end
+            ):
+                speed = min(speed, self.speeds[worker] * disruption.speed)
         return speed
 
-    def _work(self, now: float) -> None:
-        """Let a tick pass on all workers."""
+    def _advance_runs(self, now: float) -> None:
+        """Advance all runs by one tick."""
         speeds: dict[str, float] = {}
         gangs: dict[tuple[work.StepKey, int], float] = {}
         for run in self.running.values():
@@ -211,13 +217,13 @@
             if now >= run.restored_at:
                 run.done_s += _TICK_S * speed
             if run.stops_at is not None and now >= run.stops_at:
-                self._end(run, orders.How.STOPPED)
+                self._end_run(run, orders.How.STOPPED)
             elif run.fails_at is not None and run.done_s >= run.fails_at:
-                self._end(run, orders.How.FAILED)
+                self._end_run(run, orders.How.FAILED)
             elif run.done_s >= run.total_s:
-                self._end(run, orders.How.DONE)
+                self._end_run(run, orders.How.DONE)
 
-    def _end(self, run: _Running, how: orders.How) -> None:
+    def _end_run(self, run: _SimulatedRun, how: orders.How) -> None:
         members = [run]
         if run.step.gang:
             members = [
@@ -225,50 +231,56 @@
                 for other in self.running.values()
                 if other.key[:3] == run.key[:3] and other.number == run.number
             ]
-        cause = self._name_cause(run, how)
+        cause = self._describe_cause(run, how)
         for member in members:
             del self.running[member.key]
-            ended = how if member is run or how is orders.How.DONE else None
-            self._list_end(member, ended or orders.How.BROKEN, cause)
+            member_how = (
+                how if member is run or how is orders.How.DONE else None
+            )
+            self._add_end(member, member_how or orders.How.BROKEN, cause)
 
-    def _list_end(self, run: _Running, how: orders.How, cause: str) -> None:
+    def _add_end(self, run: _SimulatedRun, how: orders.How, cause: str) -> None:
         saved = ""
         if how is not orders.How.DONE:
             if run.step.checkpoints:
                 saved = f"{run.done_s:.3f}"
             else:
-                lost = run.done_s * run.step.room.cores
-                self.wasted_by[cause] += lost
-        if run.worker not in self.ends:
-            return  # it has left; its owner learns that, and no ends
-        self.numbers[run.worker] += 1
-        self.ends[run.worker].append(
+                lost_core_s = run.done_s * run.step.room.cores
+                self.wasted_by[cause] += lost_core_s
+        if run.worker not in self.unreported_ends:
+            return  # a removed worker reports no ends of its runs
+        self.last_end_numbers[run.worker] += 1
+        self.unreported_ends[run.worker].append(
             orders.Ended(
-                self.numbers[run.worker], run.key, run.number, how, saved
+                self.last_end_numbers[run.worker],
+                run.key,
+                run.number,
+                how,
+                saved,
             )
         )
 
-    def _name_cause(self, run: _Running, how: orders.How) -> str:
-        """Return why a run came to nothing, without names of jobs."""
-        held = self.book.runs.get(run.key)
-        if how is orders.How.STOPPED and held is not None and held.why:
-            return _JOB.sub("JOB", held.why)
-        if run.worker not in self.ends:
+    def _describe_cause(self, run: _SimulatedRun, how: orders.How) -> str:
+        """Return why a run was wasted, with job ids masked."""
+        book_run = self.book.runs.get(run.key)
+        if how is orders.How.STOPPED and book_run is not None and book_run.why:
+            return _JOB_ID.sub("JOB", book_run.why)
+        if run.worker not in self.unreported_ends:
             return "its worker left"
         return str(how)
 
-    def _report(self, now: float, number: int) -> bool:
-        """Let workers tell that have ends, or whose look is due."""
-        by_worker: dict[str, list[_Running]] = {}
+    def _deliver_reports(self, now: float, tick: int) -> bool:
+        """Deliver reports of workers with ended runs or with a due report."""
+        by_worker: dict[str, list[_SimulatedRun]] = {}
         for run in self.running.values():
             by_worker.setdefault(run.worker, []).append(run)
         changed = False
-        look = round(_LOOK_S / _TICK_S)
-        for offset, name in enumerate(self.ends):
-            due = (number + offset) % look == 0
-            if not self.ends[name] and not due:
+        ticks_per_report = round(_REPORT_INTERVAL_S / _TICK_S)
+        for offset, name in enumerate(self.unreported_ends):
+            is_due = (tick + offset) % ticks_per_report == 0
+            if not self.unreported_ends[name] and not is_due:
                 continue
-            rows = tuple(
+            running_rows = tuple(
                 orders.Running(
                     run.key,
                     run.number,
@@ -277,36 +289,38 @@
                 )
                 for run in by_worker.get(name, [])
             )
-            report = orders.Report(0, rows, tuple(self.ends[name]))
-            changed |= bool(self.ends[name])
-            self.ends[name] = []
+            report = orders.Report(
+                0, running_rows, tuple(self.unreported_ends[name])
+            )
+            changed |= bool(self.unreported_ends[name])
+            self.unreported_ends[name] = []
             work.take_report(self.book, name, report, now, now)
-        self._note_ended(now)
+        self._record_final_times(now)
         return changed
 
-    def _note_ended(self, now: float) -> None:
+    def _record_final_times(self, now: float) -> None:
         for job_id in sorted(self.book.dirty):
-            held = self.book.jobs[job_id]
-            if held.progress.final is not None:
+            book_job = self.book.jobs[job_id]
+            if book_job.progress.final is not None:
                 self.ended_at.setdefault(job_id, now)
         self.book.dirty.clear()
 
     # Decisions.
 
-    def _decide(self, now: float) -> None:
+    def _make_decision(self, now: float) -> None:
         for placement in self.reserved.take_ready(self.book, now):
-            self._start(placement, now)
-        began = self.read_clock()
+            self._start_runs(placement, now)
+        started_at = self.read_clock()
         plan = work.plan(
             self.book,
             now,
-            _WALL + now,
+            _WALL_CLOCK_START_S + now,
             reserved=self.reserved.list_spots(),
             policy=self.policy,
         )
-        self.decisions_s.append(self.read_clock() - began)
+        self.decisions_s.append(self.read_clock() - started_at)
         for placement in plan.placements:
-            self._start(placement, now)
+            self._start_runs(placement, now)
         if plan.contended:
             self.book.note_contention(now)
         for run, why in plan.stops:
@@ -315,43 +329,43 @@
         for placement in plan.reservations:
             self.reserved.add(placement, now)
         for _, order in self.book.outbox:
-            held = self.running.get(order.key)
-            if held is not None and held.number == order.run:
-                held.stops_at = now + self.rng.uniform(0.5, 1.0) * (
+            simulated = self.running.get(order.key)
+            if simulated is not None and simulated.number == order.run:
+                simulated.stops_at = now + self.rng.uniform(0.5, 1.0) * (
                     self.site.stop_s
                 )
         self.book.outbox.clear()
         self.book.events.clear()
 
-    def _start(self, placement: work.Placement, now: float) -> None:
-        found = self.book.find_work(placement.step)
-        assert found is not None
+    def _start_runs(self, placement: work.Placement, now: float) -> None:
+        step_work = self.book.find_work(placement.step)
+        assert step_work is not None
         arrival = self.arrivals[placement.step.job]
-        factor = self._find_factor(found, placement)
-        shared = self.next_run
-        self.next_run += 1
+        slowdown = self._find_slowdown(step_work, placement)
+        gang_run_number = self.next_run_number
+        self.next_run_number += 1
         for index, worker in placement.spots.items():
-            number = shared
-            if not found.step.gang:
-                number = self.next_run
-                self.next_run += 1
+            number = gang_run_number
+            if not step_work.step.gang:
+                number = self.next_run_number
+                self.next_run_number += 1
             key = work.TaskKey(*placement.step, index)
             run = self.book.add_run(key, number, worker, now)
             self.book.note_taken(key, number, now)
-            total = arrival.task_s[index] * factor
-            self.running[key] = _Running(
+            total_s = arrival.task_s[index] * slowdown
+            self.running[key] = _SimulatedRun(
                 key,
                 number,
                 worker,
-                found.step,
-                total,
+                step_work.step,
+                total_s,
                 float(run.saved or 0.0),
-                self._find_failure(arrival, worker, total, now),
+                self._draw_failure(arrival, worker, total_s, now),
                 now + (self.site.restore_s if run.saved else 0.0),
             )
 
-    def _find_factor(
-        self, found: runs.StepWork, placement: work.Placement
+    def _find_slowdown(
+        self, step_work: runs.StepWork, placement: work.Placement
     ) -> float:
         racks = {
             label
@@ -359,69 +373,75 @@
             for label in self.book.workers[worker].entry.labels
             if "-" in label
         }
-        return _REMOTE if found.step.one_rack and len(racks) > 1 else 1.0
+        return (
+            _SPREAD_GANG_SLOWDOWN
+            if step_work.step.one_rack and len(racks) > 1
+            else 1.0
+        )
 
-    def _find_failure(
-        self, arrival: loads.Arrival, worker: str, total: float, now: float
+    def _draw_failure(
+        self, arrival: loads.Arrival, worker: str, total_s: float, now: float
     ) -> float | None:
-        """Return after how much work a run fails; None if it doesn't."""
-        grey = any(
+        """Return the amount of work after which a run fails; None if never."""
+        worker_fails = any(
             t.fails and t.worker == worker and t.start <= now < t.end
-            for t in self.troubles
+            for t in self.disruptions
         )
-        share = _OWN_FAILURES / max(1, len(arrival.task_s))
-        if grey or arrival.poisoned or self.rng.random() < share:
-            return total * self.rng.uniform(0.1, 0.9)
+        share = _JOB_FAILURE_SHARE / max(1, len(arrival.task_s))
+        if worker_fails or arrival.poisoned or self.rng.random() < share:
+            return total_s * self.rng.uniform(0.1, 0.9)
         return None
 
-    def _list_served(self) -> list[worth.Served]:
-        served = []
+    def _list_job_results(self) -> list[worth.JobResult]:
+        job_results = []
         for job_id, arrival in self.arrivals.items():
             if arrival.cancelled_at is not None:
                 continue
-            held = self.book.jobs.get(job_id)
-            state = held.progress.final if held is not None else None
+            book_job = self.book.jobs.get(job_id)
+            state = book_job.progress.final if book_job is not None else None
             wanted = work.State.FAILED if arrival.poisoned else work.State.DONE
-            ended = self.ended_at.get(job_id) if state is wanted else None
-            after = ended - arrival.at if ended is not None else None
-            served.append(
-                worth.Served(
+            ended_at = self.ended_at.get(job_id) if state is wanted else None
+            took_s = ended_at - arrival.at if ended_at is not None else None
+            job_results.append(
+                worth.JobResult(
                     arrival.at,
                     arrival.kind.name,
                     arrival.job.customer,
                     arrival.value,
-                    worth.earn(
-                        after,
+                    worth.compute_value(
+                        took_s,
                         arrival.objective_s,
                         arrival.value,
                         arrival.value
-                        * arrival.kind.late_worth
-                        / arrival.kind.worth,
+                        * arrival.kind.value_late
+                        / arrival.kind.value_on_time,
                     ),
                 )
             )
-        return served
+        return job_results
 
 
 def play_day(
     site: loads.Site,
     arrivals: list[loads.Arrival],
-    troubles: list[loads.Trouble],
+    disruptions: list[loads.Disruption],
     policy: work.Policy,
     seed: int,
     read_clock: Callable[[], float],
     length_s: float = 34.0,
 ) -> Outcome:
-    """Play one day under a policy.
+    """Simulate one day under a policy.
 
     Args:
-        site: Workers and kinds.
-        arrivals: What comes.
-        troubles: What goes wrong.
-        policy: How steps are ordered, placed and stopped.
-        seed: Draws the failures of tasks.
-        read_clock: Real seconds; times the decisions.
-        length_s: Seconds in which jobs come.
+        site: Workers and kinds of jobs.
+        arrivals: Jobs that arrive.
+        disruptions: Faults and removals of workers and absences of the owner.
+        policy: Policy by which steps are ordered, placed and stopped.
+        seed: Seed of task failures, stop times and worker speeds.
+        read_clock: Returns real seconds, to time the decisions.
+        length_s: Seconds during which jobs arrive.
     """
-    day = _Day(site, arrivals, troubles, policy, seed, read_clock)
-    return day.run(length_s)
+    simulation = _DaySimulation(
+        site, arrivals, disruptions, policy, seed, read_clock
+    )
+    return simulation.run(length_s)
--- a/bench/replay/load.py
+++ b/bench/replay/load.py
@@ -1,4 +1,4 @@
-"""Arrivals and troubles of a day, drawn from a seed after the users' sheets."""
+"""Random arrivals and disruptions of a day, from the users' load sheets."""
 
 import dataclasses
 import math
@@ -6,41 +6,42 @@
 
 from crocusrouter import work
 
-_WALL = 1_000_000.0
-_QUARTER = 0.25
-# A release replaces this many workers at a time.
-_REPLACED_TOGETHER = 9
-_RELEASE_GAP_S = 1.0
-# How long a worker that is replaced stays, and one that must go at once.
-_DRAIN_S = 6.5
-_NOTICE_S = 2.0
-_BACK_S = 4.0
+_WALL_CLOCK_START_S = 1_000_000.0
+_POOL_SHARE_PER_JOB = 0.25
+# Number of workers that a release replaces at a time.
+_RELEASE_GROUP_WORKERS = 9
+_RELEASE_INTERVAL_S = 1.0
+# How long a worker keeps running after the notice that it will be removed:
+# during a release, and during a loss at short notice.
+_RELEASE_DRAIN_S = 6.5
+_SHORT_NOTICE_S = 2.0
+_REPLACEMENT_DELAY_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Kind:
-    """One row of a sheet.
+    """A kind of job: one row of a load sheet.
 
     Attributes:
-        name: Its name there.
+        name: Name of the kind in the sheet.
         priority: 0 goes first.
-        per_s: Jobs a second.
-        width: Mean number of tasks of a step.
-        task_s: Mean seconds of a task.
-        cores: Cores of a task.
-        memory_mb: Memory of a task.
-        accelerators: Drawn evenly from these.
-        gang: Whether a step's tasks work only together.
-        one_rack: Share of steps that belong into one rack.
-        checkpoints: Share of steps that make checkpoints.
-        estimate_off: Spread of the declared time around the true one.
-        uneven: Spread of the tasks' times within a step.
-        slack: Objective in chains of work.
-        target_s: Seconds more.
-        worth: Earned in time.
-        late_worth: Earned up to three times the objective.
-        attempts: Failures after which a task's job fails.
-        poison: Share of jobs that can never be done.
+        per_s: Jobs per second.
+        width: Mean number of tasks in a step.
+        task_s: Mean run time of a task in seconds.
+        cores: Cores per task.
+        memory_mb: Memory per task.
+        accelerators: Accelerators per task, drawn uniformly from these.
+        gang: Whether a step's tasks run only all at once.
+        one_rack: Share of steps whose tasks should run in one rack.
+        checkpoints: Share of steps that write checkpoints.
+        estimate_off: Spread of the declared run time around the true one.
+        uneven: Spread of the tasks' run times within a step.
+        slack: Objective as a multiple of the job's longest chain of work.
+        target_s: Seconds added to the objective.
+        value_on_time: Value of a job that ends within its objective.
+        value_late: Value of a job that ends within three times its objective.
+        attempts: Number of failures of a task after which its job fails.
+        poison: Share of jobs whose tasks always fail.
     """
 
     name: str
@@ -58,31 +59,31 @@
     uneven: float
     slack: float
     target_s: float
-    worth: float
-    late_worth: float
+    value_on_time: float
+    value_late: float
     attempts: int
     poison: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Site:
-    """Workers and kinds of one deployment.
+    """Workers and kinds of jobs of one deployment.
 
     Attributes:
-        name: Its name.
-        workers: How many.
-        per_rack: Workers of a rack.
-        customers: How many.
-        guaranteed: Accelerators that each customer's priority 0 owns.
-        kinds: What comes.
-        room: What each worker has.
-        stop_s: Seconds that a stop takes at most.
-        restore_s: Seconds to go on from a checkpoint.
-        speeds: How fast workers are; each is one of these.
-        released: Share of the workers that are replaced in turn on a day with
-            a release; 0 if there are none.
-        noticed: Share of the workers that leave at short notice together on a
-            day with such a loss.
+        name: Name of the deployment.
+        workers: Number of workers.
+        per_rack: Workers per rack.
+        customers: Number of customers.
+        guaranteed: Accelerators guaranteed to each customer's priority 0.
+        kinds: Kinds of jobs that arrive.
+        room: Capacity of each worker.
+        stop_s: Longest time that stopping a run takes, in seconds.
+        restore_s: Seconds that resuming from a checkpoint takes.
+        speeds: Relative speeds, one of which is drawn for each worker.
+        released: Share of the workers that a release replaces, group by group;
+            0 if there is no release.
+        noticed: Share of the workers that are removed together at short notice;
+            0 if none are.
     """
 
     name: str
@@ -99,7 +100,8 @@
     noticed: float = 0.0
 
 
-_LARGE = (1, 2, 4, 8, 8)
+# Accelerators per task of a gang.
+_SIZES = (1, 2, 4, 8, 8)
 SITES = {
     "fbusw": Site(
         "fbusw",
@@ -108,9 +110,9 @@
         4,
         30,
         (
-            Kind("size-match", 1, 0.314, 5, 8.5, 13, 53_000, _LARGE, True,
+            Kind("size-match", 1, 0.314, 5, 8.5, 13, 53_000, _SIZES, True,
                  0.6, 0.45, 0.2, 0.15, 3.0, 1.0, 3, 0.3, 3, 0.01),
-            Kind("stock-sync", 0, 0.765, 3.4, 2.5, 3.7, 11_000, _LARGE, True,
+            Kind("stock-sync", 0, 0.765, 3.4, 2.5, 3.7, 11_000, _SIZES, True,
                  0.8, 0.0, 0.9, 0.3, 1.5, 0.25, 4, 0.8, 2, 0.0),
             Kind("photo-tag", 2, 0.295, 16, 7.6, 2.8, 15_000, (1,), False,
                  0.0, 0.45, 0.5, 0.3, 3.0, 3.0, 1, 0.1, 4, 0.03),
@@ -123,9 +125,9 @@
         4,
         30,
         (
-            Kind("trail-render", 1, 0.342, 4, 11.0, 13, 68_000, _LARGE, True,
+            Kind("trail-render", 1, 0.342, 4, 11.0, 13, 68_000, _SIZES, True,
                  0.6, 0.45, 0.2, 0.15, 3.0, 1.0, 3, 0.9, 2, 0.03),
-            Kind("find-verify", 0, 0.958, 3, 2.5, 3.7, 20_000, _LARGE, True,
+            Kind("find-verify", 0, 0.958, 3, 2.5, 3.7, 20_000, _SIZES, True,
                  0.8, 0.0, 0.2, 0.3, 1.5, 0.25, 4, 0.8, 3, 0.0),
             Kind("rank-rebuild", 2, 0.529, 12, 6.1, 2.8, 11_000, (1,), False,
                  0.0, 0.45, 0.5, 0.3, 3.0, 3.0, 1, 0.3, 2, 0.03),
@@ -139,9 +141,9 @@
         4,
         30,
         (
-            Kind("valuacion", 1, 0.392, 5, 6.8, 52, 75_000, _LARGE, True,
+            Kind("valuacion", 1, 0.392, 5, 6.8, 52, 75_000, _SIZES, True,
                  0.6, 0.45, 0.5, 0.3, 3.0, 1.0, 3, 0.9, 2, 0.03),
-            Kind("verif-puja", 0, 1.19, 3.4, 2.5, 15, 22_000, _LARGE, True,
+            Kind("verif-puja", 0, 1.19, 3.4, 2.5, 15, 22_000, _SIZES, True,
                  0.8, 0.0, 0.2, 0.3, 1.5, 0.25, 4, 0.8, 4, 0.0),
             Kind("conciliacion", 2, 0.295, 16, 7.6, 11, 16_000, (1,), False,
                  0.0, 0.45, 0.5, 0.3, 3.0, 3.0, 1, 0.3, 4, 0.01),
@@ -151,8 +153,8 @@
         restore_s=0.25,
         speeds=(0.8, 1.0, 1.25),
     ),
-    # Hundreds of workers that are nearly always full, and that are replaced
-    # while bursts come.
+    # Hundreds of workers, nearly always fully used, which are replaced while
+    # bursts of jobs arrive.
     "large": Site(
         "large",
         270,
@@ -160,9 +162,9 @@
         24,
         56,
         (
-            Kind("size-match", 1, 2.15, 13, 6.8, 13, 53_000, _LARGE, True,
+            Kind("size-match", 1, 2.15, 13, 6.8, 13, 53_000, _SIZES, True,
                  0.6, 0.45, 0.5, 0.3, 3.0, 1.0, 3, 0.3, 3, 0.01),
-            Kind("stock-sync", 0, 5.51, 5.3, 2.5, 3.7, 20_000, _LARGE, True,
+            Kind("stock-sync", 0, 5.51, 5.3, 2.5, 3.7, 20_000, _SIZES, True,
                  0.8, 0.0, 0.2, 0.3, 1.5, 0.25, 4, 0.8, 3, 0.0),
             Kind("photo-tag", 2, 1.69, 38, 7.6, 2.8, 8_200, (1,), False,
                  0.0, 0.45, 0.9, 0.15, 3.0, 3.0, 1, 0.1, 4, 0.0),
@@ -178,17 +180,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """One job, with what only the model of the workers knows.
+    """A job, with data that only the model of the workers knows.
 
     Attributes:
         at: Seconds from the start of the day.
-        kind: Its kind.
-        job: As its caller hands it in.
-        task_s: True seconds of each task.
-        poisoned: Whether its tasks always fail.
-        cancelled_at: When its caller cancels it; None if never.
-        objective_s: Seconds in which it should end.
-        value: Worth in time, by its work against the mean of its kind.
+        kind: Kind of the job.
+        job: The job as its caller submits it.
+        task_s: True run time of each task in seconds.
+        poisoned: Whether the job's tasks always fail.
+        cancelled_at: When the caller cancels the job; None if never.
+        objective_s: Seconds from arrival within which the job should end.
+        value: Value if it ends in time, scaled by its work relative to the
+            mean of its kind.
     """
 
     at: float
@@ -202,18 +205,19 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Trouble:
-    """Something that is wrong with a worker, or with the owner, for a while.
+class Disruption:
+    """A temporary fault or a removal of a worker, or an absence of the owner.
 
     Attributes:
         start: Seconds from the start of the day.
-        end: Likewise.
-        worker: Which; empty for the owner, who decides nothing meanwhile.
-        speed: Share of its speed at which the worker runs.
-        fails: Whether all that starts there fails.
-        leaves: Whether the worker drains from the start and is gone at the
-            end, with all that runs there.
-        replaced_at: When another worker comes in its place, if it leaves.
+        end: Seconds from the start of the day.
+        worker: Name of the worker; empty for the owner, which makes no
+            decisions meanwhile.
+        speed: Share of its normal speed at which the worker runs.
+        fails: Whether all runs that start on the worker fail.
+        leaves: Whether the worker drains from `start` and is removed at `end`
+            with all its runs.
+        replaced_at: When a replacement joins, if the worker leaves.
     """
 
     start: float
@@ -226,7 +230,7 @@
 
 
 def name_workers(site: Site) -> dict[str, str]:
-    """Return the rack of each worker."""
+    """Return the rack of each worker, by its name."""
     return {
         f"w{number:03}": f"r0-{number // site.per_rack}"
         for number in range(site.workers)
@@ -234,39 +238,39 @@
 
 
 def draw_speed(site: Site, seed: int, worker: str) -> float:
-    """Return how fast a worker is on a day."""
+    """Return a worker's relative speed on a day."""
     return random.Random(f"{seed} {worker}").choice(site.speeds)
 
 
 def draw_arrivals(site: Site, seed: int, length_s: float) -> list[Arrival]:
-    """Draw a day with a burst of urgent jobs and one of another kind."""
+    """Draw the jobs of a day: one burst of urgent jobs, one of any kind."""
     rng = random.Random(f"{site.name} {seed}")
     urgent = next(kind for kind in site.kinds if kind.priority == 0)
     bursts = [
         (urgent, rng.uniform(0.5, 6.0), 6.0, rng.uniform(1.8, 2.4)),
         (rng.choice(site.kinds), rng.uniform(8, length_s - 6), 4.0, 2.2),
     ]
-    drawn: list[Arrival] = []
+    arrivals: list[Arrival] = []
     for kind in site.kinds:
         at = rng.expovariate(kind.per_s)
         while at < length_s:
-            drawn.append(_draw(rng, site, kind, len(drawn), at))
+            arrivals.append(_draw_arrival(rng, site, kind, len(arrivals), at))
             rate = kind.per_s
-            for burst_kind, start, for_s, times in bursts:
-                if burst_kind is kind and start <= at < start + for_s:
-                    rate *= times
+            for burst_kind, start, duration_s, rate_factor in bursts:
+                if burst_kind is kind and start <= at < start + duration_s:
+                    rate *= rate_factor
             at += rng.expovariate(rate)
-    return sorted(drawn, key=lambda arrival: arrival.at)
+    return sorted(arrivals, key=lambda arrival: arrival.at)
 
 
-def _draw(
+def _draw_arrival(
     rng: random.Random, site: Site, kind: Kind, number: int, at: float
 ) -> Arrival:
     accelerators = rng.choice(kind.accelerators)
-    width = kind.width * math.exp(rng.gauss(-0.3, 0.8))
-    count = max(1, round(min(width, 6 * kind.width)))
+    task_count = kind.width * math.exp(rng.gauss(-0.3, 0.8))
+    count = max(1, round(min(task_count, 6 * kind.width)))
     if kind.gang:
-        # A gang fits into one rack, or it could never run well.
+        # A gang larger than a rack could never run in one rack.
         count = min(count, site.per_rack * max(1, 8 // accelerators))
     mean_s = max(0.3, kind.task_s * math.exp(rng.gauss(-0.1, 0.4)))
     task_s = tuple(
@@ -293,76 +297,89 @@
         kind.target_s,
         "",
         (step,),
-        _WALL + at,
+        _WALL_CLOCK_START_S + at,
     )
-    room = site.workers * 8 * _QUARTER
-    waves = max(1, math.ceil(count * accelerators / room))
+    available_accelerators = site.workers * 8 * _POOL_SHARE_PER_JOB
+    waves = max(1, math.ceil(count * accelerators / available_accelerators))
     objective = kind.slack * waves * max(task_s) + kind.target_s
     core_s = sum(task_s) * step.room.cores
-    mean = kind.width * kind.task_s * (kind.cores + 8 * _mean(kind))
-    value = kind.worth * min(4.0, 0.3 + 0.7 * core_s / mean)
-    cancels = rng.random() < (0.15 if kind.priority == 2 else 0.05)
+    mean_core_s = (
+        kind.width
+        * kind.task_s
+        * (kind.cores + 8 * _find_mean_accelerators(kind))
+    )
+    value = kind.value_on_time * min(4.0, 0.3 + 0.7 * core_s / mean_core_s)
+    is_cancelled = rng.random() < (0.15 if kind.priority == 2 else 0.05)
     return Arrival(
         at,
         kind,
         job,
         task_s,
         rng.random() < kind.poison,
-        at + rng.uniform(0.5, 5.0) if cancels else None,
+        at + rng.uniform(0.5, 5.0) if is_cancelled else None,
         objective,
         value,
     )
 
 
-def _mean(kind: Kind) -> float:
+def _find_mean_accelerators(kind: Kind) -> float:
     return sum(kind.accelerators) / len(kind.accelerators)
 
 
-def draw_troubles(site: Site, seed: int, length_s: float) -> list[Trouble]:
-    """Draw slow, standing and failing workers, and an owner that is away."""
+def draw_disruptions(
+    site: Site, seed: int, length_s: float
+) -> list[Disruption]:
+    """Draw slow, stalled and failing workers, and an absence of the owner."""
     rng = random.Random(f"troubles {site.name} {seed}")
     names = sorted(name_workers(site))
-    drawn = []
-    for share, for_s, speed, fails in (
+    disruptions = []
+    for share, duration_s, speed, fails in (
         (0.17, 7.0, 1 / 6.5, False),
         (0.1, 5.5, 0.0, False),
         (0.085, 6.5, 1.0, True),
     ):
         if rng.random() < 0.6:
-            start = rng.uniform(2.0, length_s - for_s)
+            start = rng.uniform(2.0, length_s - duration_s)
             for name in rng.sample(names, round(share * len(names))):
-                drawn.append(Trouble(start, start + for_s, name, speed, fails))
+                disruptions.append(
+                    Disruption(start, start + duration_s, name, speed, fails)
+                )
     if rng.random() < 0.6:
         start = rng.uniform(2.0, length_s)
-        drawn.append(Trouble(start, start + 2.5))
-    return drawn + _draw_departures(rng, site, names, length_s)
+        disruptions.append(Disruption(start, start + 2.5))
+    return disruptions + _draw_departures(rng, site, names, length_s)
 
 
 def _draw_departures(
     rng: random.Random, site: Site, names: list[str], length_s: float
-) -> list[Trouble]:
-    """Draw a release, worker after worker, and a loss of many at once."""
-    drawn = []
+) -> list[Disruption]:
+    """Draw a release in groups of workers and a loss of many at once."""
+    disruptions = []
     if site.released:
         chosen = rng.sample(names, round(site.released * len(names)))
-        start = rng.uniform(2.0, length_s / 2)
+        release_at = rng.uniform(2.0, length_s / 2)
         for number, name in enumerate(chosen):
-            at = start + number // _REPLACED_TOGETHER * _RELEASE_GAP_S
-            drawn.append(
-                Trouble(at, at + _DRAIN_S, name, leaves=True, replaced_at=at)
+            at = (
+                release_at
+                + number // _RELEASE_GROUP_WORKERS * _RELEASE_INTERVAL_S
+            )
+            disruptions.append(
+                Disruption(
+                    at, at + _RELEASE_DRAIN_S, name, leaves=True, replaced_at=at
+                )
             )
         names = sorted(set(names) - set(chosen))
     if site.noticed:
-        start = rng.uniform(2.0, length_s - _NOTICE_S)
-        gone = start + _NOTICE_S
+        notice_at = rng.uniform(2.0, length_s - _SHORT_NOTICE_S)
+        removed_at = notice_at + _SHORT_NOTICE_S
         for name in rng.sample(names, round(site.noticed * len(names))):
-            drawn.append(
-                Trouble(
-                    start,
-                    gone,
+            disruptions.append(
+                Disruption(
+                    notice_at,
+                    removed_at,
                     name,
                     leaves=True,
-                    replaced_at=gone + _BACK_S,
+                    replaced_at=removed_at + _REPLACEMENT_DELAY_S,
                 )
             )
-    return drawn
+    return disruptions
--- a/bench/replay/tests/test_bound.py
+++ b/bench/replay/tests/test_bound.py
@@ -1,4 +1,4 @@
-"""No replayed day earns more than its bound, and simple bounds are tight."""
+"""Tests that no simulated day exceeds its bound and simple bounds are tight."""
 
 import dataclasses
 
@@ -8,12 +8,12 @@
 from crocusrouter import work
 
 _LENGTH_S = 34.0
-_CALM_S = 25.0
+_IDLE_END_S = 25.0
 
 
-def _bound(site, arrivals, troubles, seed):
+def _measure_bound(site, arrivals, disruptions, seed):
     return replay.measure_bound(
-        site, arrivals, troubles, seed, _LENGTH_S + _CALM_S
+        site, arrivals, disruptions, seed, _LENGTH_S + _IDLE_END_S
     )
 
 
@@ -25,22 +25,22 @@
     workers = round(workers_share * site.workers)
     site = dataclasses.replace(site, workers=workers)
     arrivals = replay.draw_arrivals(site, seed, _LENGTH_S)
-    troubles = replay.draw_troubles(site, seed, _LENGTH_S)
+    disruptions = replay.draw_disruptions(site, seed, _LENGTH_S)
     outcome = replay.play_day(
-        site, arrivals, troubles, work.Policy(), seed, lambda: 0.0
+        site, arrivals, disruptions, work.Policy(), seed, lambda: 0.0
     )
-    earned = replay.measure_worth(outcome.served, outcome.wasted).whole
-    assert earned <= _bound(site, arrivals, troubles, seed) + 1e-9
+    earned = replay.score_day(outcome.job_results, outcome.wasted).whole_day
+    assert earned <= _measure_bound(site, arrivals, disruptions, seed) + 1e-9
 
 
-def _pair(apart_s):
+def _build_pair_of_jobs(interval_s):
     """Return a pool of one worker and two jobs that each need all of it.
 
-    Each takes 2 s and may take 3, so that one of two that come together is
-    late, and earns a quarter.
+    Each job runs for 2 s and has an objective of 3 s. If both arrive together,
+    one ends late and earns a quarter of its value.
     """
     kind = replay.SITES["fbusw"].kinds[0]
-    kind = dataclasses.replace(kind, worth=4.0, late_worth=1.0)
+    kind = dataclasses.replace(kind, value_on_time=4.0, value_late=1.0)
     site = dataclasses.replace(
         replay.SITES["fbusw"], workers=1, kinds=(kind,), speeds=(1.0,)
     )
@@ -50,24 +50,24 @@
         for n in range(2)
     ]
     arrivals = [
-        replay.Arrival(n * apart_s, kind, job, (2.0,), False, None, 3.0, 4.0)
+        replay.Arrival(n * interval_s, kind, job, (2.0,), False, None, 3.0, 4.0)
         for n, job in enumerate(jobs)
     ]
     return site, arrivals
 
 
 @pytest.mark.parametrize(
-    ("apart_s", "least", "most"),
+    ("interval_s", "least", "most"),
     [
         (10.0, 1.0, 1.0),
-        # 3 s of the worker serve one and a half; the rest is late.
+        # In 3 s the worker completes one and a half jobs; the rest is late.
         (0.0, 0.8, 0.83),
     ],
 )
-def test_bound_of_two_jobs(apart_s, least, most):
-    site, arrivals = _pair(apart_s)
-    assert least <= _bound(site, arrivals, [], 1) <= most
+def test_bound_of_two_jobs(interval_s, least, most):
+    site, arrivals = _build_pair_of_jobs(interval_s)
+    assert least <= _measure_bound(site, arrivals, [], 1) <= most
 
 
-def test_nothing_owed_is_whole():
-    assert _bound(replay.SITES["fbusw"], [], [], 1) == 1.0
+def test_bound_without_jobs_is_1():
+    assert _measure_bound(replay.SITES["fbusw"], [], [], 1) == 1.0
--- a/bench/replay/tests/test_days.py
+++ b/bench/replay/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Replayed days: what each policy earns under the load that it answers."""
+"""Tests that each rule of the policy improves the days that it is made for."""
 
 import dataclasses
 import functools
@@ -11,18 +11,19 @@
 
 _LENGTH_S = 34.0
 _SEEDS = range(300, 312)
-# A gain of 0.01 in one kind's share does not show over twelve days: their mean
-# was -0.016 and 0.009 with other lengths of stops, 0.037 and 0.044 over these.
+# A gain of 0.01 in one kind's share is lost in the noise of twelve days: under
+# two other stop times the mean gain was -0.016 and 0.009 over twelve days, and
+# 0.037 and 0.044 over these thirty.
 _MORE_SEEDS = range(400, 430)
 
-# A day of hundreds of workers takes 7 s.
+# Simulating a day of the large site takes 7 s.
 _FEW_SEEDS = range(300, 303)
 
 
 def _find_site(name):
     if name != "crowded":
         return replay.SITES[name]
-    # A third more work than the large site usually has.
+    # The large site with a third more jobs.
     site = replay.SITES["large"]
     kinds = tuple(
         dataclasses.replace(kind, per_s=4 / 3 * kind.per_s)
@@ -33,13 +34,13 @@
 
 @functools.cache
 def _play_days(site_name, policy, seeds):
-    """Return how each day ended under a policy."""
+    """Return the outcome of each day under a policy."""
     site = _find_site(site_name)
     return [
         replay.play_day(
             site,
             replay.draw_arrivals(site, seed, _LENGTH_S),
-            replay.draw_troubles(site, seed, _LENGTH_S),
+            replay.draw_disruptions(site, seed, _LENGTH_S),
             policy,
             seed,
             read_clock=lambda: 0.0,
@@ -49,10 +50,10 @@
 
 
 @functools.cache
-def _play(site_name, policy, seeds=_SEEDS):
-    """Return the worth of each day under a policy."""
+def _score_days(site_name, policy, seeds=_SEEDS):
+    """Return the scores of each day under a policy."""
     return [
-        replay.measure_worth(outcome.served, outcome.wasted)
+        replay.score_day(outcome.job_results, outcome.wasted)
         for outcome in _play_days(site_name, policy, seeds)
     ]
 
@@ -62,83 +63,92 @@
     return sum(outcome.stops for outcome in outcomes)
 
 
-# Urgent gangs come at three times their rate while the pool is full. Without
-# stops they wait for what runs; the day and its worst windows pay for it.
+# Urgent gangs arrive at three times their usual rate while the pool is full.
+# Without preemption they wait for running work, which lowers the scores of the
+# day and of its worst windows.
 @pytest.mark.parametrize("site", ["fbusw", "kilima", "rosario"])
-def test_urgent_work_may_stop_other_work(site):
-    kept = _play(site, work.Policy())
-    plain = _play(site, work.Policy(loss_factor=0.0, second_loss_factor=0.0))
+def test_urgent_work_preempts_other_work(site):
+    current = _score_days(site, work.Policy())
+    changed = _score_days(
+        site, work.Policy(loss_factor=0.0, second_loss_factor=0.0)
+    )
     gain = statistics.mean(
-        a.mark - b.mark for a, b in zip(kept, plain, strict=True)
+        a.combined - b.combined for a, b in zip(current, changed, strict=True)
     )
     assert gain > 0.03
 
 
-# Gangs of the second priority need whole workers, and many small tasks of the
-# third hold one accelerator of each. Those that make checkpoints make room.
-def test_second_priority_stops_what_goes_on_from_a_checkpoint():
+# Gangs of the second priority need whole workers while many small tasks of the
+# third priority each use one accelerator of a worker. Small tasks that write
+# checkpoints can be preempted.
+def test_second_priority_preempts_work_with_checkpoints():
     kind = "trail-render"
-    kept = _play("kilima", work.Policy(), _MORE_SEEDS)
-    before = _play("kilima", work.Policy(second_loss_factor=0.0), _MORE_SEEDS)
+    current = _score_days("kilima", work.Policy(), _MORE_SEEDS)
+    changed = _score_days(
+        "kilima", work.Policy(second_loss_factor=0.0), _MORE_SEEDS
+    )
     gain = statistics.mean(
-        a.kinds[kind] - b.kinds[kind] for a, b in zip(kept, before, strict=True)
+        a.kinds[kind] - b.kinds[kind]
+        for a, b in zip(current, changed, strict=True)
     )
     assert gain > 0.01
 
 
-# A gang that runs over several racks takes three times as long, and holds its
-# workers as long: under load the next ones wait for them.
+# A gang that is spread over several racks takes three times as long and so
+# occupies its workers for longer. Under load the next gangs wait for them.
 def test_gangs_wait_for_one_rack():
-    kept = _play("kilima", work.Policy())
-    spread = _play(
+    current = _score_days("kilima", work.Policy())
+    changed = _score_days(
         "kilima",
         work.Policy(rack_patience=0.0, guaranteed_rack_patience_s=0.0),
     )
     gain = statistics.mean(
-        a.mark - b.mark for a, b in zip(kept, spread, strict=True)
+        a.combined - b.combined for a, b in zip(current, changed, strict=True)
     )
     assert gain > 0.03
 
 
-# A pool that is asked for more than it has. A gang that runs over several racks
-# for want of one holds three times the work, and the next ones wait for it.
+# The pool is overloaded. A gang that is spread over several racks because no
+# rack is free occupies its workers three times as long; the next gangs wait.
 @pytest.mark.parametrize(
     ("site", "seeds", "gain"),
     [("rosario", _MORE_SEEDS, 0.01), ("crowded", _FEW_SEEDS, 0.01)],
 )
-def test_gangs_wait_longer_for_one_rack_where_room_is_short(site, seeds, gain):
-    kept = _play(site, work.Policy(), seeds)
-    before = _play(site, work.Policy(rack_patience=2.0), seeds)
-    gained = statistics.mean(
-        a.mark - b.mark for a, b in zip(kept, before, strict=True)
+def test_gangs_wait_longer_for_one_rack_under_overload(site, seeds, gain):
+    current = _score_days(site, work.Policy(), seeds)
+    changed = _score_days(site, work.Policy(rack_patience=2.0), seeds)
+    mean_gain = statistics.mean(
+        a.combined - b.combined for a, b in zip(current, changed, strict=True)
     )
-    assert gained > gain
+    assert mean_gain > gain
 
 
-# Urgent gangs come one after the other into a full pool. What starts in the
-# gaps between them is stopped again at once, and they wait for those stops.
+# Urgent gangs arrive one after another in a full pool. Work that starts between
+# them is preempted at once, and the gangs wait until it has stopped.
 @pytest.mark.parametrize("site", ["kilima", "rosario"])
-def test_room_is_left_to_urgent_work_after_it_had_to_stop_others(site):
-    kept = _count_stops(site, work.Policy())
-    before = _count_stops(site, work.Policy(hold_back_s=0.0))
-    assert kept < 0.92 * before
+def test_capacity_is_kept_free_after_urgent_work_preempted_others(site):
+    current = _count_stops(site, work.Policy())
+    changed = _count_stops(site, work.Policy(hold_back_s=0.0))
+    assert current < 0.92 * changed
 
 
-def test_equal_days_are_equal():
+def test_simulation_is_deterministic():
     site = replay.SITES["fbusw"]
     assert replay.draw_arrivals(site, 1, 9.0) == replay.draw_arrivals(
         site, 1, 9.0
     )
     _play_days.cache_clear()
-    again = _play.__wrapped__("fbusw", work.Policy())
-    assert again == _play("fbusw", work.Policy())
+    again = _score_days.__wrapped__("fbusw", work.Policy())
+    assert again == _score_days("fbusw", work.Policy())
 
 
-def test_nobody_is_served_half_as_well_as_the_mean():
+def test_each_kind_earns_over_half_of_the_mean():
     for site in replay.SITES:
         seeds = _FEW_SEEDS if site == "large" else _SEEDS
-        days = _play(site, work.Policy(), seeds)
-        mean = statistics.mean(day.whole for day in days)
-        for name in days[0].kinds:
-            share = statistics.mean(day.kinds.get(name, 1.0) for day in days)
+        scores = _score_days(site, work.Policy(), seeds)
+        mean = statistics.mean(score.whole_day for score in scores)
+        for name in scores[0].kinds:
+            share = statistics.mean(
+                score.kinds.get(name, 1.0) for score in scores
+            )
             assert share > mean / 2
--- a/bench/replay/worth.py
+++ b/bench/replay/worth.py
@@ -1,4 +1,4 @@
-"""What a replayed day is worth to its callers."""
+"""Scores of a simulated day: shares of the possible value that jobs earned."""
 
 import collections
 from collections.abc import Callable
@@ -10,72 +10,72 @@
 Key = TypeVar("Key", bound=Hashable)
 
 _WINDOW_S = 2.0
-_WORST_WINDOWS = 2
+_WORST_WINDOW_COUNT = 2
 _LATE_FACTOR = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Served:
-    """How one job that was owed fared.
+class JobResult:
+    """The value that one job could earn and did earn.
 
     Attributes:
-        at: When it was handed in.
-        kind: Name of its kind.
-        customer: Whose it is.
-        owed: Worth in time.
-        earned: What it earned.
+        at: When the job was submitted.
+        kind: Name of the kind of job.
+        customer: Name of the customer.
+        possible: Value of the job if it ends in time.
+        earned: Value that the job earned.
     """
 
     at: float
     kind: str
     customer: str
-    owed: float
+    possible: float
     earned: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Worth:
-    """Shares of what was owed; 1 is all.
+class DayScore:
+    """Earned shares of the possible value, from 0 to 1, and wasted work.
 
     Attributes:
-        whole: Over the day.
-        windows: Over the two worst windows of two seconds.
-        kinds: By kind.
-        customers: By customer.
+        whole_day: Share over the whole day.
+        worst_windows: Mean share of the two worst windows of two seconds.
+        kinds: Share by kind of job.
+        customers: Share by customer.
         wasted: Core-seconds of work that was stopped or lost.
     """
 
-    whole: float
-    windows: float
+    whole_day: float
+    worst_windows: float
     kinds: dict[str, float]
     customers: dict[str, float]
     wasted: float
 
     @property
-    def mark(self) -> float:
-        """One figure: the users weigh the day and its worst parts alike."""
+    def combined(self) -> float:
+        """One score, with the users' weights of the day and its worst parts."""
         worst_kind = min(self.kinds.values(), default=1.0)
         worst_customer = min(self.customers.values(), default=1.0)
         return (
-            0.4 * self.whole
-            + 0.3 * self.windows
+            0.4 * self.whole_day
+            + 0.3 * self.worst_windows
             + 0.15 * worst_kind
             + 0.15 * worst_customer
         )
 
 
-def earn(
+def compute_value(
     ended_s: float | None, objective_s: float, on_time: float, late: float
 ) -> float:
-    """Return what a job earns by its end.
+    """Return the value that a job earns by the time of its end.
 
     Args:
-        ended_s: Seconds from hand-in to end; None if it has not ended.
-        objective_s: In which it should end.
-        on_time: Earned then.
-        late: Earned up to three times as late.
+        ended_s: Seconds from submission to end; None if it has not ended.
+        objective_s: Seconds within which it should end.
+        on_time: Value earned within the objective.
+        late: Value earned within three times the objective.
 
-    >>> earn(2.0, 3.0, 4.0, 0.8), earn(5.0, 3.0, 4.0, 0.8)
+    >>> compute_value(2.0, 3.0, 4.0, 0.8), compute_value(5.0, 3.0, 4.0, 0.8)
     (4.0, 0.8)
     """
     if ended_s is None or ended_s > _LATE_FACTOR * objective_s:
@@ -83,29 +83,31 @@
     return on_time if ended_s <= objective_s else late
 
 
-def measure_worth(served: Iterable[Served], wasted: float) -> Worth:
-    """Add a day up."""
-    rows = list(served)
-    windows = sorted(_share(rows, lambda row: int(row.at / _WINDOW_S)).values())
-    worst = windows[:_WORST_WINDOWS]
-    return Worth(
-        _divide(rows),
-        sum(worst) / len(worst) if worst else 1.0,
-        _share(rows, lambda row: row.kind),
-        _share(rows, lambda row: row.customer),
+def score_day(job_results: Iterable[JobResult], wasted: float) -> DayScore:
+    """Compute the scores of a day from the results of its jobs."""
+    rows = list(job_results)
+    window_shares = sorted(
+        _compute_shares(rows, lambda row: int(row.at / _WINDOW_S)).values()
+    )
+    worst_shares = window_shares[:_WORST_WINDOW_COUNT]
+    return DayScore(
+        _compute_share(rows),
+        sum(worst_shares) / len(worst_shares) if worst_shares else 1.0,
+        _compute_shares(rows, lambda row: row.kind),
+        _compute_shares(rows, lambda row: row.customer),
         wasted,
     )
 
 
-def _divide(rows: list[Served]) -> float:
-    owed = sum(row.owed for row in rows)
-    return sum(row.earned for row in rows) / owed if owed else 1.0
+def _compute_share(rows: list[JobResult]) -> float:
+    possible = sum(row.possible for row in rows)
+    return sum(row.earned for row in rows) / possible if possible else 1.0
 
 
-def _share(
-    rows: list[Served], find_key: Callable[[Served], Key]
+def _compute_shares(
+    rows: list[JobResult], find_key: Callable[[JobResult], Key]
 ) -> dict[Key, float]:
-    groups: dict[Key, list[Served]] = collections.defaultdict(list)
+    groups: dict[Key, list[JobResult]] = collections.defaultdict(list)
     for row in rows:
         groups[find_key(row)].append(row)
-    return {key: _divide(group) for key, group in groups.items()}
+    return {key: _compute_share(group) for key, group in groups.items()}
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -1,4 +1,4 @@
-"""Policies of steps compared over replayed days, and the cost of a decision."""
+"""Compares step scheduling policies over simulated days; times decisions."""
 
 from collections.abc import Callable
 import dataclasses
@@ -11,9 +11,9 @@
 from crocusrouter.work import orders
 
 _DAYS = 24
-_LENGTH_S = 34.0
+_DAY_LENGTH_S = 34.0
 _FIRST_SEED = 1000
-# The policy in force, the one before it, and two plain baselines.
+# The default policy, its predecessor and two simple baselines.
 _POLICIES = {
     "in force": work.Policy(),
     "second priority stops nobody": work.Policy(second_loss_factor=0.0),
@@ -22,57 +22,57 @@
         rack_patience=0.0, guaranteed_rack_patience_s=0.0
     ),
 }
-_LARGE_WORKERS = 1400
-_LARGE_TASKS = 13_000
+_LARGE_WORKER_COUNT = 1400
+_LARGE_TASK_COUNT = 13_000
 _DECISIONS = 60
 
 
 def measure_steps() -> list[figures.Figure]:
-    """Replay the same days under each policy."""
-    found = []
+    """Simulate the same days under each policy."""
+    measured = []
     for site in replay.SITES.values():
         for name, policy in _POLICIES.items():
-            found += _measure_policy(site, name, policy)
-        # Twice the workers: what troubles alone cost, whatever the policy.
+            measured += _measure_policy(site, name, policy)
+        # With twice the workers, only disruptions cost value, under any policy.
         roomy = dataclasses.replace(site, workers=2 * site.workers)
-        found += _measure_policy(
+        measured += _measure_policy(
             site, "in force, twice the workers", work.Policy(), roomy
         )
-    return found
+    return measured
 
 
 def _measure_policy(
     site: replay.Site,
     name: str,
     policy: work.Policy,
-    played: replay.Site | None = None,
+    simulated_site: replay.Site | None = None,
 ) -> list[figures.Figure]:
-    """Play all days; what comes is drawn for `site`, whoever serves it."""
-    marks, wasted, decisions = [], [], []
+    """Simulate all days on `simulated_site` with the jobs drawn for `site`."""
+    scores, wasted, decision_times_s = [], [], []
     for seed in range(_FIRST_SEED, _FIRST_SEED + _DAYS):
         outcome = replay.play_day(
-            played or site,
-            replay.draw_arrivals(site, seed, _LENGTH_S),
-            replay.draw_troubles(site, seed, _LENGTH_S),
+            simulated_site or site,
+            replay.draw_arrivals(site, seed, _DAY_LENGTH_S),
+            replay.draw_disruptions(site, seed, _DAY_LENGTH_S),
             policy,
             seed,
             time.perf_counter,
         )
-        day = replay.measure_worth(outcome.served, outcome.wasted)
-        marks.append(day.mark)
-        wasted.append(day.wasted)
-        decisions += outcome.decisions_s
+        score = replay.score_day(outcome.job_results, outcome.wasted)
+        scores.append(score.combined)
+        wasted.append(score.wasted)
+        decision_times_s += outcome.decisions_s
     size = f"{site.name}, {name}, {_DAYS} days"
-    spread = max(marks) - min(marks)
-    slowest = figures.find_percentile(decisions, 0.99) * 1000
+    spread = max(scores) - min(scores)
+    p99_ms = figures.find_percentile(decision_times_s, 0.99) * 1000
     return [
-        _make_mean("steps_mark", marks, "share", size, spread),
-        _make_mean("steps_wasted", wasted, "core-seconds a day", size),
-        figures.Figure("steps_decision_p99", round(slowest, 2), "ms", size),
+        _build_mean_figure("steps_mark", scores, "share", size, spread),
+        _build_mean_figure("steps_wasted", wasted, "core-seconds a day", size),
+        figures.Figure("steps_decision_p99", round(p99_ms, 2), "ms", size),
     ]
 
 
-def _make_mean(
+def _build_mean_figure(
     name: str,
     values: list[float],
     unit: str,
@@ -86,24 +86,24 @@
 
 
 def measure_large_decisions() -> list[figures.Figure]:
-    """Time decisions at letter 1's size, while work ends and comes."""
+    """Time decisions at letter 1's size, while runs end and jobs arrive."""
     rng = random.Random(_FIRST_SEED)
     book = _build_large_book(rng)
     now = 0.0
-    _decide(book, now, lambda _: None)
-    times: list[float] = []
+    _time_decision(book, now, lambda _: None)
+    durations_s: list[float] = []
     for number in range(_DECISIONS):
         now += 0.1
         for key in rng.sample(sorted(book.runs), 20):
             _end_run(book, key, now)
         _put_job(book, rng, f"{number:016x}", now)
-        _decide(book, now, times.append)
-    size = f"{_LARGE_WORKERS} workers, {len(book.runs)} runs"
+        _time_decision(book, now, durations_s.append)
+    size = f"{_LARGE_WORKER_COUNT} workers, {len(book.runs)} runs"
     name = "steps_large_decision"
     return [
         figures.Figure(
             f"{name}_{label}",
-            round(figures.find_percentile(times, share) * 1000, 2),
+            round(figures.find_percentile(durations_s, share) * 1000, 2),
             "ms",
             size,
             seed=_FIRST_SEED,
@@ -114,7 +114,7 @@
 
 def _build_large_book(rng: random.Random) -> work.Book:
     book = work.Book(1)
-    for number in range(_LARGE_WORKERS):
+    for number in range(_LARGE_WORKER_COUNT):
         labels = frozenset({"a", f"r0-{number // 14}"})
         room = work.Room(64_000, 262_144, 16)
         entry = orders.WorkerEntry(
@@ -123,7 +123,7 @@
         book.set_worker(entry, 0.0)
         book.workers[entry.id].reached = True
     tasks = 0
-    while tasks < 1.05 * _LARGE_TASKS:
+    while tasks < 1.05 * _LARGE_TASK_COUNT:
         tasks += _put_job(book, rng, f"{tasks:015x}f", 0.0)
     return book
 
@@ -158,27 +158,27 @@
 
 
 def _end_run(book: work.Book, key: work.TaskKey, now: float) -> None:
-    """End a run well, as its worker would tell."""
+    """Report the success of a run as its worker would."""
     run = book.runs.get(key)
     if run is None:
         return
-    held = book.workers[run.worker]
+    worker = book.workers[run.worker]
     rows = tuple(
         orders.Running(other, book.runs[other].number)
-        for other in held.runs
+        for other in worker.runs
         if other != key
     )
-    ended = orders.Ended(held.noted + 1, key, run.number, orders.How.DONE)
+    ended = orders.Ended(worker.noted + 1, key, run.number, orders.How.DONE)
     report = orders.Report(0, rows, (ended,))
     work.take_report(book, run.worker, report, now, now)
 
 
-def _decide(
-    book: work.Book, now: float, note: Callable[[float], object]
+def _time_decision(
+    book: work.Book, now: float, record_s: Callable[[float], object]
 ) -> None:
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     plan = work.plan(book, now, now)
-    note(time.perf_counter() - began)
+    record_s(time.perf_counter() - started_at)
     for placement in plan.placements:
         for index, worker in placement.spots.items():
             key = work.TaskKey(*placement.step, index)
