--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: python -m bench."""
+"""Benchmarks of the program; run them with python -m bench."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the measurements: python -m bench [--only name]."""
+"""Runs the benchmarks: python -m bench [--only name]."""
 
 from collections.abc import Callable
 from typing import Annotated
@@ -45,14 +45,14 @@
         str, typer.Option(help=f"One of: {', '.join(SUBJECTS)}.")
     ] = "",
 ) -> None:
-    """Measure, print one JSON line a figure and keep the results."""
+    """Measure, print one JSON line per figure and store the results."""
     if only and only not in SUBJECTS:
         raise typer.BadParameter(f"use one of: {', '.join(SUBJECTS)}")
     for subject, measure in SUBJECTS.items():
         if only in ("", subject):
-            found = measure()
-            figures.write_figures(subject, found)
-            for figure in found:
+            measured = measure()
+            figures.write_figures(subject, measured)
+            for figure in measured:
                 print(orjson.dumps(figure).decode(), flush=True)
 
 
--- a/bench/accounting.py
+++ b/bench/accounting.py
@@ -1,26 +1,26 @@
-"""Processor time, memory and bytes, from the operating system's accounts."""
+"""Reads processor time, memory and loopback traffic from /proc."""
 
 import dataclasses
 import os
 import pathlib
 import time
 
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _PROC = pathlib.Path("/proc")
 _UTIME_FIELD = 11  # after the command's closing parenthesis
-_KILO = 1024
+_KB_PER_MB = 1024
 
 
 @dataclasses.dataclass(frozen=True)
 class Reading:
-    """A process's accounts at one moment.
+    """Counters of a process and of the loopback interface at one moment.
 
     Attributes:
         at: Monotonic seconds.
         cpu_s: Processor seconds used.
-        loopback_bytes: Bytes that crossed the loopback interface, headers
-            included, all processes together.
-        loopback_packets: Packets, likewise.
+        loopback_bytes: Bytes received on the loopback interface, headers
+            included, for all processes together.
+        loopback_packets: Packets received, for all processes together.
     """
 
     at: float
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Usage:
-    """What one process used between two readings.
+    """Usage between two readings.
 
     Attributes:
         cpu_percent: Percent of one core.
-        bytes_per_s: Loopback bytes a second.
-        packets_per_s: Loopback packets a second.
+        bytes_per_s: Loopback bytes per second.
+        packets_per_s: Loopback packets per second.
     """
 
     cpu_percent: float
@@ -45,18 +45,18 @@
 
 
 def read_accounts(pid: int) -> Reading:
-    """Read a process's processor time and the loopback's bytes."""
+    """Read a process's processor time and the loopback counters."""
     size, packets = _read_loopback()
     return Reading(time.monotonic(), _read_cpu(pid), size, packets)
 
 
 def compare(before: Reading, after: Reading) -> Usage:
     """Return the usage between two readings."""
-    took_s = after.at - before.at
+    elapsed_s = after.at - before.at
     return Usage(
-        100 * (after.cpu_s - before.cpu_s) / took_s,
-        (after.loopback_bytes - before.loopback_bytes) / took_s,
-        (after.loopback_packets - before.loopback_packets) / took_s,
+        100 * (after.cpu_s - before.cpu_s) / elapsed_s,
+        (after.loopback_bytes - before.loopback_bytes) / elapsed_s,
+        (after.loopback_packets - before.loopback_packets) / elapsed_s,
     )
 
 
@@ -64,7 +64,7 @@
     """Return the resident memory of a process in MB (2**20 bytes)."""
     for line in (_PROC / str(pid) / "status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            return int(line.split()[1]) / _KILO
+            return int(line.split()[1]) / _KB_PER_MB
     raise ValueError(f"process {pid} has no resident memory")
 
 
@@ -72,7 +72,7 @@
     text = (_PROC / str(pid) / "stat").read_text()
     fields = text.rpartition(")")[2].split()
     user, system = fields[_UTIME_FIELD], fields[_UTIME_FIELD + 1]
-    return (int(user) + int(system)) / _TICKS
+    return (int(user) + int(system)) / _TICKS_PER_S
 
 
 def _read_loopback() -> tuple[int, int]:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
 """Builds docs/CAPACITY.md from the committed results.
 
-Each number of the page is slope x size + intercept of committed figures, so
-none stands without its run: `python -m bench.capacity` writes the page, and a
-test compares it with what the results give.
+Each number on the page is computed from committed figures, mostly as slope x
+size + intercept, so none stands without its run. `python -m bench.capacity`
+writes the page, and a test checks that it matches the results.
 """
 
 from collections.abc import Callable
@@ -18,24 +18,24 @@
 _ENTRIES_PER_USER = 9
 _DAY_S = 86400
 _TTL_S = 2.0
-_JOB_WRITES = 4
-_BUCKETS = 8
-_BASE64 = 4 / 3
+_WRITES_PER_JOB = 4
+_JOURNAL_BUCKETS = 8
+_BASE64_FACTOR = 4 / 3
 
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """A size to work out.
+    """A deployment whose needs the page estimates.
 
     Attributes:
-        name: Heading of its column.
-        workers: Workers in all.
-        data_centres: Data centres.
-        customers: Customers.
-        jobs_per_day: Jobs a day.
-        edits_per_day: Changes of configuration a day.
-        replaced_per_day: VMs replaced a day.
-        entries: Entry VMs.
+        name: Heading of the column.
+        workers: Number of workers.
+        data_centres: Number of data centres.
+        customers: Number of customers.
+        jobs_per_day: Jobs per day.
+        edits_per_day: Configuration changes per day.
+        replaced_per_day: VMs replaced per day.
+        entries: Number of entry VMs.
     """
 
     name: str
@@ -57,74 +57,85 @@
 
 
 class Results:
-    """The committed figures, by name."""
+    """Looks up committed figures by name."""
 
-    def __init__(self, found: Sequence[figures.Figure]) -> None:
-        self._found = found
+    def __init__(self, measured: Sequence[figures.Figure]) -> None:
+        self._figures = measured
 
-    def points(self, name: str, word: str) -> list[tuple[float, float]]:
+    def points(self, name: str, unit_prefix: str) -> list[tuple[float, float]]:
         """Return (size, value) of a figure whose size begins "N word"."""
         points = []
-        for figure in self._found:
+        for figure in self._figures:
             number, _, rest = figure.size.partition(" ")
-            if figure.name == name and rest.startswith(word):
+            if figure.name == name and rest.startswith(unit_prefix):
                 points.append((float(number), figure.value))
         return points
 
-    def fit(self, name: str, word: str) -> tuple[float, float]:
-        """Return slope and intercept of a figure over its sizes."""
-        return figures.fit_line(self.points(name, word))
+    def fit(self, name: str, unit_prefix: str) -> tuple[float, float]:
+        """Return slope and intercept of the line through a figure's points."""
+        return figures.fit_line(self.points(name, unit_prefix))
 
     def value(self, name: str, size: str = "") -> float:
-        """Return a single figure."""
-        for figure in self._found:
+        """Return the value of the first figure whose size contains `size`."""
+        for figure in self._figures:
             if figure.name == name and size in figure.size:
                 return figure.value
         raise KeyError(f"no figure {name} at {size!r}; run make measure")
 
     def spread(self, name: str) -> float:
         """Return the largest spread of a figure."""
-        return max(f.spread for f in self._found if f.name == name)
+        return max(f.spread for f in self._figures if f.name == name)
 
 
 class Traffic:
-    """Bytes a second at an entry, all but the worker links."""
+    """Estimates the traffic of an entry except for its worker links."""
 
     def __init__(self, results: Results) -> None:
         self._catalog = results.fit("catalog_bytes", "customers")
         self._vms = results.fit("vm_list_bytes", "workers")
-        self._job = results.value("journal_bucket_bytes", "1000 jobs") / 1000
+        self._bytes_per_job = (
+            results.value("journal_bucket_bytes", "1000 jobs") / 1000
+        )
         beats = results.value("mesh_bytes_per_s_all", "9 entries")
-        self._beat = beats / _ENTRIES_PER_USER / (_ENTRIES_PER_USER - 1)
+        self._bytes_per_peer = (
+            beats / _ENTRIES_PER_USER / (_ENTRIES_PER_USER - 1)
+        )
 
     def count_catalog(self, size: Size) -> float:
-        """Return the bytes of the catalog."""
+        """Return the size of the catalog in bytes."""
         slope, base = self._catalog
         return slope * size.customers + base
 
     def count_config(self, size: Size) -> float:
-        """Return the bytes a second of catalog changes, in base64."""
+        """Return the bytes per second of catalog changes, in base64."""
         changes = size.edits_per_day / _DAY_S
-        return changes * self.count_catalog(size) * _BASE64
+        return changes * self.count_catalog(size) * _BASE64_FACTOR
 
     def count_vms(self, size: Size) -> float:
-        """Return the bytes a second of VM list changes, each a whole list."""
+        """Return the bytes per second of VM lists, resent on each change."""
         slope, base = self._vms
         changes = 2 * size.replaced_per_day / _DAY_S
         return changes * (slope * size.workers + base)
 
     def count_journal(self, size: Size) -> float:
-        """Return the bytes a second of journal writes, in base64."""
+        """Return the bytes per second of journal writes, in base64."""
         kept = size.jobs_per_day / size.data_centres
-        writes = size.jobs_per_day * _JOB_WRITES / _DAY_S
-        return writes * self._job * kept / _BUCKETS * _BASE64 / size.entries
+        writes = size.jobs_per_day * _WRITES_PER_JOB / _DAY_S
+        return (
+            writes
+            * self._bytes_per_job
+            * kept
+            / _JOURNAL_BUCKETS
+            * _BASE64_FACTOR
+            / size.entries
+        )
 
     def count_mesh(self, size: Size) -> float:
-        """Return the bytes a second of an entry's idle traffic by peers."""
-        return self._beat * (size.entries - 1)
+        """Return the bytes per second of heartbeats with the other entries."""
+        return self._bytes_per_peer * (size.entries - 1)
 
-    def count_rest(self, size: Size) -> float:
-        """Return all of it."""
+    def sum_traffic(self, size: Size) -> float:
+        """Return the bytes per second of all this traffic."""
         return (
             self.count_mesh(size)
             + self.count_config(size)
@@ -136,13 +147,13 @@
 Row = tuple[str, Callable[[Size], str]]
 
 
-def build_page(found: Sequence[figures.Figure]) -> str:
+def build_page(measured: Sequence[figures.Figure]) -> str:
     """Return the text of the page.
 
     Raises:
         KeyError: A figure that the page needs has not been measured.
     """
-    results = Results(found)
+    results = Results(measured)
     text = _TEMPLATE.read_text()
     tables = {
         "@ROLES@": _build_roles(results),
@@ -150,10 +161,10 @@
         "@LEASES@": _build_leases(results),
         "@SLOPES@": _build_slopes(results),
         "@FIT@": _build_fit(results),
-        "@FIGURES@": _build_figures(found),
+        "@FIGURES@": _build_figures(measured),
     }
-    for mark, table in tables.items():
-        text = text.replace(mark, table)
+    for placeholder, table in tables.items():
+        text = text.replace(placeholder, table)
     return text
 
 
@@ -161,8 +172,8 @@
     head = "| | " + " | ".join(size.name for size in SIZES) + " |"
     rule = "| --- |" + " ---: |" * len(SIZES)
     lines = [
-        f"| {name} | " + " | ".join(work(size) for size in SIZES) + " |"
-        for name, work in rows
+        f"| {name} | " + " | ".join(format_cell(size) for size in SIZES) + " |"
+        for name, format_cell in rows
     ]
     return "\n".join([head, rule, *lines])
 
@@ -184,7 +195,7 @@
         return cpu_base + cpu * links(size) + peer_cpu * (size.entries - 1)
 
     def show_total(size: Size) -> str:
-        return f"{count_wire(size) + traffic.count_rest(size):,.0f}"
+        return f"{count_wire(size) + traffic.sum_traffic(size):,.0f}"
 
     rows: list[Row] = [
         ("entry VMs", lambda s: str(s.entries)),
@@ -220,7 +231,7 @@
     renewal = 3 / _TTL_S
 
     def count_journal(size: Size) -> float:
-        return size.jobs_per_day * _JOB_WRITES / _DAY_S
+        return size.jobs_per_day * _WRITES_PER_JOB / _DAY_S
 
     rows: list[Row] = [
         (
@@ -273,7 +284,7 @@
 
 
 def _build_fit(results: Results) -> str:
-    """Say what an entry carries at letter 1 with a lease of 30 s."""
+    """Describe an entry's traffic at letter 1 with a lease of 30 s."""
     _, floor = results.fit("worker_link_bytes_per_s", "workers, lease 6")
     links = results.value("worker_link_bytes_per_s", "140 workers, lease 30 s")
     traffic = Traffic(results)
@@ -281,7 +292,7 @@
     for entries in (9, 18):
         size = dataclasses.replace(SIZES[2], entries=entries)
         wire = (links - floor) / 140 * size.workers / entries
-        total = wire + traffic.count_rest(size)
+        total = wire + traffic.sum_traffic(size)
         parts.append(f"{total:,.0f} B/s on {entries} entries")
     return " and ".join(parts)
 
@@ -304,8 +315,8 @@
         "| figure | slope | a | intercept | largest spread |",
         "| --- | ---: | --- | ---: | ---: |",
     ]
-    for name, word, unit in table:
-        slope, intercept = results.fit(name, word)
+    for name, unit_prefix, unit in table:
+        slope, intercept = results.fit(name, unit_prefix)
         lines.append(
             f"| `{name}` | {slope:.4g} | {unit} | {intercept:.4g} | "
             f"{results.spread(name):.4g} |"
@@ -313,14 +324,14 @@
     return "\n".join(lines)
 
 
-def _build_figures(found: Sequence[figures.Figure]) -> str:
+def _build_figures(measured: Sequence[figures.Figure]) -> str:
     lines = [
         "| figure | value | unit | size | spread |",
         "| --- | ---: | --- | --- | ---: |",
     ]
     lines += [
         f"| `{f.name}` | {f.value:g} | {f.unit} | {f.size} | {f.spread:g} |"
-        for f in found
+        for f in measured
     ]
     return "\n".join(lines)
 
--- a/bench/clusters.py
+++ b/bench/clusters.py
@@ -1,4 +1,4 @@
-"""Real processes for measurements."""
+"""Runs clusters of real processes and reads their usage."""
 
 from collections.abc import Iterator
 import contextlib
@@ -16,32 +16,32 @@
 
 @contextlib.contextmanager
 def run_cluster(shape: cluster.Shape) -> Iterator[cluster.Cluster]:
-    """Run a cluster for the length of a block."""
+    """Run a cluster while the context is open."""
     with tempfile.TemporaryDirectory() as folder:
-        held = cluster.Cluster(pathlib.Path(folder), shape)
+        demo_cluster = cluster.Cluster(pathlib.Path(folder), shape)
         try:
-            held.start()
-            yield held
+            demo_cluster.start()
+            yield demo_cluster
         finally:
-            held.processes.stop_all()
+            demo_cluster.processes.stop_all()
 
 
-def find_owner(held: cluster.Cluster, entry: str) -> str:
-    """Return who owns the data centre, as an entry sees it."""
-    owners = held.fetch_status(entry)["owners"]
+def find_owner(demo_cluster: cluster.Cluster, entry: str) -> str:
+    """Return the owner of the data centre as one entry reports it."""
+    owners = demo_cluster.fetch_status(entry)["owners"]
     return str(owners.get(cluster.DATA_CENTRE, {}).get("owner", ""))
 
 
-def wait_for_workers(held: cluster.Cluster, count: int) -> str:
+def wait_for_workers(demo_cluster: cluster.Cluster, count: int) -> str:
     """Wait until the owner knows `count` workers and return its name.
 
     Raises:
-        TimeoutError: It doesn't within 30 seconds.
+        TimeoutError: No owner knows them within 30 seconds.
     """
-    limit = time.monotonic() + OWNED_LIMIT_S
-    while time.monotonic() < limit:
-        for name in held.entries:
-            for owned in held.fetch_status(name)["owned"]:
+    deadline = time.monotonic() + OWNED_LIMIT_S
+    while time.monotonic() < deadline:
+        for name in demo_cluster.entries:
+            for owned in demo_cluster.fetch_status(name)["owned"]:
                 if owned["workers"] >= count:
                     return name
         time.sleep(_POLL_S)
@@ -49,18 +49,18 @@
 
 
 def measure_window(
-    held: cluster.Cluster, name: str, seconds: float
+    demo_cluster: cluster.Cluster, name: str, seconds: float
 ) -> accounting.Usage:
-    """Return what a process uses over a window of time."""
-    pid = held.processes.pid(name)
+    """Return the usage of a process over some seconds."""
+    pid = demo_cluster.processes.pid(name)
     before = accounting.read_accounts(pid)
     time.sleep(seconds)
     return accounting.compare(before, accounting.read_accounts(pid))
 
 
-def read_store_calls(held: cluster.Cluster) -> dict[str, Any]:
-    """Return the calls that the key-value service has taken."""
+def read_store_calls(demo_cluster: cluster.Cluster) -> dict[str, Any]:
+    """Return the number of calls that the key-value service served, by kind."""
     calls: dict[str, Any] = cluster.fetch(
-        "GET", f"http://127.0.0.1:{held.store_port}/calls"
+        "GET", f"http://127.0.0.1:{demo_cluster.store_port}/calls"
     )
     return calls
--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -1,4 +1,4 @@
-"""Decisions, journal and catalog: processor time of the pure parts."""
+"""Times job decisions, journal writes and catalog parsing in one process."""
 
 import dataclasses
 import random
@@ -15,15 +15,15 @@
 from crocusrouter.templates import Level
 
 _SEED = 1
-_SLOTS = 9
+_SLOTS_PER_WORKER = 9
 _TEAMS = 22
-_RACK = 14
+_WORKERS_PER_RACK = 14
 _DECISIONS = 200
-_WORKERS = (35, 140, 280)
+_WORKER_COUNTS = (35, 140, 280)
 
 
 def _build_catalog(teams: int, data_centre: str) -> templates.Catalog:
-    """Give each team a rack cell and a worker cell."""
+    """Return a catalog in which each team has a rack and a worker cell."""
     catalog = templates.Catalog()
     for number in range(teams):
         cells = (
@@ -56,37 +56,42 @@
     book.catalog = _build_catalog(teams, "dc")
     for number in range(workers):
         name = f"w{number}"
-        book.set_worker(name, f"r{number // _RACK}", _SLOTS, live=True)
+        book.set_worker(
+            name,
+            f"r{number // _WORKERS_PER_RACK}",
+            _SLOTS_PER_WORKER,
+            live=True,
+        )
         jobs.handle_message(book, name, messages.Inventory(()), 0.0)
     return book
 
 
-def _fill(book: jobs.Book, workers: int, rng: random.Random) -> int:
-    """Start small tasks until most slots are in use; return the tasks."""
-    wanted = int(workers * _SLOTS * 0.8)
-    number = 0
-    tasks = 0
-    while tasks < wanted:
+def _fill_slots(book: jobs.Book, workers: int, rng: random.Random) -> int:
+    """Start small jobs until most slots are in use; return their number."""
+    wanted_slots = int(workers * _SLOTS_PER_WORKER * 0.8)
+    job_count = 0
+    used_slots = 0
+    while used_slots < wanted_slots:
         size = rng.choice((1, 1, 1, 2, 4))
-        job = _build_job(number, rng.randrange(_TEAMS), size, Level.WORKER)
+        job = _build_job(job_count, rng.randrange(_TEAMS), size, Level.WORKER)
         book.submit(job, 0.0)
-        number += 1
-        tasks += size
+        job_count += 1
+        used_slots += size
     while jobs.schedule(book, 0.0).changed:
         pass
-    return number
+    return job_count
 
 
 def measure_decisions() -> list[figures.Figure]:
-    """Time single decisions on a busy data centre."""
-    found = []
-    for workers in _WORKERS:
+    """Time single decisions in a busy data centre."""
+    measured = []
+    for workers in _WORKER_COUNTS:
         rng = random.Random(_SEED)
         book = _build_book(workers, min(_TEAMS, workers // 4))
-        running = _fill(book, workers, rng)
-        took_ms = _time_decisions(book, running, rng)
+        job_count = _fill_slots(book, workers, rng)
+        took_ms = _time_decisions(book, job_count, rng)
         size = f"{workers} workers, {len(book.gangs)} tasks in one data centre"
-        found.append(
+        measured.append(
             figures.Figure(
                 "decision_p99_ms",
                 round(figures.find_percentile(took_ms, 0.99), 3),
@@ -97,19 +102,19 @@
             )
         )
         median = figures.find_percentile(took_ms, 0.5)
-        found.append(
+        measured.append(
             figures.Figure(
                 "decision_p50_ms", round(median, 3), "ms", size, 0.0, _SEED
             )
         )
-    return found
+    return measured
 
 
 def _time_decisions(
-    book: jobs.Book, running: int, rng: random.Random
+    book: jobs.Book, first_number: int, rng: random.Random
 ) -> list[float]:
     took_ms = []
-    for number in range(running, running + _DECISIONS):
+    for number in range(first_number, first_number + _DECISIONS):
         team = rng.randrange(_TEAMS)
         size, level = rng.choice(
             ((1, Level.WORKER), (4, Level.WORKER), (16, Level.RACK))
@@ -125,16 +130,16 @@
 
 
 def _stop_all(book: jobs.Book, job_id: str) -> None:
-    held = book.gangs.get(job_id)
-    if held is not None:
-        for name in sorted(held.held):
-            stopped = messages.Stopped(job_id, held.attempt)
+    gang = book.gangs.get(job_id)
+    if gang is not None:
+        for name in sorted(gang.held):
+            stopped = messages.Stopped(job_id, gang.attempt)
             jobs.handle_message(book, name, stopped, 0.0)
 
 
 def measure_journal() -> list[figures.Figure]:
-    """Measure the bytes and the processor time of one journaled change."""
-    found = []
+    """Measure the size and the processor time of one journal write."""
+    measured = []
     for count in (10, 100, 1000):
         packed = [
             (job.id, codec.pack(job))
@@ -153,16 +158,16 @@
             value = cbor2.dumps([1, packed])
         took_ms = 1000 * (time.perf_counter() - started_at) / repeats
         size = f"{count} jobs in a bucket"
-        found += [
+        measured += [
             figures.Figure("journal_bucket_bytes", len(value), "B", size),
             figures.Figure("journal_write_ms", round(took_ms, 4), "ms", size),
         ]
-    return found
+    return measured
 
 
 def measure_catalog() -> list[figures.Figure]:
-    """Measure the bytes and the processor time of one catalog change."""
-    found = []
+    """Measure the size and the parsing time of a catalog."""
+    measured = []
     for teams in (4, 22, 220):
         catalog = _build_catalog(teams, "dc")
         data = templates.dump_catalog(catalog)
@@ -172,8 +177,8 @@
             templates.parse_catalog(data)
         took_ms = 1000 * (time.perf_counter() - started_at) / repeats
         size = f"{teams} customers"
-        found += [
+        measured += [
             figures.Figure("catalog_bytes", len(data), "B", size),
             figures.Figure("catalog_parse_ms", round(took_ms, 3), "ms", size),
         ]
-    return found
+    return measured
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures: one JSON line each, kept one file a subject."""
+"""Measured figures, stored as JSON lines in one file per subject."""
 
 from collections.abc import Sequence
 import dataclasses
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Figure:
-    """One measured number.
+    """A measured figure.
 
     Attributes:
-        name: What was measured.
-        value: The median over the repetitions.
-        unit: Its unit.
-        size: At which size.
-        spread: Largest minus smallest repetition.
+        name: Name of the measured quantity.
+        value: Median over the repetitions.
+        unit: Unit of the value.
+        size: Description of the size at which the value was measured.
+        spread: Largest minus smallest value of the repetitions.
         seed: Seed of the load.
     """
 
@@ -33,7 +33,7 @@
 def summarize(
     name: str, values: Sequence[float], unit: str, size: str, seed: int = 0
 ) -> Figure:
-    """Return the median of repetitions with their spread.
+    """Return a figure with the median and the spread of repetitions.
 
     >>> summarize("x", [3.0, 1.0, 2.0], "s", "1 worker")
     Figure(name='x', value=2.0, unit='s', size='1 worker', spread=2.0, seed=0)
@@ -45,7 +45,7 @@
 
 
 def find_percentile(values: Sequence[float], share: float) -> float:
-    """Return a percentile by the nearest rank.
+    """Return a percentile by the nearest-rank method.
 
     >>> find_percentile([1.0, 2.0, 3.0, 4.0], 0.5)
     2.0
@@ -63,7 +63,7 @@
 
 
 def read_figures() -> list[Figure]:
-    """Return all committed results."""
+    """Return the figures of all committed results."""
     return [
         Figure(**orjson.loads(line))
         for path in sorted(RESULTS.glob("*.jsonl"))
@@ -80,7 +80,7 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    across = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = across / spread if spread else 0.0
+    covariance_sum = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    variance_sum = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = covariance_sum / variance_sum if variance_sum else 0.0
     return slope, mean_y - slope * mean_x
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,8 +1,8 @@
-"""Where jobs lost their time, from the log lines of all entries.
+"""Shows from the log lines of all entries why jobs missed their objectives.
 
-python -m bench.losses LOG... reads JSON lines, with or without something
-before them, and prints for each priority how many jobs ended after their
-objective, by the part of their time that was the longest beyond plan.
+python -m bench.losses LOG... reads JSON lines, with or without a prefix, and
+prints for each priority how many jobs ended late, by the phase with the longest
+unplanned delay.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 
 class Reason(enum.StrEnum):
-    """The longest part of a job's time that was not planned."""
+    """Result of a job, or the phase with its longest unplanned delay."""
 
     IN_TIME = "in time"
     CANCELLED = "cancelled"
@@ -31,20 +31,20 @@
 
 
 @dataclasses.dataclass
-class Story:
-    """What the logs say of one job; times are Unix seconds.
+class JobHistory:
+    """Logged events of one job; times are Unix seconds.
 
     Attributes:
-        priority: 0 goes first; None if no owner has read it.
-        objective_s: Seconds in which it should have ended.
-        expected_s: Declared seconds of its longest chain.
-        accepted: When it was stored.
-        seen: When an owner first read it.
-        starts: When tasks of it were started.
-        stops: Why runs of it were stopped.
-        failures: How many of its runs failed or were lost.
-        ended: When it got its final state.
-        cancelled: Whether its caller took it back.
+        priority: 0 goes first; None if no owner has read the job.
+        objective_s: Seconds within which the job should have ended.
+        expected_s: Declared run time of its longest chain of steps in seconds.
+        accepted: When the job was stored.
+        seen: When an owner first read the job.
+        starts: When tasks of the job were started.
+        stops: Reasons for which runs of the job were stopped.
+        failures: Number of runs that failed or were lost.
+        ended: When the job got its final state.
+        cancelled: Whether the caller cancelled the job.
     """
 
     priority: int | None = None
@@ -59,93 +59,95 @@
     cancelled: bool = False
 
 
-def read_lines(lines: Iterable[bytes]) -> dict[str, Story]:
-    """Put the jobs' stories together.
+def read_histories(lines: Iterable[bytes]) -> dict[str, JobHistory]:
+    """Collect the histories of all jobs.
 
     Args:
         lines: Log lines of all entries, in any order of entries.
 
     Returns:
-        Stories by the job's id, of accepted jobs only.
+        Histories of accepted jobs, by job id.
     """
-    found: dict[str, Story] = collections.defaultdict(Story)
+    histories: dict[str, JobHistory] = collections.defaultdict(JobHistory)
     for fields in parse_lines(lines):
         job = str(fields.get("job") or _find_job(fields))
         if job:
-            _take(found[job], fields)
-    return {job: story for job, story in found.items() if story.accepted}
+            _add_event(histories[job], fields)
+    return {
+        job: history for job, history in histories.items() if history.accepted
+    }
 
 
 def parse_lines(lines: Iterable[bytes]) -> Iterator[dict[str, Any]]:
-    """Yield the fields of each line that is one of ours."""
+    """Yield the fields of each log line; skip all other lines."""
     for line in lines:
         _, brace, rest = line.partition(b"{")
         try:
             fields = orjson.loads(brace + rest)
         except orjson.JSONDecodeError:
-            continue  # cut off, or not ours
+            continue  # truncated, or no log line of an entry
         if isinstance(fields, dict) and "message_type" in fields:
             yield fields
 
 
 def _find_job(fields: dict[str, Any]) -> str:
-    """Return the job of a task or step, which are named ID.K.STEP[.INDEX]."""
+    """Return the job id of a task or step named ID.K.STEP[.INDEX]."""
     key = fields.get("task") or fields.get("step") or ""
     return str(key).partition(".")[0]
 
 
-def _take(story: Story, fields: dict[str, Any]) -> None:
-    at = float(fields["timestamp"])
+def _add_event(history: JobHistory, fields: dict[str, Any]) -> None:
+    timestamp = float(fields["timestamp"])
     match fields["message_type"]:
         case "job:accept" if fields.get("outcome") == "stored":
-            story.accepted = min(story.accepted or at, at)
+            history.accepted = min(history.accepted or timestamp, timestamp)
         case "job:seen":
-            story.seen = min(story.seen or at, at)
-            story.priority = fields["priority"]
-            story.objective_s = fields.get("objective_s", 0.0)
-            story.expected_s = fields.get("expected_s", 0.0)
-            story.cancelled = story.cancelled or fields["cancelled"]
+            history.seen = min(history.seen or timestamp, timestamp)
+            history.priority = fields["priority"]
+            history.objective_s = fields.get("objective_s", 0.0)
+            history.expected_s = fields.get("expected_s", 0.0)
+            history.cancelled = history.cancelled or fields["cancelled"]
         case "step:start":
-            story.starts.append(at)
+            history.starts.append(timestamp)
         case "run:stop":
-            story.stops.append(str(fields["why"]))
+            history.stops.append(str(fields["why"]))
         case "run:ended" if fields.get("how") in ("failed", "lapsed", "alone"):
-            story.failures += 1
+            history.failures += 1
         case "job:final":
-            story.ended = min(story.ended or at, at)
+            history.ended = min(history.ended or timestamp, timestamp)
 
 
-def judge(story: Story) -> tuple[Reason, float]:
-    """Return why a job was late, and by how many seconds."""
-    if story.cancelled:
+def explain_delay(history: JobHistory) -> tuple[Reason, float]:
+    """Return why a job was late and by how many seconds."""
+    if history.cancelled:
         return Reason.CANCELLED, 0.0
-    if story.ended is None or story.accepted is None:
+    if history.ended is None or history.accepted is None:
         return Reason.NOT_ENDED, 0.0
-    late_s = story.ended - story.accepted - story.objective_s
+    late_s = history.ended - history.accepted - history.objective_s
     if late_s <= 0:
         return Reason.IN_TIME, 0.0
-    seen = story.seen if story.seen is not None else story.ended
-    first = min(story.starts, default=story.ended)
-    last = max(story.starts, default=story.ended)
-    again = Reason.STOPPED
-    if story.failures and not any("its room" in why for why in story.stops):
-        again = Reason.FAILED
-    parts = {
-        Reason.NO_OWNER: seen - story.accepted,
-        Reason.WAITED: first - seen,
-        again: last - first,
-        Reason.SLOW: story.ended - last - story.expected_s,
+    seen = history.seen if history.seen is not None else history.ended
+    first_start = min(history.starts, default=history.ended)
+    last_start = max(history.starts, default=history.ended)
+    restart_reason = Reason.STOPPED
+    if history.failures and not any("its room" in why for why in history.stops):
+        restart_reason = Reason.FAILED
+    delays_s = {
+        Reason.NO_OWNER: seen - history.accepted,
+        Reason.WAITED: first_start - seen,
+        restart_reason: last_start - first_start,
+        Reason.SLOW: history.ended - last_start - history.expected_s,
     }
-    return max(parts, key=lambda reason: parts[reason]), late_s
+    return max(delays_s, key=lambda reason: delays_s[reason]), late_s
 
 
-def build_table(stories: Iterable[Story]) -> list[str]:
-    """Return one line for each priority and reason, the most late first."""
+def build_table(histories: Iterable[JobHistory]) -> list[str]:
+    """Return a line per priority and reason, longest total delay first."""
     counts: collections.Counter[tuple[int, Reason]] = collections.Counter()
     seconds: collections.Counter[tuple[int, Reason]] = collections.Counter()
-    for story in stories:
-        reason, late_s = judge(story)
-        key = (story.priority if story.priority is not None else -1, reason)
+    for history in histories:
+        reason, late_s = explain_delay(history)
+        key = (history.priority if history.priority is not None else -1, reason)
         counts[key] += 1
         seconds[key] += late_s  # type: ignore[assignment]
     rows = sorted(counts, key=lambda key: (key[0], -seconds[key], key[1]))
@@ -164,7 +166,7 @@
         for line in pathlib.Path(path).read_bytes().splitlines()
     )
     print("priority   jobs  late by s  longest part beyond plan")
-    for row in build_table(read_lines(lines).values()):
+    for row in build_table(read_histories(lines).values()):
         print(row)
 
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,7 +1,7 @@
-"""Small requests under overload and with a slow runner, real processes.
+"""Measures small requests under overload and with a slow runner.
 
-Callers arrive at a fixed rate whatever comes back (open loop), each with a
-deadline, and don't try again.
+Requests arrive at a fixed rate, independent of the answers (open loop). Each
+has a deadline and is not retried. All processes are real.
 """
 
 import collections
@@ -19,12 +19,12 @@
 _SLOTS = 8
 _WORK_S = 0.2
 _DEADLINE_S = 1.5
-# Longer than the slow runner takes, so that its answers count.
+# Longer than a request takes on the slow runner, so that its answers count.
 _LONG_DEADLINE_S = 10.0
 _WINDOW_S = 10.0
 _SLOW_FACTOR = 10
 _CUSTOMERS = ("fbusw-matching", "fbusw-tagging", "kilima-logs", "kilima-maps")
-_DONE = 200
+_OK_STATUS = 200
 _FAILURES = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
@@ -34,7 +34,14 @@
 
 @dataclasses.dataclass
 class Tally:
-    """What callers got."""
+    """Answers that the callers received.
+
+    Attributes:
+        done: Successful answers by customer.
+        other: All other results by status or error.
+        took_s: Seconds until each answer.
+        in_window: Successful answers until the last request was sent.
+    """
 
     done: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
@@ -46,7 +53,7 @@
     in_window: int = 0
 
 
-async def _call(
+async def _send_request(
     pool: httpcore.AsyncConnectionPool,
     url: str,
     customer: str,
@@ -68,16 +75,16 @@
         return
     took_s = time.monotonic() - started_at
     tally.took_s.append(took_s)
-    if response.status == _DONE and took_s <= deadline_s * 1.5:
+    if response.status == _OK_STATUS and took_s <= deadline_s * 1.5:
         tally.done[customer] += 1
     else:
         tally.other[str(response.status)] += 1
 
 
-async def _offer(
+async def _send_requests(
     url: str, rate: float, seconds: float, deadline_s: float = _DEADLINE_S
 ) -> Tally:
-    """Offer `rate` requests a second, customers in turn."""
+    """Send `rate` requests per second, alternating between customers."""
     tally = Tally()
     count = int(rate * seconds)
     async with (
@@ -88,32 +95,34 @@
         for number in range(count):
             await trio.sleep_until(started_at + number / rate)
             customer = _CUSTOMERS[number % len(_CUSTOMERS)]
-            nursery.start_soon(_call, pool, url, customer, tally, deadline_s)
-        # What is done after the window would flatter the overloaded run.
+            nursery.start_soon(
+                _send_request, pool, url, customer, tally, deadline_s
+            )
+        # Counting answers after the window would favour the overloaded run.
         tally.in_window = tally.done.total()
     return tally
 
 
-def _put_templates(held: cluster.Cluster) -> None:
+def _put_templates(demo_cluster: cluster.Cluster) -> None:
     for document in templates.build_templates().values():
-        held.put_template(document | {"guarantee": []}, "e1")
+        demo_cluster.put_template(document | {"guarantee": []}, "e1")
 
 
 def measure_overload() -> list[figures.Figure]:
-    """Offer the capacity and three times as much."""
+    """Offer requests at the capacity and at three times the capacity."""
     capacity = _SLOTS / _WORK_S
     shape = cluster.Shape(
         entries=1, racks=0, runners=1, slots=_SLOTS, settings=()
     )
-    with clusters.run_cluster(shape) as held:
-        _put_templates(held)
-        url = held.url("e1")
-        at_one = trio.run(_offer, url, capacity, _WINDOW_S)
-        at_three = trio.run(_offer, url, 3 * capacity, _WINDOW_S)
+    with clusters.run_cluster(shape) as demo_cluster:
+        _put_templates(demo_cluster)
+        url = demo_cluster.url("e1")
+        tally_at_1x = trio.run(_send_requests, url, capacity, _WINDOW_S)
+        tally_at_3x = trio.run(_send_requests, url, 3 * capacity, _WINDOW_S)
     size = f"{capacity:.0f}/s of capacity, {_WINDOW_S:.0f} s each"
-    shares = [at_three.done[name] for name in _CUSTOMERS]
-    ratio = at_three.in_window / max(1, at_one.in_window)
-    fairness = min(shares) / max(1, max(shares))
+    done_counts = [tally_at_3x.done[name] for name in _CUSTOMERS]
+    ratio = tally_at_3x.in_window / max(1, tally_at_1x.in_window)
+    fairness = min(done_counts) / max(1, max(done_counts))
     return [
         figures.Figure("goodput_at_3x_ratio", round(ratio, 3), "ratio", size),
         figures.Figure(
@@ -121,7 +130,7 @@
         ),
         figures.Figure(
             "answers_neither_done_nor_refused_at_3x",
-            sum(n for k, n in at_three.other.items() if not k.isdigit()),
+            sum(n for k, n in tally_at_3x.other.items() if not k.isdigit()),
             "count",
             size,
         ),
@@ -129,17 +138,17 @@
 
 
 def measure_slow_runner() -> list[figures.Figure]:
-    """Offer half of the capacity with no slow runner and with one."""
+    """Offer a quarter of the capacity without and with a slow runner."""
     runners = 4
     rate = 0.5 * runners * _SLOTS / _WORK_S / 2
     shape = cluster.Shape(
         entries=1, racks=0, runners=runners, slots=_SLOTS, settings=()
     )
-    tails = []
-    lost = 0
-    with clusters.run_cluster(shape) as held:
-        _put_templates(held)
-        port = next(iter(held.runners.values()))
+    p99_times_s = []
+    not_done = 0
+    with clusters.run_cluster(shape) as demo_cluster:
+        _put_templates(demo_cluster)
+        port = next(iter(demo_cluster.runners.values()))
         for slow in (False, True):
             fault = {"fault": "none"}
             if slow:
@@ -147,20 +156,27 @@
                 fault = {"fault": "slow", "delay_s": str(delay_s)}
             cluster.fetch("POST", f"http://127.0.0.1:{port}/faults", fault)
             tally = trio.run(
-                _offer, held.url("e1"), rate, _WINDOW_S, _LONG_DEADLINE_S
+                _send_requests,
+                demo_cluster.url("e1"),
+                rate,
+                _WINDOW_S,
+                _LONG_DEADLINE_S,
             )
-            lost += sum(tally.other.values())
-            tails.append(figures.find_percentile(tally.took_s, 0.99))
+            not_done += sum(tally.other.values())
+            p99_times_s.append(figures.find_percentile(tally.took_s, 0.99))
     size = f"{rate:.0f}/s over {runners} runners, one {_SLOW_FACTOR}x slower"
     return [
         figures.Figure(
             "slow_runner_p99_ratio",
-            round(tails[1] / tails[0], 3),
+            round(p99_times_s[1] / p99_times_s[0], 3),
             "ratio",
             size,
         ),
-        figures.Figure("slow_runner_not_done", lost, "count", size),
+        figures.Figure("slow_runner_not_done", not_done, "count", size),
         figures.Figure(
-            "small_request_p99_s", round(tails[0], 4), "s", f"{rate:.0f}/s"
+            "small_request_p99_s",
+            round(p99_times_s[0], 4),
+            "s",
+            f"{rate:.0f}/s",
         ),
     ]
--- a/bench/passing.py
+++ b/bench/passing.py
@@ -1,4 +1,4 @@
-"""One entry's throughput against a bare pass-through, in turns."""
+"""Compares the throughput of an entry with that of a minimal HTTP proxy."""
 
 import functools
 import sys
@@ -22,12 +22,12 @@
 _BODY = b'{"item": 1}'
 
 
-async def _serve_bare(port: int, target: str) -> None:
-    """Pass each request on and its answer back; nothing else."""
+async def _serve_proxy(port: int, target: str) -> None:
+    """Serve a minimal proxy that forwards each request to `target`."""
     pool = httpcore.AsyncConnectionPool(max_connections=64)
 
     async def app(scope, receive, send):  # type: ignore[no-untyped-def]
-        # hypercorn takes the failure as "no lifespan events wanted".
+        # hypercorn reads a failed assertion as: lifespan events unsupported.
         assert scope["type"] == "http"
         event = await receive()
         response = await pool.request(
@@ -49,11 +49,13 @@
     await hypercorn.trio.serve(app, serving.build_config(port), mode="asgi")
 
 
-async def _load(url: str, headers: list[tuple[str, str]], pid: int) -> float:
-    """Return answers for each second of processor time of a process.
+async def _measure_answers_per_cpu_s(
+    url: str, headers: list[tuple[str, str]], pid: int
+) -> float:
+    """Return the answers per second of processor time of a process.
 
-    The callers themselves are the slowest part (both sides reach the same
-    count of answers a second), so answers by the clock would compare nothing.
+    The callers are the bottleneck: entry and proxy reach the same number of
+    answers per second of real time, so that rate would show no difference.
     """
     done = 0
     async with httpcore.AsyncConnectionPool(max_connections=_CALLERS) as pool:
@@ -76,9 +78,9 @@
 
 
 def measure_passing() -> list[figures.Figure]:
-    """Measure entry and bare pass-through, taking turns in one run.
+    """Measure the entry and the proxy alternately in one run.
 
-    Both pass everything to the same single runner.
+    Both forward all requests to the same single runner.
     """
     shape = cluster.Shape(entries=1, racks=0, runners=1, slots=64, settings=())
     document = templates.build_templates()["fbusw-matching"]
@@ -88,28 +90,35 @@
         ("Authorization", f"Bearer {key}"),
         ("Content-Type", "application/json"),
     ]
-    with clusters.run_cluster(shape) as held:
-        held.put_template(document, "e1")
+    with clusters.run_cluster(shape) as demo_cluster:
+        demo_cluster.put_template(document, "e1")
         [port] = ports.find_ports(1)
-        target = f"http://127.0.0.1:{next(iter(held.runners.values()))}"
-        held.processes.start("bare", "bench.passing", str(port), target)
+        target = f"http://127.0.0.1:{next(iter(demo_cluster.runners.values()))}"
+        demo_cluster.processes.start("bare", "bench.passing", str(port), target)
         processes.wait_for_port(port)
-        entry, bare = [], []
+        entry_rates, proxy_rates = [], []
         for _ in range(_TURNS):
-            url = f"{held.url('e1')}/v1/requests/match"
-            pid = held.processes.pid("e1")
-            entry.append(trio.run(_load, url, headers, pid))
+            url = f"{demo_cluster.url('e1')}/v1/requests/match"
+            pid = demo_cluster.processes.pid("e1")
+            entry_rates.append(
+                trio.run(_measure_answers_per_cpu_s, url, headers, pid)
+            )
             url = f"http://127.0.0.1:{port}/run/match"
-            pid = held.processes.pid("bare")
-            bare.append(trio.run(_load, url, headers, pid))
-    ratios = [ours / theirs for ours, theirs in zip(entry, bare, strict=True)]
+            pid = demo_cluster.processes.pid("bare")
+            proxy_rates.append(
+                trio.run(_measure_answers_per_cpu_s, url, headers, pid)
+            )
+    ratios = [
+        entry_rate / proxy_rate
+        for entry_rate, proxy_rate in zip(entry_rates, proxy_rates, strict=True)
+    ]
     size = f"{_CALLERS} callers, {_TURNS} turns of {_WINDOW_S:.0f} s"
     return [
         figures.summarize("passthrough_ratio", ratios, "ratio", size),
-        figures.summarize("entry_answers_per_cpu_s", entry, "1/s", size),
-        figures.summarize("bare_answers_per_cpu_s", bare, "1/s", size),
+        figures.summarize("entry_answers_per_cpu_s", entry_rates, "1/s", size),
+        figures.summarize("bare_answers_per_cpu_s", proxy_rates, "1/s", size),
     ]
 
 
 if __name__ == "__main__":
-    trio.run(functools.partial(_serve_bare, int(sys.argv[1]), sys.argv[2]))
+    trio.run(functools.partial(_serve_proxy, int(sys.argv[1]), sys.argv[2]))
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,8 +1,8 @@
-"""Completion time and fragmentation of the deciding functions on seeded loads.
+"""Compares the job scheduler with baselines by completion and fragmentation.
 
-No cluster is simulated: the book decides on a chosen clock, and workers do at
-once what they are told, for as long as the load says. Baselines decide on the
-same loads in first-come order without guarantees.
+The book decides on a simulated clock. Workers obey commands immediately and
+run each job for the time that the seeded load gives. The baselines schedule the
+same loads in order of arrival, without guarantees.
 """
 
 from collections.abc import Callable
@@ -26,13 +26,13 @@
 _WORKERS = 24
 _ACCELERATORS = 8
 _SEEDS = (1, 2, 3, 4, 5)
-_DAY_S = 12 * 3600.0
+_LOAD_LENGTH_S = 12 * 3600.0
 _STEP_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """One job of a load."""
+    """A job of a load, its arrival time and its true run time."""
 
     at: float
     job: model.Job
@@ -41,14 +41,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """A user's shape: racks, weights and kinds of jobs.
+    """Racks, template weights and kinds of jobs of one user.
 
     Attributes:
-        name: The user.
-        workers_per_rack: How many workers share a rack.
-        weights: What its templates lean on.
-        jobs_per_hour: Arrivals.
-        kinds: (name, share, accelerators, level, mean seconds).
+        name: Name of the user.
+        workers_per_rack: Number of workers in a rack.
+        weights: Scheduling weights of the templates.
+        jobs_per_hour: Mean rate of arrivals.
+        kinds: (name, share of jobs, accelerators, level, mean seconds).
     """
 
     name: str
@@ -84,12 +84,12 @@
 
 
 def build_arrivals(load: Load, seed: int) -> list[Arrival]:
-    """Return a seeded load; declared run times are off by up to ten times."""
+    """Draw a load; declared run times are wrong by a factor of up to ten."""
     rng = random.Random(f"{load.name}-{seed}")
     arrivals = []
     now = 0.0
     number = 0
-    while now < _DAY_S:
+    while now < _LOAD_LENGTH_S:
         now += rng.expovariate(load.jobs_per_hour / 3600.0)
         shares = [kind[1] for kind in load.kinds]
         [kind] = rng.choices(load.kinds, shares)
@@ -105,7 +105,7 @@
 
 
 def build_book(load: Load) -> books.Book:
-    """Return a book in which two customers hold a rack cell each."""
+    """Return a book in which two customers have a guaranteed rack cell each."""
     catalog = templates.Catalog()
     rack = load.workers_per_rack * _ACCELERATORS
     for number, customer in enumerate(_CUSTOMERS):
@@ -133,7 +133,14 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What a run came to."""
+    """Measures of one run.
+
+    Attributes:
+        completion_s: Mean seconds from submission to end of a job.
+        fragmentation: Mean share of free accelerators that the largest pending
+            shape can't use.
+        broken: Number of samples in which guarantees didn't fit.
+    """
 
     completion_s: float
     fragmentation: float
@@ -141,47 +148,56 @@
 
 
 class Run:
-    """Drives a book through a load on a chosen clock."""
+    """Schedules a load with one book on a simulated clock."""
 
     def __init__(self, load: Load, seed: int, schedule: Schedule) -> None:
         self._book = build_book(load)
         self._schedule = schedule
         self._arrivals = build_arrivals(load, seed)
         self._run_times = {a.job.id: a.run_time_s for a in self._arrivals}
-        self._ends: list[tuple[float, str, int]] = []
-        self._took: list[float] = []
-        self._fragments: list[float] = []
-        self._broken = 0
+        self._scheduled_ends: list[tuple[float, str, int]] = []
+        self._completion_times_s: list[float] = []
+        self._fragmentation_samples: list[float] = []
+        self._broken_samples = 0
 
     def finish(self) -> Outcome:
-        """Run until every job is done."""
-        waiting = list(reversed(self._arrivals))
+        """Run until all jobs are done; return the measures."""
+        future_arrivals = list(reversed(self._arrivals))
         sample_at = 0.0
-        while waiting or self._ends:
-            at = waiting[-1].at if waiting else float("inf")
-            now = min(at, self._ends[0][0] if self._ends else float("inf"))
-            while waiting and waiting[-1].at <= now:
-                self._book.submit(waiting.pop().job, now)
-            while self._ends and self._ends[0][0] <= now:
-                _, job_id, attempt = heapq.heappop(self._ends)
-                self._end(job_id, attempt, now)
-            self._decide(now)
-            if now >= sample_at and waiting:
+        while future_arrivals or self._scheduled_ends:
+            at = future_arrivals[-1].at if future_arrivals else float("inf")
+            now = min(
+                at,
+                self._scheduled_ends[0][0]
+                if self._scheduled_ends
+                else float("inf"),
+            )
+            while future_arrivals and future_arrivals[-1].at <= now:
+                self._book.submit(future_arrivals.pop().job, now)
+            while self._scheduled_ends and self._scheduled_ends[0][0] <= now:
+                _, job_id, attempt = heapq.heappop(self._scheduled_ends)
+                self._finish_job(job_id, attempt, now)
+            self._schedule_until_stable(now)
+            if now >= sample_at and future_arrivals:
                 sample_at = now + 60.0
-                self._sample(now)
-        mean = sum(self._took) / len(self._took)
-        fragments = sum(self._fragments) / max(1, len(self._fragments))
-        return Outcome(mean, fragments, self._broken)
+                self._sample_state(now)
+        mean = sum(self._completion_times_s) / len(self._completion_times_s)
+        fragmentation = sum(self._fragmentation_samples) / max(
+            1, len(self._fragmentation_samples)
+        )
+        return Outcome(mean, fragmentation, self._broken_samples)
 
-    def _decide(self, now: float) -> None:
+    def _schedule_until_stable(self, now: float) -> None:
         while True:
             effects = self._schedule(self._book, now)
             if not effects.changed:
                 return
-            self._obey(effects.commands, now)
+            self._execute_commands(effects.commands, now)
 
-    def _obey(self, commands: list[gangs.Command], now: float) -> None:
-        """Workers do at once what they are told."""
+    def _execute_commands(
+        self, commands: list[gangs.Command], now: float
+    ) -> None:
+        """Answer commands immediately, as the workers would."""
         queue = list(commands)
         while queue:
             command = queue.pop(0)
@@ -200,42 +216,46 @@
         if isinstance(message, messages.Stop):
             return messages.Stopped(*key)
         if isinstance(message, messages.Start):
-            held = self._book.gangs[message.job_id]
-            if command.worker == min(held.workers):
+            gang = self._book.gangs[message.job_id]
+            if command.worker == min(gang.workers):
                 end = now + self._run_times[message.job_id]
-                heapq.heappush(self._ends, (end, *key))
+                heapq.heappush(self._scheduled_ends, (end, *key))
             return messages.Started(*key)
         return None
 
-    def _end(self, job_id: str, attempt: int, now: float) -> None:
-        held = self._book.gangs.get(job_id)
-        if held is None or held.attempt != attempt:
-            return  # taken back meanwhile; it starts again from nothing
-        for worker in sorted(held.workers):
+    def _finish_job(self, job_id: str, attempt: int, now: float) -> None:
+        gang = self._book.gangs.get(job_id)
+        if gang is None or gang.attempt != attempt:
+            return  # the attempt was preempted; the job starts over
+        for worker in sorted(gang.workers):
             finished = messages.Finished(job_id, attempt, True, "")
             effects = jobs.handle_message(self._book, worker, finished, now)
-            self._obey(effects.commands, now)
-        self._took.append(now - self._book.jobs[job_id].submitted_at)
+            self._execute_commands(effects.commands, now)
+        self._completion_times_s.append(
+            now - self._book.jobs[job_id].submitted_at
+        )
         self._book.forget(job_id)
 
-    def _sample(self, now: float) -> None:
+    def _sample_state(self, now: float) -> None:
         state = scheduler.observe(self._book, now)
         if not isinstance(
             cells.embed(state.needs, state.floor), cells.Embedding
         ):
-            self._broken += 1
-        shapes = [
+            self._broken_samples += 1
+        needs = [
             cells.Need("", job.spec.level, job.spec.accelerators)
             for job in self._book.list_queued()
         ]
-        shapes += [need for need in state.needs if not need.pinned]
-        if shapes:
-            largest = max(shapes, key=lambda need: need.accelerators)
-            self._fragments.append(measure_fragmentation(largest, state.floor))
+        needs += [need for need in state.needs if not need.pinned]
+        if needs:
+            largest = max(needs, key=lambda need: need.accelerators)
+            self._fragmentation_samples.append(
+                measure_fragmentation(largest, state.floor)
+            )
 
 
 def measure_fragmentation(need: cells.Need, floor: cells.Floor) -> float:
-    """Return the share of free accelerators that a shape can't use."""
+    """Return the share of free accelerators that `need` can't use."""
     free = {name: space._replace(lent=0) for name, space in floor.items()}
     total = cells.count_free(list(free.values()))
     if not total:
@@ -247,11 +267,11 @@
     return 1 - usable / total
 
 
-def _list_fifo(book: books.Book) -> Iterator[model.Job]:
+def _list_by_submission(book: books.Book) -> Iterator[model.Job]:
     yield from sorted(book.list_queued(), key=lambda job: job.submitted_at)
 
 
-def _place_first(
+def _find_spot(
     need: cells.Need, floor: cells.Floor, *, tightest: bool
 ) -> cells.Spot | None:
     units = [
@@ -265,9 +285,9 @@
 
 
 def build_baseline(*, tightest: bool, quota: bool) -> Schedule:
-    """Return a baseline: first come, first fit or best fit by rack.
+    """Return a baseline: first come first served, first fit or best fit.
 
-    With `quota`, work within its customer's guaranteed count goes first.
+    With `quota`, jobs within the guaranteed count of their customer go first.
     """
 
     def schedule(book: books.Book, now: float) -> jobs.Effects:
@@ -276,18 +296,18 @@
             name: space._replace(lent=0)
             for name, space in scheduler.build_floor(book, now).items()
         }
-        failed: set[tuple[Level, int]] = set()
-        waiting = list(_list_fifo(book))
+        unplaceable_shapes: set[tuple[Level, int]] = set()
+        queued_jobs = list(_list_by_submission(book))
         if quota:
-            waiting.sort(key=lambda job: not _is_within_quota(book, job))
-        for job in waiting:
+            queued_jobs.sort(key=lambda job: not _is_within_quota(book, job))
+        for job in queued_jobs:
             shape = (job.spec.level, job.spec.accelerators)
-            if shape in failed:
+            if shape in unplaceable_shapes:
                 continue
             need = cells.Need(job.customer, *shape)
-            spot = _place_first(need, floor, tightest=tightest)
+            spot = _find_spot(need, floor, tightest=tightest)
             if spot is None:
-                failed.add(shape)
+                unplaceable_shapes.add(shape)
                 continue
             floor = cells.remove_spot(floor, spot)
             placed = jobs.Placed(spot)
@@ -301,9 +321,9 @@
     template = book.catalog.templates[job.customer].template
     quota = sum(c.accelerators * c.count for c in template.guarantee)
     used = sum(
-        held.size
-        for held in book.holdings.values()
-        if held.customer == job.customer
+        holding.size
+        for holding in book.holdings.values()
+        if holding.customer == job.customer
     )
     return used + job.spec.accelerators <= quota
 
@@ -316,8 +336,8 @@
 
 
 def measure_policy() -> list[figures.Figure]:
-    """Compare with the baselines, all seeds."""
-    found = []
+    """Run the scheduler and the baselines over all seeds and compare them."""
+    measured = []
     for load in (FBUSW, KILIMA):
         outcomes = {
             name: [Run(load, seed, schedule).finish() for seed in _SEEDS]
@@ -325,7 +345,7 @@
         }
         size = f"{load.name}, 24 workers, {len(_SEEDS)} seeds of 12 h"
         for name, runs in outcomes.items():
-            found += [
+            measured += [
                 figures.summarize(
                     f"completion_s_{name}",
                     [run.completion_s for run in runs],
@@ -339,27 +359,33 @@
                     size,
                 ),
             ]
-        ours = outcomes.pop("ours")
-        found += _compare(load, ours, outcomes, size)
-        broken = sum(run.broken for run in ours)
-        found.append(figures.Figure("guarantees_broken", broken, "count", size))
-    return found
+        scheduler_outcomes = outcomes.pop("ours")
+        measured += _compare(load, scheduler_outcomes, outcomes, size)
+        broken = sum(run.broken for run in scheduler_outcomes)
+        measured.append(
+            figures.Figure("guarantees_broken", broken, "count", size)
+        )
+    return measured
 
 
 def _compare(
     load: Load,
-    ours: list[Outcome],
-    others: dict[str, list[Outcome]],
+    scheduler_outcomes: list[Outcome],
+    baseline_outcomes: dict[str, list[Outcome]],
     size: str,
 ) -> list[figures.Figure]:
     completion = [
-        run.completion_s / min(runs[i].completion_s for runs in others.values())
-        for i, run in enumerate(ours)
+        run.completion_s
+        / min(runs[i].completion_s for runs in baseline_outcomes.values())
+        for i, run in enumerate(scheduler_outcomes)
     ]
     fragmentation = [
         run.fragmentation
-        / max(1e-9, min(runs[i].fragmentation for runs in others.values()))
-        for i, run in enumerate(ours)
+        / max(
+            1e-9,
+            min(runs[i].fragmentation for runs in baseline_outcomes.values()),
+        )
+        for i, run in enumerate(scheduler_outcomes)
     ]
     return [
         figures.summarize(
--- a/bench/polling.py
+++ b/bench/polling.py
@@ -1,7 +1,7 @@
-"""Baseline of the worker link: HTTP/1.1 with JSON, one poll a worker.
+"""Baseline for the worker link: polling each worker over HTTP/1.1 with JSON.
 
-It renews leases and reads reports by asking each worker on its kept-alive
-connection, as often as the websocket link renews.
+The poller renews leases and reads reports over one keep-alive connection per
+worker, as often as the websocket link renews.
 """
 
 import functools
@@ -20,18 +20,18 @@
 from standins import ports
 from standins import serving
 
-_COUNTS = (70, 140, 280)
+_WORKER_COUNTS = (70, 140, 280)
 _INTERVAL_S = 2.0
 _WINDOW_S = 6.0
 _REPETITIONS = 3
 
 
-async def _answer(request: requests.Request) -> responses.Response:
+async def _answer_renewal(request: requests.Request) -> responses.Response:
     await request.body()
     return responses.JSONResponse({"renewed": True, "tasks": []})
 
 
-async def _poll(pool: httpcore.AsyncConnectionPool, port: int) -> None:
+async def _poll_worker(pool: httpcore.AsyncConnectionPool, port: int) -> None:
     body = orjson.dumps({"epoch": 1, "renew": True})
     headers = [("Content-Type", "application/json")]
     while True:
@@ -44,36 +44,36 @@
         await trio.sleep(_INTERVAL_S)
 
 
-async def poll_all(numbers: list[int]) -> None:
-    """Poll one worker on each port, for ever."""
+async def poll_all(worker_ports: list[int]) -> None:
+    """Poll one worker on each port until cancelled."""
     async with (
         httpcore.AsyncConnectionPool(max_connections=None) as pool,
         trio.open_nursery() as nursery,
     ):
-        for number in numbers:
-            nursery.start_soon(_poll, pool, number)
+        for port in worker_ports:
+            nursery.start_soon(_poll_worker, pool, port)
 
 
-async def serve_all(numbers: list[int]) -> None:
-    """Serve one worker on each port, for ever."""
-    route = routing.Route("/v1/renew", _answer, methods=["POST"])
+async def serve_all(worker_ports: list[int]) -> None:
+    """Serve one worker on each port until cancelled."""
+    route = routing.Route("/v1/renew", _answer_renewal, methods=["POST"])
     app = applications.Starlette(routes=[route])
     async with trio.open_nursery() as nursery:
-        for number in numbers:
-            nursery.start_soon(serving.serve, app, number)
+        for port in worker_ports:
+            nursery.start_soon(serving.serve, app, port)
 
 
 async def _measure(count: int) -> list[accounting.Usage]:
-    numbers = ports.find_ports(count)
-    text = ",".join(map(str, numbers))
+    worker_ports = ports.find_ports(count)
+    ports_argument = ",".join(map(str, worker_ports))
     usages = []
     async with trio.open_nursery() as nursery:
         command = [sys.executable, "-m", "bench.polling"]
         start = functools.partial(trio.run_process, check=False)
-        await nursery.start(start, [*command, "serve", text])
+        await nursery.start(start, [*command, "serve", ports_argument])
         await trio.sleep(4.0)
         poller: trio.Process = await nursery.start(
-            start, [*command, "poll", text]
+            start, [*command, "poll", ports_argument]
         )
         await trio.sleep(4.0)
         for _ in range(_REPETITIONS):
@@ -86,12 +86,12 @@
 
 
 def measure_polling() -> list[figures.Figure]:
-    """Measure the poller at three sizes."""
-    found = []
-    for count in _COUNTS:
+    """Measure the poller with three numbers of workers."""
+    measured = []
+    for count in _WORKER_COUNTS:
         usages = trio.run(_measure, count)
         size = f"{count} workers, every 2 s"
-        found += [
+        measured += [
             figures.summarize(
                 "http_poll_cpu_percent",
                 [usage.cpu_percent for usage in usages],
@@ -105,7 +105,7 @@
                 size,
             ),
         ]
-    return found
+    return measured
 
 
 if __name__ == "__main__":
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,4 +1,4 @@
-"""Edits, takeovers and urgent claims over real processes."""
+"""Times edits, takeovers, recovery and urgent jobs with real processes."""
 
 import signal
 import time
@@ -16,81 +16,83 @@
 _TAKEOVERS = 8
 _CLAIMS = 30
 _SETTLE_S = 1.0
-_LIMIT_S = 20.0
-_SIZE = "9 entries, 1 data centre, TTL 2 s"
-_DEFAULTS: tuple[tuple[str, str], ...] = ()
+_TIMEOUT_S = 20.0
+_CLUSTER_SIZE = "9 entries, 1 data centre, TTL 2 s"
+_DEFAULT_SETTINGS: tuple[tuple[str, str], ...] = ()
 
 
-def _read_all(held: cluster.Cluster, kind: str) -> list[dict[str, Any]]:
+def _read_all(demo_cluster: cluster.Cluster, kind: str) -> list[dict[str, Any]]:
     """Return the log lines of one kind from all entries."""
     return [
         line
-        for name in held.entries
-        for line in held.processes.read_log(name)
+        for name in demo_cluster.entries
+        for line in demo_cluster.processes.read_log(name)
         if line.get("message_type") == kind
     ]
 
 
 def measure_edits() -> list[figures.Figure]:
-    """Time from an acknowledged edit to in force at the last of 9 entries.
+    """Time from the acknowledgement of an edit until all 9 entries apply it.
 
-    An entry is killed and started again every 25 edits. Entries log when a
-    revision is in force; all clocks are this machine's.
+    An entry is killed and restarted every 25 edits. Entries log when a revision
+    is in force; all use the clock of this machine.
     """
-    shape = cluster.Shape(entries=9, racks=0, runners=0, settings=_DEFAULTS)
+    shape = cluster.Shape(
+        entries=9, racks=0, runners=0, settings=_DEFAULT_SETTINGS
+    )
     document = templates.build_templates()["fbusw-matching"]
     document["guarantee"] = []
     acknowledged = {}
     replaced_at: dict[str, float] = {}
     names = [f"e{number + 1}" for number in range(9)]
-    with clusters.run_cluster(shape) as held:
+    with clusters.run_cluster(shape) as demo_cluster:
         for number in range(_EDITS):
             if number and number % _REPLACE_EVERY == 0:
                 name = names[number // _REPLACE_EVERY]
-                held.processes.kill(name)
-                held.start_entry(name)
-                held.wait_ready(name)
+                demo_cluster.processes.kill(name)
+                demo_cluster.start_entry(name)
+                demo_cluster.wait_ready(name)
                 replaced_at[name] = time.time()
             document["max_jobs"] = 1000 + number
-            revision = held.put_template(document, "e1")
+            revision = demo_cluster.put_template(document, "e1")
             acknowledged[revision] = time.time()
             time.sleep(_EDIT_PAUSE_S)
         time.sleep(_SETTLE_S)
-        logs = {name: held.processes.read_log(name) for name in names}
-    took_s = _find_lags(acknowledged, logs, replaced_at)
+        logs = {name: demo_cluster.processes.read_log(name) for name in names}
+    durations_s = _list_apply_delays(acknowledged, logs, replaced_at)
     reverts = sum(_count_reverts(lines) for lines in logs.values())
     return [
         figures.Figure(
             "config_in_force_p99_s",
-            round(figures.find_percentile(took_s, 0.99), 4),
+            round(figures.find_percentile(durations_s, 0.99), 4),
             "s",
             f"{_EDITS} edits, 9 entries, one replaced every {_REPLACE_EVERY}",
-            round(max(took_s) - min(took_s), 4),
+            round(max(durations_s) - min(durations_s), 4),
         ),
         figures.Figure("config_reverts", reverts, "count", f"{_EDITS} edits"),
     ]
 
 
-def _find_lags(
+def _list_apply_delays(
     acknowledged: dict[int, float],
     logs: dict[str, list[dict[str, Any]]],
     replaced_at: dict[str, float],
 ) -> list[float]:
-    lags = []
+    delays_s = []
     for revision, at in acknowledged.items():
         last = at
         for name, lines in logs.items():
             if replaced_at.get(name, 0.0) > at:
-                continue  # its log begins after the edit
+                continue  # its log begins at its restart, after the edit
             seen = [
                 line["timestamp"]
                 for line in lines
                 if line.get("message_type") == "configuration:in-force"
                 and line["revision"] >= revision
             ]
-            last = max(last, min(seen, default=at + _LIMIT_S))
-        lags.append(last - at)
-    return lags
+            last = max(last, min(seen, default=at + _TIMEOUT_S))
+        delays_s.append(last - at)
+    return delays_s
 
 
 def _count_reverts(lines: list[dict[str, Any]]) -> int:
@@ -103,7 +105,7 @@
 
 
 def measure_takeovers() -> list[figures.Figure]:
-    """Time until another entry decides, after a kill and a planned stop."""
+    """Time the takeover by another entry after a kill and a planned stop."""
     return [
         _measure_takeover("takeover_after_kill_p99_s", planned=False),
         _measure_takeover("takeover_planned_p99_s", planned=True),
@@ -112,164 +114,189 @@
 
 def _measure_takeover(name: str, *, planned: bool) -> figures.Figure:
     shape = cluster.Shape(
-        entries=9, racks=1, workers_per_rack=1, runners=0, settings=_DEFAULTS
+        entries=9,
+        racks=1,
+        workers_per_rack=1,
+        runners=0,
+        settings=_DEFAULT_SETTINGS,
     )
-    took_s = []
-    with clusters.run_cluster(shape) as held:
+    durations_s = []
+    with clusters.run_cluster(shape) as demo_cluster:
         for _ in range(_TAKEOVERS):
-            owner = clusters.wait_for_workers(held, 1)
+            owner = clusters.wait_for_workers(demo_cluster, 1)
             time.sleep(_SETTLE_S)
-            known = _read_all(held, "owner:took-over")
+            known = _read_all(demo_cluster, "owner:took-over")
             epoch = max(line["epoch"] for line in known)
             started_at = time.time()
             if planned:
-                held.processes.signal(owner, signal.SIGTERM)
+                demo_cluster.processes.signal(owner, signal.SIGTERM)
             else:
-                held.processes.kill(owner)
-            line = _wait_for_epoch(held, owner, epoch + 1)
+                demo_cluster.processes.kill(owner)
+            line = _wait_for_epoch(demo_cluster, owner, epoch + 1)
             if planned:
-                started_at = _find_release(held, owner, started_at)
-                held.processes.wait(owner)
-            took_s.append(line["timestamp"] - started_at)
-            held.start_entry(owner)
-            held.wait_ready(owner)
+                started_at = _find_release(demo_cluster, owner, started_at)
+                demo_cluster.processes.wait(owner)
+            durations_s.append(line["timestamp"] - started_at)
+            demo_cluster.start_entry(owner)
+            demo_cluster.wait_ready(owner)
     return figures.Figure(
         name,
-        round(figures.find_percentile(took_s, 0.99), 3),
+        round(figures.find_percentile(durations_s, 0.99), 3),
         "s",
-        f"{_TAKEOVERS} takeovers, {_SIZE}",
-        round(max(took_s) - min(took_s), 3),
+        f"{_TAKEOVERS} takeovers, {_CLUSTER_SIZE}",
+        round(max(durations_s) - min(durations_s), 3),
     )
 
 
 def _find_release(
-    held: cluster.Cluster, owner: str, started_at: float
+    demo_cluster: cluster.Cluster, owner: str, started_at: float
 ) -> float:
-    """Return when a stopping owner gave up, or when it was told to stop."""
+    """Return when the owner logged its stop, or `started_at` if it did not."""
     stops = [
         line["timestamp"]
-        for line in held.processes.read_log(owner)
+        for line in demo_cluster.processes.read_log(owner)
         if line.get("message_type") == "entry:stopping"
     ]
     return float(max([started_at, *stops]))
 
 
 def _wait_for_epoch(
-    held: cluster.Cluster, owner: str, epoch: int
+    demo_cluster: cluster.Cluster, owner: str, epoch: int
 ) -> dict[str, Any]:
-    limit = time.monotonic() + _LIMIT_S
-    while time.monotonic() < limit:
-        for name in held.entries:
+    deadline = time.monotonic() + _TIMEOUT_S
+    while time.monotonic() < deadline:
+        for name in demo_cluster.entries:
             if name == owner:
                 continue
-            for line in held.processes.read_log(name):
+            for line in demo_cluster.processes.read_log(name):
                 if line.get("message_type") == "owner:took-over" and (
                     line["epoch"] >= epoch
                 ):
                     return line
         time.sleep(0.05)
-    raise TimeoutError(f"nobody took epoch {epoch}")
+    raise TimeoutError(f"no entry took over with epoch {epoch}")
 
 
 def measure_recovery() -> list[figures.Figure]:
-    """Replace all entries at once; time until all work is followed again."""
+    """Restart all entries at once; time until an owner tracks all jobs."""
     shape = cluster.Shape(
-        entries=9, racks=2, workers_per_rack=3, runners=0, settings=_DEFAULTS
+        entries=9,
+        racks=2,
+        workers_per_rack=3,
+        runners=0,
+        settings=_DEFAULT_SETTINGS,
     )
-    took_s = []
-    with clusters.run_cluster(shape) as held:
-        held.put_template(_build_lender(), "e1")
-        clusters.wait_for_workers(held, 6)
+    durations_s = []
+    with clusters.run_cluster(shape) as demo_cluster:
+        demo_cluster.put_template(_build_lender_template(), "e1")
+        clusters.wait_for_workers(demo_cluster, 6)
         for number in range(20):
-            _submit(held, "e2", "fbusw-matching", 1, f"long-{number}", 300.0)
+            _submit(
+                demo_cluster, "e2", "fbusw-matching", 1, f"long-{number}", 300.0
+            )
         for _ in range(3):
             started_at = time.time()
-            for name in held.entries:
-                held.processes.kill(name)
-            for name in held.entries:
-                held.start_entry(name)
-            _wait_followed(held, 20)
-            took_s.append(time.time() - started_at)
+            for name in demo_cluster.entries:
+                demo_cluster.processes.kill(name)
+            for name in demo_cluster.entries:
+                demo_cluster.start_entry(name)
+            _wait_for_tracking(demo_cluster, 20)
+            durations_s.append(time.time() - started_at)
     return [
         figures.summarize(
-            "recovery_all_replaced_s", took_s, "s", f"20 jobs, {_SIZE}"
+            "recovery_all_replaced_s",
+            durations_s,
+            "s",
+            f"20 jobs, {_CLUSTER_SIZE}",
         )
     ]
 
 
-def _wait_followed(held: cluster.Cluster, jobs: int) -> None:
-    """Wait until an owner follows all jobs and knows all workers."""
-    limit = time.monotonic() + _LIMIT_S
-    while time.monotonic() < limit:
-        for name in held.entries:
+def _wait_for_tracking(demo_cluster: cluster.Cluster, jobs: int) -> None:
+    """Wait until an owner tracks all jobs and knows all workers."""
+    deadline = time.monotonic() + _TIMEOUT_S
+    while time.monotonic() < deadline:
+        for name in demo_cluster.entries:
             try:
-                owned = held.fetch_status(name)["owned"]
+                owned = demo_cluster.fetch_status(name)["owned"]
             except OSError:
                 continue
-            for one in owned:
-                if one["unfinished"] >= jobs and one["workers"] == 6:
+            for data_centre in owned:
+                if (
+                    data_centre["unfinished"] >= jobs
+                    and data_centre["workers"] == 6
+                ):
                     return
         time.sleep(0.05)
-    raise TimeoutError("the work is not followed again")
+    raise TimeoutError("no owner tracks all jobs and workers")
 
 
-def _build_lender() -> dict[str, Any]:
+def _build_lender_template() -> dict[str, Any]:
     document = templates.build_templates()["fbusw-matching"]
     document["guarantee"] = []
     return document
 
 
 def measure_urgent() -> list[figures.Figure]:
-    """Time from an urgent claim to its start on accelerators that are lent.
+    """Time the start of urgent jobs on accelerators that are lent out.
 
-    One customer's jobs fill the fleet as loans; another claims its cell of
-    16 again and again. Start is what the workers recorded, on the same clock.
+    Jobs of one customer fill all accelerators as loans. Another customer then
+    repeatedly submits a job for its guaranteed cell of 16. Workers record the
+    starts by the same clock.
     """
     shape = cluster.Shape(
-        entries=3, racks=2, workers_per_rack=3, runners=0, settings=_DEFAULTS
+        entries=3,
+        racks=2,
+        workers_per_rack=3,
+        runners=0,
+        settings=_DEFAULT_SETTINGS,
     )
-    with clusters.run_cluster(shape) as held:
-        held.put_template(_build_lender(), "e1")
-        held.put_template(templates.build_templates()["kilima-maps"], "e1")
-        clusters.wait_for_workers(held, 6)
+    with clusters.run_cluster(shape) as demo_cluster:
+        demo_cluster.put_template(_build_lender_template(), "e1")
+        demo_cluster.put_template(
+            templates.build_templates()["kilima-maps"], "e1"
+        )
+        clusters.wait_for_workers(demo_cluster, 6)
         for number in range(60):
-            _submit(held, "e1", "fbusw-matching", 1, f"loan-{number}", 600.0)
+            _submit(
+                demo_cluster, "e1", "fbusw-matching", 1, f"loan-{number}", 600.0
+            )
         time.sleep(_SETTLE_S)
-        claimed = {}
+        submitted_at = {}
         for number in range(_CLAIMS):
             at = time.monotonic()
             job_id = _submit(
-                held, "e2", "kilima-maps", 16, f"claim-{number}", 0.3
+                demo_cluster, "e2", "kilima-maps", 16, f"claim-{number}", 0.3
             )
-            claimed[job_id] = at
+            submitted_at[job_id] = at
             time.sleep(1.0)
-        texts = map(held.processes.read_output, held.workers)
+        texts = map(demo_cluster.processes.read_output, demo_cluster.workers)
         records = history.read_records(texts)
-    took_s = [
+    durations_s = [
         max(
             (
                 record["at"]
                 for record in records
                 if record["job_id"] == job_id and record["what"] == "started"
             ),
-            default=at + _LIMIT_S,
+            default=at + _TIMEOUT_S,
         )
         - at
-        for job_id, at in claimed.items()
+        for job_id, at in submitted_at.items()
     ]
     return [
         figures.Figure(
             "urgent_start_p99_s",
-            round(figures.find_percentile(took_s, 0.99), 3),
+            round(figures.find_percentile(durations_s, 0.99), 3),
             "s",
             f"{_CLAIMS} claims of 16, checkpoint 0.1 s, 48 accelerators lent",
-            round(max(took_s) - min(took_s), 3),
+            round(max(durations_s) - min(durations_s), 3),
         )
     ]
 
 
 def _submit(
-    held: cluster.Cluster,
+    demo_cluster: cluster.Cluster,
     entry: str,
     customer: str,
     size: int,
@@ -279,7 +306,7 @@
     kind = "render" if size > 1 else "tag"
     reply: dict[str, Any] = cluster.fetch(
         "POST",
-        f"{held.url(entry)}/v1/jobs",
+        f"{demo_cluster.url(entry)}/v1/jobs",
         {"kind": kind, "accelerators": size, "run_time_s": run_time_s},
         {
             "Authorization": f"Bearer {templates.find_key(customer)}",
--- a/bench/replay/bound.py
+++ b/bench/replay/bound.py
@@ -164,8 +164,8 @@
     if disruption.leaves:
         is_absent = disruption.end <= begin and end <= disruption.replaced_at
         return 0.0 if is_absent else 1.0
-    is_throughout = disruption.start <= begin and end <= disruption.end
-    return disruption.speed if is_throughout else 1.0
+    lasts_whole_slot = disruption.start <= begin and end <= disruption.end
+    return disruption.speed if lasts_whole_slot else 1.0
 
 
 def _minimize(demands: list[_Demand], capacities: list[float]) -> float:
--- a/bench/steady.py
+++ b/bench/steady.py
@@ -1,4 +1,4 @@
-"""What an entry costs when nothing happens: links, mesh, memory, store."""
+"""Measures the idle cost of an entry: links, mesh, memory, store calls."""
 
 import json
 import time
@@ -18,14 +18,14 @@
 
 
 def measure_worker_link() -> list[figures.Figure]:
-    """Measure an owner with more and more workers, all else equal."""
-    found = []
+    """Measure an owner with different numbers of workers and leases."""
+    measured = []
     for count in _WORKERS:
-        found += _measure_owner(count, "6.0", f"{count} workers, lease 6 s")
+        measured += _measure_owner(count, "6.0", f"{count} workers, lease 6 s")
     for lease_s in _LEASES[1:]:
         size = f"{_LEASE_WORKERS} workers, lease {float(lease_s):.0f} s"
-        found += _measure_owner(_LEASE_WORKERS, lease_s, size)
-    return found
+        measured += _measure_owner(_LEASE_WORKERS, lease_s, size)
+    return measured
 
 
 def _measure_owner(count: int, lease_s: str, size: str) -> list[figures.Figure]:
@@ -36,16 +36,16 @@
         bulk_workers=count,
         settings=(("TASK_LEASE_S", lease_s),),
     )
-    with clusters.run_cluster(shape) as held:
+    with clusters.run_cluster(shape) as demo_cluster:
         if count:
-            clusters.wait_for_workers(held, count)
+            clusters.wait_for_workers(demo_cluster, count)
         time.sleep(_SETTLE_S)
         window_s = max(_WINDOW_S, float(lease_s) / 3)
         usages = [
-            clusters.measure_window(held, "e1", window_s)
+            clusters.measure_window(demo_cluster, "e1", window_s)
             for _ in range(_REPETITIONS)
         ]
-        memory = accounting.read_memory(held.processes.pid("e1"))
+        memory = accounting.read_memory(demo_cluster.processes.pid("e1"))
     return [
         _summarize_cpu("worker_link_cpu_percent", usages, size),
         _summarize_bytes("worker_link_bytes_per_s", usages, size),
@@ -54,23 +54,23 @@
 
 
 def measure_mesh() -> list[figures.Figure]:
-    """Measure entries alone: heartbeats in a full mesh, watches, memory."""
-    found = []
+    """Measure entries without workers: mesh heartbeats, watches, memory."""
+    measured = []
     for count in _ENTRIES:
         shape = cluster.Shape(entries=count, racks=0, runners=0, settings=())
-        with clusters.run_cluster(shape) as held:
+        with clusters.run_cluster(shape) as demo_cluster:
             time.sleep(_SETTLE_S)
-            calls = clusters.read_store_calls(held)
+            before = clusters.read_store_calls(demo_cluster)
             usages = [
-                clusters.measure_window(held, "e1", _WINDOW_S)
+                clusters.measure_window(demo_cluster, "e1", _WINDOW_S)
                 for _ in range(_REPETITIONS)
             ]
-            after = clusters.read_store_calls(held)
-            memory = accounting.read_memory(held.processes.pid("e1"))
+            after = clusters.read_store_calls(demo_cluster)
+            memory = accounting.read_memory(demo_cluster.processes.pid("e1"))
         size = f"{count} entries"
-        made = _sum_calls(after) - _sum_calls(calls)
-        rate = made / (_WINDOW_S * _REPETITIONS * count)
-        found += [
+        call_count = _sum_calls(after) - _sum_calls(before)
+        rate = call_count / (_WINDOW_S * _REPETITIONS * count)
+        measured += [
             _summarize_cpu("mesh_cpu_percent", usages, size),
             _summarize_bytes("mesh_bytes_per_s_all", usages, size),
             figures.Figure("process_memory_mb", round(memory, 2), "MB", size),
@@ -78,7 +78,7 @@
                 "store_calls_per_entry_idle", round(rate, 3), "calls/s", size
             ),
         ]
-    return found
+    return measured
 
 
 def _sum_calls(calls: dict[str, int]) -> int:
@@ -100,16 +100,16 @@
 
 
 def measure_owned() -> list[figures.Figure]:
-    """Measure store calls of an owner beside an entry that owns nothing."""
+    """Measure the store calls of an idle cluster with one owner."""
     shape = cluster.Shape(
         entries=3, racks=1, workers_per_rack=1, runners=0, settings=()
     )
-    with clusters.run_cluster(shape) as held:
-        clusters.wait_for_workers(held, 1)
+    with clusters.run_cluster(shape) as demo_cluster:
+        clusters.wait_for_workers(demo_cluster, 1)
         time.sleep(_SETTLE_S)
-        before = clusters.read_store_calls(held)
+        before = clusters.read_store_calls(demo_cluster)
         time.sleep(_WINDOW_S * _REPETITIONS)
-        after = clusters.read_store_calls(held)
+        after = clusters.read_store_calls(demo_cluster)
     writes = (after["txn"] - before["txn"]) / (_WINDOW_S * _REPETITIONS)
     size = "1 data centre, TTL 2 s"
     return [
@@ -122,8 +122,8 @@
     ]
 
 
-def describe_vms(count: int) -> int:
-    """Return the bytes of a VM list of `count` workers."""
+def measure_vm_list_bytes(count: int) -> int:
+    """Return the size of a VM list of `count` workers in bytes."""
     vm = {
         "name": "worker-0123",
         "role": "worker",
@@ -136,10 +136,13 @@
 
 
 def measure_vm_list() -> list[figures.Figure]:
-    """Measure what one full reading of the VM list weighs."""
+    """Measure the size of one full response with the VM list."""
     return [
         figures.Figure(
-            "vm_list_bytes", describe_vms(count), "B", f"{count} workers"
+            "vm_list_bytes",
+            measure_vm_list_bytes(count),
+            "B",
+            f"{count} workers",
         )
         for count in (140, 700, 1400)
     ]
--- a/bench/tests/test_losses.py
+++ b/bench/tests/test_losses.py
@@ -4,7 +4,7 @@
 from bench import losses
 
 
-def _lines(*events):
+def _build_lines(*events):
     return [
         b"  3.1 e1 " + orjson.dumps({"timestamp": at, "message_type": kind} | f)
         for at, kind, f in events
@@ -68,17 +68,17 @@
         ),
     ],
 )
-def test_longest_part_beyond_plan(events, expected):
-    stories = losses.read_lines(_lines(_ACCEPT, _SEEN, *events))
-    assert losses.judge(stories["aa"]) == pytest.approx(expected)
+def test_reason_and_length_of_a_delay(events, expected):
+    histories = losses.read_histories(_build_lines(_ACCEPT, _SEEN, *events))
+    assert losses.explain_delay(histories["aa"]) == pytest.approx(expected)
 
 
-def test_lines_that_are_not_ours_are_passed_over():
+def test_lines_of_other_programs_are_skipped():
     lines = [b"", b"day  worth", b'{"half": ', b"[1]", b'{"job": "bb"}']
-    assert losses.read_lines(lines) == {}
+    assert losses.read_histories(lines) == {}
 
 
 def test_table_has_a_line_for_each_priority_and_reason():
-    lines = _lines(_ACCEPT, _SEEN, _start(104.0), _final(106.0))
-    [row] = losses.build_table(losses.read_lines(lines).values())
+    lines = _build_lines(_ACCEPT, _SEEN, _start(104.0), _final(106.0))
+    [row] = losses.build_table(losses.read_histories(lines).values())
     assert row.split(None, 3) == ["0", "1", "2.0", "waited for room"]
--- a/bench/tests/test_waste.py
+++ b/bench/tests/test_waste.py
@@ -6,14 +6,14 @@
 _OTHER = "00000000000000bb"
 
 
-def _line(at, kind, **fields):
+def _build_line(at, kind, **fields):
     line = {"timestamp": at, "message_type": kind} | fields
     return b"  3.1 e1 " + orjson.dumps(line)
 
 
 def _start(at, tasks=1, cores=10.0, run=7, *, checkpoints=False, gang=True):
     spots = [[index, f"w{index}"] for index in range(tasks)]
-    return _line(
+    return _build_line(
         at,
         "step:start",
         step="aa.0.0",
@@ -26,15 +26,17 @@
 
 
 def _stop(at, why, run=7):
-    return _line(at, "run:stop", task="aa.0.0.0", run=run, why=why)
+    return _build_line(at, "run:stop", task="aa.0.0.0", run=run, why=why)
 
 
 def _end(at, how, index=0, run=7):
-    return _line(at, "run:ended", task=f"aa.0.0.{index}", run=run, how=how)
+    return _build_line(
+        at, "run:ended", task=f"aa.0.0.{index}", run=run, how=how
+    )
 
 
 def _lapse(at, runs=1):
-    return _line(at, "worker:lapsed", worker="w1", runs=runs)
+    return _build_line(at, "worker:lapsed", worker="w1", runs=runs)
 
 
 @pytest.mark.parametrize(
@@ -60,7 +62,7 @@
                 ("failed", 10.0, 1),
             ],
         ),
-        # The first to be listed ended with the member that failed.
+        # A member that ended with its gang is logged before the failed one.
         (
             [
                 _start(1.0, 3),
@@ -78,9 +80,9 @@
             [_start(1.0, 2), _lapse(3.0)],
             [("its worker was lost", 20.0, 1)],
         ),
-        # A successor of the owner has seen that nothing runs there any more.
+        # A new owner has already noticed that nothing runs on the worker.
         ([_start(1.0, 2), _lapse(3.0, runs=0)], []),
-        # Its next start is written before the end of the run before.
+        # The next start of the task is logged before the end of its last run.
         (
             [
                 _start(1.0),
@@ -98,9 +100,9 @@
             ],
             [("failed", 10.0, 1)],
         ),
-        # Lines of entries come one file after the other.
+        # Log files are read one after another, so lines may be out of order.
         ([_end(3.0, "failed"), _start(1.0)], [("failed", 20.0, 1)]),
     ],
 )
-def test_what_came_to_nothing(lines, rows):
+def test_wasted_work_by_cause(lines, rows):
     assert waste.read_rows(lines) == [waste.Row(*row) for row in rows]
--- a/bench/waste.py
+++ b/bench/waste.py
@@ -1,8 +1,9 @@
-"""What work came to nothing in a run, and why, from the lines of all entries.
+"""Shows from the log lines of all entries how much work was wasted, by cause.
 
-python -m bench.waste LOG... prints core-seconds (an accelerator counts as
-eight cores) by what ended the work, the most first. The members of a gang end
-together: all that they lose counts to what ended the first of them.
+python -m bench.waste LOG... prints the wasted core-seconds (an accelerator
+counts as eight cores) by the cause that ended the work, largest first. The
+members of a gang end together, so all their lost work counts for the cause that
+ended the first member.
 """
 
 import collections
@@ -15,23 +16,23 @@
 
 from bench import losses
 
-_JOB = re.compile(r"\b[0-9a-f]{16}\b")
+_JOB_ID = re.compile(r"\b[0-9a-f]{16}\b")
 _WITH_GANG = "with its gang, whose first end is not in these logs"
 _WORKER_LOST = "its worker was lost"
-# A task and the number of its start. A task may start again in the same moment
-# in which its end is told, and the line of the start then comes first.
+# A task and its run number. The number is needed because a task may restart at
+# the moment its end is reported; the line of the new start then comes first.
 _RunKey = tuple[str, int]
 
 
 @dataclasses.dataclass
-class _Start:
+class _StartedStep:
     """Tasks of a step that were started together.
 
     Attributes:
-        cores: Of each task.
-        lost: Core-seconds that came to nothing.
-        ended: How many tasks ended before their work was done.
-        cause: What ended the first of them, as far as that is known.
+        cores: Cores per task; 0 if the tasks write checkpoints.
+        lost: Core-seconds of wasted work.
+        ended: Number of tasks that ended before their work was done.
+        cause: Cause that ended the first of them; empty if unknown.
     """
 
     cores: float
@@ -42,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """One cause.
+    """Wasted work of one cause.
 
     Attributes:
-        cause: What ended the work.
-        core_s: Core-seconds that came to nothing.
-        ended: How many runs.
+        cause: Cause that ended the work.
+        core_s: Core-seconds of wasted work.
+        ended: Number of runs that ended early.
     """
 
     cause: str
@@ -56,65 +57,65 @@
 
 
 class Reader:
-    """Puts runs together from log lines in the order of their times."""
+    """Reconstructs runs from log lines, which must come in order of time."""
 
     def __init__(self) -> None:
-        self._starts: list[_Start] = []
-        self._running: dict[_RunKey, tuple[float, str, _Start]] = {}
+        self._starts: list[_StartedStep] = []
+        self._running: dict[_RunKey, tuple[float, str, _StartedStep]] = {}
         self._stops: dict[_RunKey, str] = {}
 
-    def take(self, fields: dict[str, Any]) -> None:
-        """Take one line."""
+    def add_line(self, fields: dict[str, Any]) -> None:
+        """Process the fields of one line."""
         at = float(fields["timestamp"])
         match fields["message_type"]:
             case "step:start" if "cores" in fields:
-                self._take_start(fields, at)
+                self._add_start(fields, at)
             case "run:stop":
-                self._stops[_find_run(fields)] = str(fields["why"])
+                self._stops[_build_run_key(fields)] = str(fields["why"])
             case "run:ended":
-                self._take_end(_find_run(fields), str(fields["how"]), at)
+                self._add_end(_build_run_key(fields), str(fields["how"]), at)
             case "worker:lapsed" if fields["runs"]:
-                self._take_lapse(str(fields["worker"]), at)
+                self._add_lapse(str(fields["worker"]), at)
 
-    def _take_start(self, fields: dict[str, Any], at: float) -> None:
+    def _add_start(self, fields: dict[str, Any], at: float) -> None:
         cores = 0.0 if fields["checkpoints"] else float(fields["cores"])
-        start = _Start(cores)
+        start = _StartedStep(cores)
         self._starts.append(start)
         number = int(fields["run"])
         for index, worker in fields["spots"]:
             if not fields["gang"]:
-                # Tasks of their own have the numbers that follow.
+                # Without a gang, the tasks get the numbers that follow `run`.
                 number += 1
             key = f"{fields['step']}.{index}", number
             self._running[key] = at, str(worker), start
 
-    def _take_lapse(self, worker: str, at: float) -> None:
-        for key, (_, where, _) in list(self._running.items()):
-            if where == worker:
-                self._lose(key, _WORKER_LOST, at)
+    def _add_lapse(self, worker: str, at: float) -> None:
+        for key, (_, running_on, _) in list(self._running.items()):
+            if running_on == worker:
+                self._record_loss(key, _WORKER_LOST, at)
 
-    def _take_end(self, key: _RunKey, how: str, at: float) -> None:
+    def _add_end(self, key: _RunKey, how: str, at: float) -> None:
         if how == "done":
             self._running.pop(key, None)
         elif how == "broken":
-            self._lose(key, "", at)
+            self._record_loss(key, "", at)
         elif how == "stopped":
             why = self._stops.get(key, "stopped by nobody in these logs")
-            self._lose(key, _JOB.sub("JOB", why), at)
+            self._record_loss(key, _JOB_ID.sub("JOB", why), at)
         else:
-            self._lose(key, how, at)
+            self._record_loss(key, how, at)
 
-    def _lose(self, key: _RunKey, cause: str, at: float) -> None:
-        found = self._running.pop(key, None)
-        if found is None:
+    def _record_loss(self, key: _RunKey, cause: str, at: float) -> None:
+        run = self._running.pop(key, None)
+        if run is None:
             return
-        since, _, start = found
-        start.lost += (at - since) * start.cores
+        started_at, _, start = run
+        start.lost += (at - started_at) * start.cores
         start.ended += 1
         start.cause = start.cause or cause
 
     def build_rows(self) -> list[Row]:
-        """Return one row for each cause, the most core-seconds first."""
+        """Return one row per cause, most core-seconds first."""
         lost: collections.defaultdict[str, float] = collections.defaultdict(
             float
         )
@@ -128,12 +129,12 @@
         return sorted(rows, key=lambda row: (-row.core_s, row.cause))
 
 
-def _find_run(fields: dict[str, Any]) -> _RunKey:
+def _build_run_key(fields: dict[str, Any]) -> _RunKey:
     return str(fields["task"]), int(fields["run"])
 
 
 def read_rows(lines: Iterable[bytes]) -> list[Row]:
-    """Return what came to nothing, by cause.
+    """Return the wasted work by cause.
 
     Args:
         lines: Log lines of all entries, in any order.
@@ -141,7 +142,7 @@
     reader = Reader()
     parsed = losses.parse_lines(lines)
     for fields in sorted(parsed, key=lambda line: float(line["timestamp"])):
-        reader.take(fields)
+        reader.add_line(fields)
     return reader.build_rows()
 
 
