--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: the whole path as plain processes on loopback addresses."""
+"""Demo of the whole system with local processes on loopback addresses."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -23,38 +23,38 @@
 _SINGLES = 8
 _GANG_MEMBERS = 2
 _JOBS_LIMIT_S = 40.0
-_FINAL = ("done", "failed", "cancelled")
-_REFUSED = 3
+_FINAL_STATES = ("done", "failed", "cancelled")
+_EXIT_REFUSED = 3
 
 
 class Demo:
-    """One run over one cluster."""
+    """Runs the demo's steps on a cluster and collects its results."""
 
-    def __init__(self, held: cluster.Cluster) -> None:
-        self.cluster = held
+    def __init__(self, demo_cluster: cluster.Cluster) -> None:
+        self.cluster = demo_cluster
         self.failures: list[str] = []
         self.jobs: dict[str, str] = {}
         self.rows: list[tuple[str, Any]] = []
         self.killed_at: dict[str, float] = {}
 
-    def check(self, holds: bool, what: str) -> None:
-        """Note what doesn't hold."""
-        if not holds:
-            self.failures.append(what)
+    def check(self, condition: bool, description: str) -> None:
+        """Record `description` as a failure if the condition is false."""
+        if not condition:
+            self.failures.append(description)
 
     def say(self, text: str) -> None:
-        """Print a step."""
+        """Print a message about a step."""
         print(f"- {text}", flush=True)
 
     # Steps.
 
     def apply_templates(self) -> None:
-        """Put four templates in force through the command line."""
+        """Apply four templates through the command line."""
         folder = pathlib.Path("demo-logs")
         for customer, document in templates.build_templates().items():
             path = folder / f"{customer}.json"
             path.write_text(json.dumps(document))
-            done = commands.run_command(
+            result = commands.run_command(
                 self.cluster.url("e1"),
                 cluster.OPERATOR_KEY,
                 "template",
@@ -62,19 +62,21 @@
                 str(path),
                 "--wait",
             )
-            self.check(done.code == 0, f"apply {customer}: {done.message}")
+            self.check(result.code == 0, f"apply {customer}: {result.message}")
         self.say("four templates are in force at every entry")
 
     def submit_jobs(self) -> None:
-        """Submit single jobs, a gang, one to cancel, one that never fits."""
+        """Submit single jobs, a gang, a job to cancel and an oversized job."""
         for number in range(_SINGLES):
             entry = f"e{number % 3 + 1}"
             self._submit(entry, "kilima-logs", "tag", f"single-{number}")
         self._submit("e2", "kilima-maps", "render", "gang")
-        doomed = self._submit("e3", "fbusw-matching", "tag", "to-cancel")
-        done = self._run("e1", "fbusw-matching", "job", "cancel", doomed)
-        self.check(done.code == 0, f"cancel: {done.message}")
-        never = self._run(
+        cancelled_id = self._submit("e3", "fbusw-matching", "tag", "to-cancel")
+        result = self._run_command(
+            "e1", "fbusw-matching", "job", "cancel", cancelled_id
+        )
+        self.check(result.code == 0, f"cancel: {result.message}")
+        refused = self._run_command(
             "e1",
             "kilima-maps",
             "job",
@@ -83,25 +85,32 @@
             "--accelerators",
             "64",
         )
-        self.check(never.code == _REFUSED, "a job that never fits got in")
+        self.check(
+            refused.code == _EXIT_REFUSED,
+            "a job that can never fit was accepted",
+        )
         self.rows.append(("job refused: never-fits", 1))
-        self.say("jobs are accepted; one is cancelled, one refused for good")
+        self.say(
+            "jobs are accepted; one is cancelled, one is refused as never-fits"
+        )
 
     def _submit(self, entry: str, customer: str, kind: str, key: str) -> str:
-        done = self._run(
+        result = self._run_command(
             entry, customer, "job", "submit", kind, "--idempotency-key", key
         )
-        self.check(done.code == 0, f"submit {key}: {done.message}")
-        job_id = done.document["id"] if done.code == 0 else ""
+        self.check(result.code == 0, f"submit {key}: {result.message}")
+        job_id = result.document["id"] if result.code == 0 else ""
         self.jobs[job_id] = customer
         return str(job_id)
 
-    def _run(self, entry: str, customer: str, *words: str) -> commands.Finished:
+    def _run_command(
+        self, entry: str, customer: str, *arguments: str
+    ) -> commands.Finished:
         key = templates.find_key(customer)
-        return commands.run_command(self.cluster.url(entry), key, *words)
+        return commands.run_command(self.cluster.url(entry), key, *arguments)
 
     def kill_owner(self) -> str:
-        """Kill the entry that decides, without warning."""
+        """Kill the entry that owns the data centre; return its name."""
         owners = self.cluster.fetch_status("e1")["owners"]
         name: str = owners[cluster.DATA_CENTRE]["owner"]
         self.cluster.processes.kill(name)
@@ -110,24 +119,24 @@
         return name
 
     def kill_worker(self, survivor: str) -> None:
-        """Kill a worker that runs a part of the gang."""
+        """Kill a worker that runs a member of the gang."""
         name = self._find_gang_worker(survivor)
         self.killed_at[name] = time.monotonic()
         self.cluster.processes.kill(name)
         self.cluster.remove_vm(name)
-        self.say(f"kill -9 of worker {name}, which ran a part of the gang")
+        self.say(f"kill -9 of worker {name}, which ran a member of the gang")
 
     def _find_gang_worker(self, entry: str) -> str:
-        limit = time.monotonic() + _JOBS_LIMIT_S
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + _JOBS_LIMIT_S
+        while time.monotonic() < deadline:
             for job_id, customer in self.jobs.items():
-                job = self._find(entry, job_id, customer)
+                job = self._fetch_job(entry, job_id, customer)
                 if job and job["kind"] == "render" and job["workers"]:
                     return str(min(job["workers"]))
             time.sleep(0.1)
         return "w1"
 
-    def _find(self, entry: str, job_id: str, customer: str) -> Any:
+    def _fetch_job(self, entry: str, job_id: str, customer: str) -> Any:
         headers = {"Authorization": f"Bearer {templates.find_key(customer)}"}
         url = f"{self.cluster.url(entry)}/v1/jobs/{job_id}"
         try:
@@ -136,81 +145,88 @@
             return None
 
     def follow_jobs(self, entry: str) -> None:
-        """Follow all jobs to their end."""
-        limit = time.monotonic() + _JOBS_LIMIT_S
+        """Wait until all jobs have ended and check their final states."""
+        deadline = time.monotonic() + _JOBS_LIMIT_S
         open_jobs = dict(self.jobs)
         states: collections.Counter[str] = collections.Counter()
-        while open_jobs and time.monotonic() < limit:
+        while open_jobs and time.monotonic() < deadline:
             for job_id, customer in list(open_jobs.items()):
-                job = self._find(entry, job_id, customer)
-                if job and job["state"] in _FINAL:
+                job = self._fetch_job(entry, job_id, customer)
+                if job and job["state"] in _FINAL_STATES:
                     del open_jobs[job_id]
                     states[job["state"]] += 1
             time.sleep(0.1)
-        self.check(not open_jobs, f"jobs without an end: {sorted(open_jobs)}")
+        self.check(
+            not open_jobs, f"jobs that have not ended: {sorted(open_jobs)}"
+        )
         self.check(states["done"] == _SINGLES + 1, f"jobs ended as {states}")
         self.check(states["cancelled"] == 1, f"jobs ended as {states}")
         self.rows += [(f"job {s}", n) for s, n in sorted(states.items())]
 
-    def check_requests(self, done: callers.Callers) -> None:
-        """Compare answers with what the runners ran."""
+    def check_requests(self, sender: callers.Callers) -> None:
+        """Compare the outcomes with the runners' records of executions."""
         executed: collections.Counter[int] = collections.Counter()
         for port in self.cluster.runners.values():
-            for one in cluster.fetch(
+            for execution in cluster.fetch(
                 "GET", f"http://127.0.0.1:{port}/executions"
             ):
-                executed[one["item"]] += 1
+                executed[execution["item"]] += 1
         counts: collections.Counter[str] = collections.Counter()
-        for outcome in done.outcomes:
+        for outcome in sender.outcomes:
             reason = f": {outcome.reason}" if outcome.reason else ""
             counts[f"{outcome.kind} {outcome.outcome}{reason}"] += 1
             self._check_outcome(outcome, executed[outcome.item])
         self.check(
-            len(done.outcomes) == _REQUESTS,
-            f"{len(done.outcomes)} answers to {_REQUESTS} requests",
+            len(sender.outcomes) == _REQUESTS,
+            f"{len(sender.outcomes)} answers to {_REQUESTS} requests",
         )
         self.rows.insert(0, ("requests sent", _REQUESTS))
         self.rows += sorted(counts.items())
         self.rows += [
-            (f"retry {r}", n) for r, n in sorted(done.retried.items())
+            (f"retry {r}", n) for r, n in sorted(sender.retried.items())
         ]
 
-    def _check_outcome(self, outcome: callers.Outcome, runs: int) -> None:
+    def _check_outcome(self, outcome: callers.Outcome, executions: int) -> None:
         item = f"{outcome.kind} {outcome.item}"
-        self.check(outcome.matches, f"{item} got another's answer")
+        self.check(outcome.matches, f"{item} got the answer of another item")
         self.check(outcome.outcome != "unanswered", f"{item} has no answer")
         if outcome.kind == "reserve":
-            self.check(runs <= 1, f"{item} ran {runs} times")
+            self.check(executions <= 1, f"{item} ran {executions} times")
         if outcome.outcome == "done":
-            self.check(runs >= 1, f"{item} is done but never ran")
+            self.check(executions >= 1, f"{item} is done but never ran")
         if outcome.outcome == "not-run":
-            self.check(runs == 0, f"{item} is not-run but ran")
+            self.check(executions == 0, f"{item} is not-run but ran")
 
     def check_gangs(self) -> None:
-        """Check the workers' records for gangs that ran in part."""
+        """Check in the workers' records that no gang ran partially for long."""
         texts = map(self.cluster.processes.read_output, self.cluster.workers)
         records = history.read_records(texts)
         attempts = history.collect_attempts(records, self.killed_at)
-        partial = 0.0
+        longest_partial_s = 0.0
         for job_id, customer in self.jobs.items():
             if customer != "kilima-maps":
                 continue
-            for (name, _), runs in attempts.items():
+            for (name, _), attempt_runs in attempts.items():
                 if name == job_id:
-                    longest = history.measure_partial(
-                        runs, _GANG_MEMBERS, time.monotonic()
+                    partial_s = history.measure_partial(
+                        attempt_runs, _GANG_MEMBERS, time.monotonic()
                     )
-                    partial = max(partial, longest)
+                    longest_partial_s = max(longest_partial_s, partial_s)
         bound = self.cluster.shape.task_lease_s
-        self.check(partial <= bound, f"part of a gang ran alone {partial} s")
+        self.check(
+            longest_partial_s <= bound,
+            f"a gang ran partially for {longest_partial_s} s",
+        )
         self.check(
             not history.find_overlaps(attempts),
             f"attempts overlap: {history.find_overlaps(attempts)}",
         )
-        self.rows.append((f"longest partial gang, s (bound {bound})", partial))
+        self.rows.append(
+            (f"longest partial gang, s (bound {bound})", longest_partial_s)
+        )
 
     def add_counts(self, entries: list[str]) -> None:
-        """Add the entries' own counts of refusals and retries."""
+        """Add the refusals and retries that the entries counted."""
         counts: collections.Counter[str] = collections.Counter()
         for name in entries:
             for key, number in self.cluster.fetch_status(name)[
@@ -221,7 +237,7 @@
         self.rows += [(f"entries {k}", n) for k, n in sorted(counts.items())]
 
     def stop_entries(self, entries: list[str]) -> None:
-        """Stop the entries as planned; each must end with exit code 0."""
+        """Stop the entries with SIGTERM and check that their exit code is 0."""
         for name in entries:
             self.cluster.processes.signal(name, signal.SIGTERM)
         for name in entries:
@@ -229,13 +245,13 @@
             self.check(code == 0, f"{name} ended with exit code {code}")
 
 
-async def _send_and_kill(demo: Demo, done: callers.Callers) -> str:
-    """Send all requests; kill the owner in the middle."""
+async def _send_and_kill(demo: Demo, sender: callers.Callers) -> str:
+    """Send all requests and kill the owner after a third of them."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
-            functools.partial(done.run, range(_REQUESTS), _CONCURRENCY)
+            functools.partial(sender.run, range(_REQUESTS), _CONCURRENCY)
         )
-        while len(done.outcomes) < _REQUESTS // 3:
+        while len(sender.outcomes) < _REQUESTS // 3:
             await trio.sleep(0.01)
         return await trio.to_thread.run_sync(demo.kill_owner)
 
@@ -247,12 +263,12 @@
     demo.apply_templates()
     demo.submit_jobs()
     urls = [demo.cluster.url(name) for name in demo.cluster.entries]
-    done = callers.Callers(urls, templates.find_key("fbusw-matching"))
-    killed = trio.run(_send_and_kill, demo, done)
+    sender = callers.Callers(urls, templates.find_key("fbusw-matching"))
+    killed = trio.run(_send_and_kill, demo, sender)
     alive = [name for name in demo.cluster.entries if name != killed]
     demo.kill_worker(alive[0])
     demo.follow_jobs(alive[1])
-    demo.check_requests(done)
+    demo.check_requests(sender)
     demo.check_gangs()
     demo.add_counts(alive)
     demo.stop_entries(alive)
@@ -272,12 +288,12 @@
         demo.cluster.processes.stop_all()
     print()
     output.show_table(["what", "count"], demo.rows)
-    took_s = time.monotonic() - started_at
+    elapsed_s = time.monotonic() - started_at
     print()
     for failure in demo.failures:
         print(f"FAILED: {failure}")
     verdict = "does not add up" if demo.failures else "adds up"
-    print(f"The table {verdict}; {took_s:.1f} s; logs in {folder}/")
+    print(f"The table {verdict}; {elapsed_s:.1f} s; logs in {folder}/")
     return 1 if demo.failures else 0
 
 
--- a/demo/callers.py
+++ b/demo/callers.py
@@ -1,4 +1,4 @@
-"""Callers of small requests, which try again at another entry."""
+"""Sends small requests and retries each at the next entry if needed."""
 
 import collections
 import dataclasses
@@ -9,7 +9,7 @@
 import trio
 
 _ATTEMPTS = 12
-_PAUSE_S = 0.25
+_RETRY_PAUSE_S = 0.25
 _TIMEOUT_S = 5.0
 _FAILURES = (
     httpcore.NetworkError,
@@ -20,7 +20,15 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What a caller got in the end for one item."""
+    """Final result of the request for one item.
+
+    Attributes:
+        item: Number of the item.
+        kind: Kind of the request.
+        outcome: Outcome that the entry reported, or "unanswered".
+        reason: Reason that the entry gave, if any.
+        matches: Whether a successful answer was for this item.
+    """
 
     item: int
     kind: str
@@ -31,7 +39,14 @@
 
 @dataclasses.dataclass
 class Callers:
-    """Sends requests to all entries in turn and keeps what came back."""
+    """Sends requests to the entries in turn and records their outcomes.
+
+    Attributes:
+        urls: URLs of the entries.
+        key: Bearer key of the customer.
+        outcomes: Final outcomes of the requests.
+        retried: Number of retries by reason.
+    """
 
     urls: list[str]
     key: str
@@ -41,40 +56,40 @@
     )
 
     async def run(self, items: range, concurrency: int) -> None:
-        """Send one request for each item; every second one reserves."""
-        limit = trio.CapacityLimiter(concurrency)
+        """Send a request for each item; odd items send a "reserve" request."""
+        limiter = trio.CapacityLimiter(concurrency)
         async with (
             httpcore.AsyncConnectionPool() as pool,
             trio.open_nursery() as nursery,
         ):
             for item in items:
-                nursery.start_soon(self._call, pool, limit, item)
+                nursery.start_soon(self._send_with_retries, pool, limiter, item)
 
-    async def _call(
+    async def _send_with_retries(
         self,
         pool: httpcore.AsyncConnectionPool,
-        limit: trio.CapacityLimiter,
+        limiter: trio.CapacityLimiter,
         item: int,
     ) -> None:
         kind = "reserve" if item % 2 else "match"
-        async with limit:
+        async with limiter:
             outcome = Outcome(item, kind, "unanswered")
             for attempt in range(_ATTEMPTS):
                 url = self.urls[(item + attempt) % len(self.urls)]
-                again = await self._try(pool, url, outcome)
-                if not again:
+                retry_reason = await self._send_once(pool, url, outcome)
+                if not retry_reason:
                     break
-                self.retried[again] += 1
-                await trio.sleep(_PAUSE_S)
+                self.retried[retry_reason] += 1
+                await trio.sleep(_RETRY_PAUSE_S)
             self.outcomes.append(outcome)
 
-    async def _try(
+    async def _send_once(
         self,
         pool: httpcore.AsyncConnectionPool,
         url: str,
         outcome: Outcome,
     ) -> str:
-        """Try once; return why to try again, or ""."""
+        """Send the request once; return the reason to retry, or ""."""
         headers = {
             "Authorization": f"Bearer {self.key}",
             "Request-Timeout": "4",
@@ -82,22 +97,24 @@
         if outcome.kind == "reserve":
             headers["Idempotency-Key"] = f"item-{outcome.item}"
         body = {"item": outcome.item, "work_s": 0.02}
-        names = ("connect", "read", "write", "pool")
+        timeout_phases = ("connect", "read", "write", "pool")
         try:
             response = await pool.request(
                 "POST",
                 f"{url}/v1/requests/{outcome.kind}",
                 headers=list(headers.items()),
                 content=orjson.dumps(body),
-                extensions={"timeout": dict.fromkeys(names, _TIMEOUT_S)},
+                extensions={
+                    "timeout": dict.fromkeys(timeout_phases, _TIMEOUT_S)
+                },
             )
         except _FAILURES as error:
             outcome.outcome = "unanswered"
             return f"caller: {type(error).__name__}"
-        return _judge(response, outcome)
+        return _record_response(response, outcome)
 
 
-def _judge(response: httpcore.Response, outcome: Outcome) -> str:
+def _record_response(response: httpcore.Response, outcome: Outcome) -> str:
     headers = {k.lower(): v for k, v in response.headers}
     document: dict[str, Any] = orjson.loads(response.content)
     outcome.outcome = headers[b"crocusrouter-outcome"].decode()
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -1,4 +1,4 @@
-"""Stand-ins and entries of the demo, and of tests with real processes."""
+"""Runs stand-ins and entries as processes, for the demo, tests and bench."""
 
 import dataclasses
 import json
@@ -15,12 +15,12 @@
 DATA_CENTRE = "liege"
 _READY_LIMIT_S = 20.0
 _POLL_S = 0.05
-_BULK_RACK = 14
+_BULK_WORKERS_PER_RACK = 14
 
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """How large the cluster is."""
+    """Number of processes in a cluster, and settings of its entries."""
 
     entries: int = 3
     racks: int = 2
@@ -40,29 +40,34 @@
 
     @property
     def task_lease_s(self) -> float:
-        """The lease of tasks in seconds."""
+        """Lease of tasks in seconds."""
         return float(dict(self.settings).get("TASK_LEASE_S", "6.0"))
 
 
 class Cluster:
-    """All processes on loopback ports."""
+    """Processes of one cluster on loopback ports."""
 
     def __init__(self, log_folder: pathlib.Path, shape: Shape) -> None:
         self.shape = shape
         self.processes = processes.Processes(log_folder)
         workers = shape.racks * shape.workers_per_rack
-        single = 2 + workers + shape.runners + 2 * shape.entries
-        free = ports.find_ports(single + shape.bulk_workers)
-        self.store_port, self.vms_port, *rest = free
-        self.workers = {f"w{i + 1}": rest.pop() for i in range(workers)}
-        self.bulk = [rest.pop() for _ in range(shape.bulk_workers)]
-        self.runners = {f"run{i + 1}": rest.pop() for i in range(shape.runners)}
+        single_port_count = 2 + workers + shape.runners + 2 * shape.entries
+        free_ports = ports.find_ports(single_port_count + shape.bulk_workers)
+        self.store_port, self.vms_port, *unassigned_ports = free_ports
+        self.workers = {
+            f"w{i + 1}": unassigned_ports.pop() for i in range(workers)
+        }
+        self.bulk = [unassigned_ports.pop() for _ in range(shape.bulk_workers)]
+        self.runners = {
+            f"run{i + 1}": unassigned_ports.pop() for i in range(shape.runners)
+        }
         self.entries = {
-            f"e{i + 1}": (rest.pop(), rest.pop()) for i in range(shape.entries)
+            f"e{i + 1}": (unassigned_ports.pop(), unassigned_ports.pop())
+            for i in range(shape.entries)
         }
 
     def start(self) -> None:
-        """Start everything and wait until the entries are ready."""
+        """Start all processes and wait until the entries are ready."""
         self._start_standins()
         for name in self.entries:
             self.start_entry(name)
@@ -90,13 +95,13 @@
         return f"http://127.0.0.1:{self.entries[name][0]}"
 
     def wait_ready(self, name: str) -> None:
-        """Wait until an entry takes work.
+        """Wait until an entry is ready.
 
         Raises:
-            TimeoutError: It doesn't within 20 seconds.
+            TimeoutError: The entry is not ready within 20 seconds.
         """
-        limit = time.monotonic() + _READY_LIMIT_S
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + _READY_LIMIT_S
+        while time.monotonic() < deadline:
             try:
                 fetch("GET", f"{self.url(name)}/readyz")
                 return
@@ -113,7 +118,7 @@
         return status
 
     def put_template(self, document: dict[str, Any], entry: str) -> int:
-        """Write a template at an entry; return the revision."""
+        """Write a template through an entry; return the revision."""
         reply: dict[str, int] = fetch(
             "PUT",
             f"{self.url(entry)}/v1/templates/{document['customer']}",
@@ -123,7 +128,7 @@
         return reply["revision"]
 
     def remove_vm(self, name: str) -> None:
-        """Take a VM from the list, as the platform would."""
+        """Remove a VM from the VM list, as the platform would."""
         fetch("DELETE", f"http://127.0.0.1:{self.vms_port}/v1/vms/{name}")
 
     def _start_standins(self) -> None:
@@ -135,8 +140,12 @@
             start(name, "standins", "worker", name, "--port", str(port))
         for name, port in self.runners.items():
             start(name, "standins", "runner", name, "--port", str(port))
-        own = [self.store_port, self.vms_port]
-        for port in [*own, *self.workers.values(), *self.runners.values()]:
+        standin_ports = [self.store_port, self.vms_port]
+        for port in [
+            *standin_ports,
+            *self.workers.values(),
+            *self.runners.values(),
+        ]:
             processes.wait_for_port(port)
         self._start_bulk()
         self._list_vms()
@@ -145,10 +154,10 @@
         """Start many workers in one process."""
         if not self.bulk:
             return
-        numbers = ",".join(map(str, self.bulk))
+        port_list = ",".join(map(str, self.bulk))
         size = str(self.shape.bulk_accelerators)
         self.processes.start(
-            "bulk", "standins", "workers", numbers, "--accelerators", size
+            "bulk", "standins", "workers", port_list, "--accelerators", size
         )
         processes.wait_for_port(self.bulk[-1])
 
@@ -164,7 +173,7 @@
                 f"w{port}",
                 "worker",
                 port,
-                rack=f"r{number // _BULK_RACK}",
+                rack=f"r{number // _BULK_WORKERS_PER_RACK}",
                 accelerators=shape.bulk_accelerators,
             )
         for name, port in self.runners.items():
@@ -174,13 +183,13 @@
         for name, (_, mesh_port) in self.entries.items():
             self._put_vm(name, "entry", mesh_port)
 
-    def _put_vm(self, name: str, role: str, port: int, **more: Any) -> None:
+    def _put_vm(self, name: str, role: str, port: int, **fields: Any) -> None:
         vm = {
             "name": name,
             "role": role,
             "address": f"127.0.0.1:{port}",
             "data_centre": DATA_CENTRE,
-        } | more
+        } | fields
         url = f"http://127.0.0.1:{self.vms_port}/v1/vms/{name}"
         fetch("PUT", url, vm)
 
@@ -194,7 +203,7 @@
     """Send one request to a loopback port and return the JSON answer.
 
     Raises:
-        OSError: No answer, or a status from 400 on.
+        OSError: There is no answer, or its status is 400 or higher.
     """
     body = None if document is None else json.dumps(document).encode()
     request = urllib.request.Request(
--- a/demo/commands.py
+++ b/demo/commands.py
@@ -1,4 +1,4 @@
-"""Runs the real command line."""
+"""Runs the crocusrouter command line as a subprocess."""
 
 import dataclasses
 import json
@@ -9,7 +9,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finished:
-    """A command that ended."""
+    """Result of a command.
+
+    Attributes:
+        code: Exit code.
+        document: Parsed JSON output; None if there was no output.
+        message: Text on standard error.
+    """
 
     code: int
     document: Any
@@ -18,7 +24,7 @@
 
 def run_command(entry: str, key: str, *arguments: str) -> Finished:
     """Run `crocusrouter arguments --json` against an entry."""
-    done = subprocess.run(
+    process = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -35,5 +41,5 @@
         timeout=60,
         check=False,
     )
-    document = json.loads(done.stdout) if done.stdout.strip() else None
-    return Finished(done.returncode, document, done.stderr.strip())
+    document = json.loads(process.stdout) if process.stdout.strip() else None
+    return Finished(process.returncode, document, process.stderr.strip())
--- a/demo/processes.py
+++ b/demo/processes.py
@@ -1,4 +1,4 @@
-"""Plain processes of the demo: start, kill, stop."""
+"""Starts and stops child processes, with their output in files."""
 
 import json
 import os
@@ -19,10 +19,10 @@
     """Wait until something listens on a loopback port.
 
     Raises:
-        TimeoutError: Nothing does within 15 seconds.
+        TimeoutError: Nothing listens within 15 seconds.
     """
-    limit = time.monotonic() + _START_LIMIT_S
-    while time.monotonic() < limit:
+    deadline = time.monotonic() + _START_LIMIT_S
+    while time.monotonic() < deadline:
         with socket.socket() as probe:
             if probe.connect_ex(("127.0.0.1", port)) == 0:
                 return
@@ -31,7 +31,7 @@
 
 
 class Processes:
-    """Children of the launcher; none outlives it."""
+    """Named child processes; `stop_all` ends all of them."""
 
     def __init__(self, log_folder: pathlib.Path) -> None:
         self._log_folder = log_folder
@@ -41,7 +41,7 @@
     def start(
         self, name: str, module: str, *arguments: str, **env: str
     ) -> None:
-        """Start `python -m module arguments` with logs in files."""
+        """Start `python -m module arguments` with its output in files."""
         out = (self._log_folder / f"{name}.out").open("wb")
         err = (self._log_folder / f"{name}.err").open("wb")
         with out, err:
@@ -50,16 +50,16 @@
                 stdout=out,
                 stderr=err,
                 env=os.environ | env,
-                # Ctrl-C reaches the launcher alone, which then stops all.
+                # Ctrl-C reaches only this process, which stops the rest.
                 start_new_session=True,
             )
 
     def read_output(self, name: str) -> str:
-        """Return what a child printed so far."""
+        """Return the standard output of a child so far."""
         return (self._log_folder / f"{name}.out").read_text()
 
     def read_log(self, name: str) -> list[dict[str, Any]]:
-        """Return the JSON lines that a child logged so far."""
+        """Return the JSON log lines that a child has written so far."""
         text = (self._log_folder / f"{name}.err").read_text()
         *lines, _ = text.split("\n")
         return [json.loads(line) for line in lines if line.startswith("{")]
@@ -73,13 +73,13 @@
         self._children[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a child at once."""
+        """Kill a child and wait for its end."""
         child = self._children[name]
         child.kill()
         child.wait()
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a child has not ended yet."""
+        """Tell whether a child is still running."""
         return self._children[name].poll() is None
 
     def wait(self, name: str) -> int:
@@ -87,7 +87,7 @@
         return self._children[name].wait(_STOP_LIMIT_S)
 
     def stop_all(self) -> None:
-        """End all children that still run."""
+        """Kill all running children and wait for their end."""
         for child in self._children.values():
             if child.poll() is None:
                 child.kill()
--- a/demo/templates.py
+++ b/demo/templates.py
@@ -1,4 +1,4 @@
-"""Templates of the demo's four customers; their guarantees fit together."""
+"""Templates of four customers, whose guarantees fit the demo's workers."""
 
 import hashlib
 from typing import Any
@@ -14,17 +14,19 @@
 
 
 def build_templates() -> dict[str, dict[str, Any]]:
-    """Return the templates by customer."""
+    """Return the templates of all customers, by customer."""
     cells = {
-        "fbusw-tagging": [_cell("rack", 16)],
-        "fbusw-matching": [_cell("worker", 4)],
-        "kilima-maps": [_cell("rack", 16)],
-        "kilima-logs": [_cell("worker", 1, 4)],
+        "fbusw-tagging": [_build_cell("rack", 16)],
+        "fbusw-matching": [_build_cell("worker", 4)],
+        "kilima-maps": [_build_cell("rack", 16)],
+        "kilima-logs": [_build_cell("worker", 1, 4)],
     }
-    return {name: _build(name, cells[name]) for name in CUSTOMERS}
+    return {name: _build_template(name, cells[name]) for name in CUSTOMERS}
 
 
-def _cell(level: str, accelerators: int, count: int = 1) -> dict[str, Any]:
+def _build_cell(
+    level: str, accelerators: int, count: int = 1
+) -> dict[str, Any]:
     return {
         "data_centre": cluster.DATA_CENTRE,
         "level": level,
@@ -33,7 +35,9 @@
     }
 
 
-def _build(customer: str, cells: list[dict[str, Any]]) -> dict[str, Any]:
+def _build_template(
+    customer: str, cells: list[dict[str, Any]]
+) -> dict[str, Any]:
     return {
         "customer": customer,
         "key_sha256": hashlib.sha256(find_key(customer).encode()).hexdigest(),
--- a/demo/tests/test_processes.py
+++ b/demo/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Failures that need real processes: pauses, kills and planned stops."""
+"""Tests of paused, killed and stopped entries with real processes."""
 
 import functools
 import signal
@@ -25,97 +25,101 @@
 
 @pytest.fixture
 def start(tmp_path):
-    """Start clusters and end them, whatever happens."""
-    started = []
+    """Start clusters and stop them after the test, also if it fails."""
+    clusters = []
 
-    def begin(**shape):
-        held = cluster.Cluster(
+    def start_cluster(**shape):
+        demo_cluster = cluster.Cluster(
             tmp_path, cluster.Shape(settings=_SETTINGS, lag_s=0.1, **shape)
         )
-        started.append(held)
-        held.start()
+        clusters.append(demo_cluster)
+        demo_cluster.start()
         document = templates.build_templates()[_CUSTOMER]
-        held.put_template(document | {"guarantee": []}, "e1")
-        return held
+        demo_cluster.put_template(document | {"guarantee": []}, "e1")
+        return demo_cluster
 
-    yield begin
-    for held in started:
-        held.processes.stop_all()
+    yield start_cluster
+    for demo_cluster in clusters:
+        demo_cluster.processes.stop_all()
 
 
-def _wait(holds):
-    limit = time.monotonic() + _LIMIT_S
-    while time.monotonic() < limit:
-        found = holds()
-        if found:
-            return found
+def _wait_until(condition):
+    deadline = time.monotonic() + _LIMIT_S
+    while time.monotonic() < deadline:
+        result = condition()
+        if result:
+            return result
         time.sleep(0.05)
-    raise TimeoutError("the condition never held")
+    raise TimeoutError("the condition did not become true")
 
 
-def _find_owner(held, entry):
-    owners = held.fetch_status(entry)["owners"]
+def _find_owner(demo_cluster, entry):
+    owners = demo_cluster.fetch_status(entry)["owners"]
     return owners.get(cluster.DATA_CENTRE, {}).get("owner")
 
 
-def _submit(held, entry, key, run_time_s):
-    """Submit until accepted, as a caller does that heeds Retry-After."""
+def _submit(demo_cluster, entry, key, run_time_s):
+    """Submit until the job is accepted, as a caller that retries would."""
 
-    def ask():
+    def try_submit():
         try:
             return cluster.fetch(
                 "POST",
-                f"{held.url(entry)}/v1/jobs",
+                f"{demo_cluster.url(entry)}/v1/jobs",
                 {"kind": "tag", "run_time_s": run_time_s},
                 _KEY | {"Idempotency-Key": key},
             )["id"]
         except OSError:
             return None
 
-    return _wait(ask)
+    return _wait_until(try_submit)
 
 
-def _find_state(held, entry, job_id):
-    url = f"{held.url(entry)}/v1/jobs/{job_id}"
+def _fetch_state(demo_cluster, entry, job_id):
+    url = f"{demo_cluster.url(entry)}/v1/jobs/{job_id}"
     try:
         return cluster.fetch("GET", url, headers=_KEY)["state"]
     except OSError:
         return None
 
 
-# The caller sees its job done once. The owner is paused for longer than its
-# lease; another takes over and goes on. The first one wakes in the middle of
-# what it was doing: its epoch is fenced and it changes nothing.
+# A paused owner must not run a job twice. The owner is paused for longer than
+# its lease and another entry takes over. When the old owner resumes in the
+# middle of its work, its epoch is fenced, so it changes nothing.
 def test_paused_owner_changes_nothing(start):
-    held = start(entries=2, racks=1, workers_per_rack=2, runners=0)
+    demo_cluster = start(entries=2, racks=1, workers_per_rack=2, runners=0)
     names = ["e1", "e2"]
-    owner = _wait(lambda: _find_owner(held, "e1"))
-    [other] = [name for name in names if name != owner]
-    job_id = _submit(held, other, "k1", 2.0)
-    _wait(lambda: _find_state(held, other, job_id) == "assigned")
-    held.processes.signal(owner, signal.SIGSTOP)
-    _wait(lambda: _find_owner(held, other) == other)
-    _wait(lambda: _find_state(held, other, job_id) == "done")
-    held.processes.signal(owner, signal.SIGCONT)
-    _wait(lambda: _find_owner(held, owner) == other)
-    _wait(lambda: held.fetch_status(owner)["owned"] == [])
-    late = _submit(held, owner, "k2", 0.1)
-    _wait(lambda: _find_state(held, owner, late) == "done")
-    texts = map(held.processes.read_output, held.workers)
+    owner = _wait_until(lambda: _find_owner(demo_cluster, "e1"))
+    [successor] = [name for name in names if name != owner]
+    job_id = _submit(demo_cluster, successor, "k1", 2.0)
+    _wait_until(
+        lambda: _fetch_state(demo_cluster, successor, job_id) == "assigned"
+    )
+    demo_cluster.processes.signal(owner, signal.SIGSTOP)
+    _wait_until(lambda: _find_owner(demo_cluster, successor) == successor)
+    _wait_until(lambda: _fetch_state(demo_cluster, successor, job_id) == "done")
+    demo_cluster.processes.signal(owner, signal.SIGCONT)
+    _wait_until(lambda: _find_owner(demo_cluster, owner) == successor)
+    _wait_until(lambda: demo_cluster.fetch_status(owner)["owned"] == [])
+    late_job_id = _submit(demo_cluster, owner, "k2", 0.1)
+    _wait_until(
+        lambda: _fetch_state(demo_cluster, owner, late_job_id) == "done"
+    )
+    texts = map(demo_cluster.processes.read_output, demo_cluster.workers)
     records = history.read_records(texts)
-    started = [r["job_id"] for r in records if r["what"] == "started"]
-    assert sorted(started) == sorted([job_id, late])
+    started_ids = [r["job_id"] for r in records if r["what"] == "started"]
+    assert sorted(started_ids) == sorted([job_id, late_job_id])
     epochs = [
         line["epoch"]
         for name in names
-        for line in held.processes.read_log(name)
+        for line in demo_cluster.processes.read_log(name)
         if line.get("message_type") == "owner:took-over"
     ]
     assert len(epochs) == len(set(epochs))
 
 
-async def _call(pool, url, outcomes, stop_at):
-    """Call in turn on kept-alive connections until told to stop."""
+async def _send_until(pool, url, outcomes, stop_at):
+    """Send requests on keep-alive connections until `stop_at`."""
     while time.monotonic() < stop_at:
         try:
             response = await pool.request(
@@ -125,57 +129,61 @@
                 content=b'{"item": 1, "work_s": 0.3}',
             )
         except httpcore.ConnectError:
-            return  # closed for good, nothing was sent
+            return  # the entry has stopped listening; nothing was sent
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
             outcomes.append(type(error).__name__)
         else:
             outcomes.append(response.status)
 
 
-async def _load(url, outcomes, seconds):
+async def _send_requests(url, outcomes, seconds):
     async with (
         httpcore.AsyncConnectionPool() as pool,
         trio.open_nursery() as nursery,
     ):
         for _ in range(16):
             nursery.start_soon(
-                _call, pool, url, outcomes, time.monotonic() + seconds
+                _send_until, pool, url, outcomes, time.monotonic() + seconds
             )
 
 
-# Callers see whole answers to all that they sent. An entry is told to stop
-# while requests are in flight, twice, as supervisors do.
+# A planned stop must not cut off requests. An entry gets SIGTERM twice, as some
+# supervisors send it, while requests are in flight; all get complete answers.
 def test_planned_stop_cuts_no_request(start):
-    held = start(entries=1, racks=0, runners=4)
+    demo_cluster = start(entries=1, racks=0, runners=4)
     outcomes = []
 
     async def run():
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                functools.partial(_load, held.url("e1"), outcomes, 6.0)
+                functools.partial(
+                    _send_requests, demo_cluster.url("e1"), outcomes, 6.0
+                )
             )
             await trio.sleep(1.0)
-            held.processes.signal("e1", signal.SIGTERM)
+            demo_cluster.processes.signal("e1", signal.SIGTERM)
             await trio.sleep(0.5)
-            held.processes.signal("e1", signal.SIGTERM)
+            demo_cluster.processes.signal("e1", signal.SIGTERM)
 
     trio.run(run)
-    assert held.processes.wait("e1") == 0
+    assert demo_cluster.processes.wait("e1") == 0
     assert len(outcomes) > 50
     assert set(outcomes) == {200}
 
 
-# The caller sees no job lost: the owner is killed right after it accepted,
-# again and again, and every accepted job still ends.
+# A crash of the owner must not lose jobs. The owner is killed repeatedly, each
+# time right after a job was accepted, and every accepted job still ends.
 def test_killed_owners_lose_no_accepted_job(start):
-    held = start(entries=3, racks=1, workers_per_rack=2, runners=0)
+    demo_cluster = start(entries=3, racks=1, workers_per_rack=2, runners=0)
     accepted = []
     for number in range(3):
-        accepted.append(_submit(held, "e1", f"k{number}", 0.5))
-        owner = _find_owner(held, "e1")
-        held.processes.kill(owner)
-        held.start_entry(owner)
-        for name in held.entries:
-            held.wait_ready(name)
+        accepted.append(_submit(demo_cluster, "e1", f"k{number}", 0.5))
+        owner = _find_owner(demo_cluster, "e1")
+        demo_cluster.processes.kill(owner)
+        demo_cluster.start_entry(owner)
+        for name in demo_cluster.entries:
+            demo_cluster.wait_ready(name)
     for job_id in accepted:
-        _wait(lambda j=job_id: _find_state(held, "e2", j) == "done")
+        _wait_until(
+            lambda j=job_id: _fetch_state(demo_cluster, "e2", j) == "done"
+        )
