--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -13,8 +13,8 @@
 from bench.replay.load import Site
 from bench.replay.load import draw_arrivals
 from bench.replay.load import draw_disruptions
-from bench.replay.worth import DayScore
-from bench.replay.worth import score_day
+from bench.replay.scoring import DayScore
+from bench.replay.scoring import score_day
 
 __all__ = [
     "SITES",
--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -7,7 +7,7 @@
 import re
 
 from bench.replay import load as loads
-from bench.replay import worth
+from bench.replay import scoring
 from crocusrouter import work
 from crocusrouter.pools import reservations
 from crocusrouter.work import orders
@@ -53,7 +53,7 @@
         decisions_s: Real duration of each decision in seconds.
     """
 
-    job_results: list[worth.JobResult]
+    job_results: list[scoring.JobResult]
     wasted_by: dict[str, float]
     stops: int
     decisions_s: list[float]
@@ -392,7 +392,7 @@
             return total_s * self.rng.uniform(0.1, 0.9)
         return None
 
-    def _list_job_results(self) -> list[worth.JobResult]:
+    def _list_job_results(self) -> list[scoring.JobResult]:
         job_results = []
         for job_id, arrival in self.arrivals.items():
             if arrival.cancelled_at is not None:
@@ -403,12 +403,12 @@
             ended_at = self.ended_at.get(job_id) if state is wanted else None
             took_s = ended_at - arrival.at if ended_at is not None else None
             job_results.append(
-                worth.JobResult(
+                scoring.JobResult(
                     arrival.at,
                     arrival.kind.name,
                     arrival.job.customer,
                     arrival.value,
-                    worth.compute_value(
+                    scoring.compute_value(
                         took_s,
                         arrival.objective_s,
                         arrival.value,
--- a/bench/replay/load.py
+++ b/bench/replay/load.py
@@ -31,7 +31,7 @@
         cores: Cores per task.
         memory_mb: Memory per task.
         accelerators: Accelerators per task, drawn uniformly from these.
-        gang: Whether a step's tasks run only all at once.
+        gang: Whether all tasks of a step must run at the same time.
         one_rack: Share of steps whose tasks should run in one rack.
         checkpoints: Share of steps that write checkpoints.
         estimate_off: Spread of the declared run time around the true one.
@@ -80,10 +80,10 @@
         stop_s: Longest time that stopping a run takes, in seconds.
         restore_s: Seconds that resuming from a checkpoint takes.
         speeds: Relative speeds, one of which is drawn for each worker.
-        released: Share of the workers that a release replaces, group by group;
-            0 if there is no release.
-        noticed: Share of the workers that are removed together at short notice;
-            0 if none are.
+        release_share: Share of the workers that a release replaces, group by
+            group; 0 if there is no release.
+        removal_share: Share of the workers that are removed together at short
+            notice; 0 if none are.
     """
 
     name: str
@@ -96,8 +96,8 @@
     stop_s: float = 0.2
     restore_s: float = 0.6
     speeds: tuple[float, ...] = (1.0,)
-    released: float = 0.0
-    noticed: float = 0.0
+    release_share: float = 0.0
+    removal_share: float = 0.0
 
 
 # Accelerators per task of a gang.
@@ -172,8 +172,8 @@
         stop_s=0.9,
         restore_s=0.1,
         speeds=(1.0, 1.0, 1.3),
-        released=0.45,
-        noticed=0.14,
+        release_share=0.45,
+        removal_share=0.14,
     ),
 }  # fmt: skip
 
@@ -355,8 +355,8 @@
 ) -> list[Disruption]:
     """Draw a release in groups of workers and a loss of many at once."""
     disruptions = []
-    if site.released:
-        chosen = rng.sample(names, round(site.released * len(names)))
+    if site.release_share:
+        chosen = rng.sample(names, round(site.release_share * len(names)))
         release_at = rng.uniform(2.0, length_s / 2)
         for number, name in enumerate(chosen):
             at = (
@@ -369,10 +369,10 @@
                 )
             )
         names = sorted(set(names) - set(chosen))
-    if site.noticed:
+    if site.removal_share:
         notice_at = rng.uniform(2.0, length_s - _SHORT_NOTICE_S)
         removed_at = notice_at + _SHORT_NOTICE_S
-        for name in rng.sample(names, round(site.noticed * len(names))):
+        for name in rng.sample(names, round(site.removal_share * len(names))):
             disruptions.append(
                 Disruption(
                     notice_at,
--- a/bench/replay/worth.py
+++ b/bench/replay/scoring.py
@@ -52,7 +52,7 @@
     wasted: float
 
     @property
-    def combined(self) -> float:
+    def combined_score(self) -> float:
         """One score, with the users' weights of the day and its worst parts."""
         worst_kind = min(self.kinds.values(), default=1.0)
         worst_customer = min(self.customers.values(), default=1.0)
--- a/bench/replay/tests/test_days.py
+++ b/bench/replay/tests/test_days.py
@@ -73,7 +73,8 @@
         site, work.Policy(loss_factor=0.0, second_loss_factor=0.0)
     )
     gain = statistics.mean(
-        a.combined - b.combined for a, b in zip(current, changed, strict=True)
+        a.combined_score - b.combined_score
+        for a, b in zip(current, changed, strict=True)
     )
     assert gain > 0.03
 
@@ -103,7 +104,8 @@
         work.Policy(rack_patience=0.0, guaranteed_rack_patience_s=0.0),
     )
     gain = statistics.mean(
-        a.combined - b.combined for a, b in zip(current, changed, strict=True)
+        a.combined_score - b.combined_score
+        for a, b in zip(current, changed, strict=True)
     )
     assert gain > 0.03
 
@@ -118,7 +120,8 @@
     current = _score_days(site, work.Policy(), seeds)
     changed = _score_days(site, work.Policy(rack_patience=2.0), seeds)
     mean_gain = statistics.mean(
-        a.combined - b.combined for a, b in zip(current, changed, strict=True)
+        a.combined_score - b.combined_score
+        for a, b in zip(current, changed, strict=True)
     )
     assert mean_gain > gain
 
--- a/bench/replay/tests/test_worth.py
+++ b/bench/replay/tests/test_scoring.py
@@ -1,7 +1,7 @@
 import pytest
 
 from bench import replay
-from bench.replay import worth
+from bench.replay import scoring
 
 
 @pytest.mark.parametrize(
@@ -9,11 +9,11 @@
     [(1.0, 4.0), (3.0, 4.0), (3.1, 0.8), (9.0, 0.8), (9.1, 0.0), (None, 0.0)],
 )
 def test_value_of_a_job(ended_s, earned):
-    assert worth.compute_value(ended_s, 3.0, 4.0, 0.8) == earned
+    assert scoring.compute_value(ended_s, 3.0, 4.0, 0.8) == earned
 
 
 def _build_result(at, kind, customer, earned):
-    return worth.JobResult(at, kind, customer, 1.0, earned)
+    return scoring.JobResult(at, kind, customer, 1.0, earned)
 
 
 def test_shares_of_a_day():
@@ -32,4 +32,4 @@
 
 
 def test_score_of_a_day_without_jobs_is_1():
-    assert replay.score_day([], 0.0).combined == 1.0
+    assert replay.score_day([], 0.0).combined_score == 1.0
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -59,7 +59,7 @@
             time.perf_counter,
         )
         score = replay.score_day(outcome.job_results, outcome.wasted)
-        scores.append(score.combined)
+        scores.append(score.combined_score)
         wasted.append(score.wasted)
         decision_times_s += outcome.decisions_s
     size = f"{site.name}, {name}, {_DAYS} days"
