--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -66,7 +66,9 @@
     return book
 
 
-def _fill_slots(book: jobs.SchedulerState, workers: int, rng: random.Random) -> int:
+def _fill_slots(
+    book: jobs.SchedulerState, workers: int, rng: random.Random
+) -> int:
     """Start small jobs until most slots are in use; return their number."""
     wanted_slots = int(workers * _SLOTS_PER_WORKER * 0.8)
     job_count = 0
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -272,7 +272,9 @@
     return 1 - usable / total
 
 
-def _list_by_submission(book: scheduler_states.SchedulerState) -> Iterator[model.Job]:
+def _list_by_submission(
+    book: scheduler_states.SchedulerState,
+) -> Iterator[model.Job]:
     yield from sorted(book.list_queued(), key=lambda job: job.submitted_at)
 
 
--- a/bench/replay/day.py
+++ b/bench/replay/day.py
@@ -266,7 +266,9 @@
             )
         )
 
-    def _describe_cause(self, run: _SimulatedRun, how: worker_port.RunOutcome) -> str:
+    def _describe_cause(
+        self, run: _SimulatedRun, how: worker_port.RunOutcome
+    ) -> str:
         """Return why a run was wasted, with job ids masked."""
         book_run = self.book.runs.get(run.key)
         if (
@@ -408,7 +410,9 @@
             if arrival.cancelled_at is not None:
                 continue
             book_job = self.book.jobs.get(job_id)
-            state = book_job.progress.final_state if book_job is not None else None
+            state = (
+                book_job.progress.final_state if book_job is not None else None
+            )
             wanted = work.State.FAILED if arrival.poisoned else work.State.DONE
             ended_at = self.ended_at.get(job_id) if state is wanted else None
             took_s = ended_at - arrival.at if ended_at is not None else None
--- a/standins/soak/cut_requests.py
+++ b/standins/soak/cut_requests.py
@@ -38,7 +38,9 @@
         excused: How many of these also coincided with an unplanned impairment.
     """
 
-    def __init__(self, unplanned_impairments: impairment_logs.ImpairmentLog) -> None:
+    def __init__(
+        self, unplanned_impairments: impairment_logs.ImpairmentLog
+    ) -> None:
         """Create a checker without planned stops.
 
         Args:
@@ -66,7 +68,9 @@
         ):
             return
         self.judged += 1
-        if self._unplanned_impairments.explain_impairment(request.entry, request.sent_at):
+        if self._unplanned_impairments.explain_impairment(
+            request.entry, request.sent_at
+        ):
             self.excused += 1
             return
         self.broken.append(
--- a/standins/soak/platform_server.py
+++ b/standins/soak/platform_server.py
@@ -224,7 +224,9 @@
             )
         )
     return _build_answer(
-        await view.stop(epoch, worker_port.Stop(key, run_number), _NO_ANSWER_DELAY_S)
+        await view.stop(
+            epoch, worker_port.Stop(key, run_number), _NO_ANSWER_DELAY_S
+        )
     )
 
 
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -25,7 +25,10 @@
 
 # The rules that soaks check.
 CHECKED = (
-    oracles.RULES | config_oracles.RULES | cut_requests.RULES | {rules.Rule.DRAIN}
+    oracles.RULES
+    | config_oracles.RULES
+    | cut_requests.RULES
+    | {rules.Rule.DRAIN}
 )
 
 _SUBMIT_TRIES = 6
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -209,7 +209,9 @@
                     )
             self._record_impairments(now)
             self._check_starts_while_draining()
-            self.oracle.check_incomplete_gangs(self.impairments.is_unimpaired_since)
+            self.oracle.check_incomplete_gangs(
+                self.impairments.is_unimpaired_since
+            )
             self.store.note_silences(self.entry_names, now)
             self.store.expire_leases(now)
             await trio.sleep(_STEP_INTERVAL_S)
