--- a/crocusrouter/pools/entry.py
+++ b/crocusrouter/pools/entry.py
@@ -416,7 +416,7 @@
             owner_lease,
             self.name,
             self._store,
-            pool_owner.book,
+            pool_owner.pool_state,
             self.clock,
             self._open_waves,
             pool_owner.wake,
--- a/crocusrouter/pools/job_api.py
+++ b/crocusrouter/pools/job_api.py
@@ -218,7 +218,7 @@
         pool_owner = self._pool_owners.get(pool)
         if pool_owner is None or not pool_owner.is_loaded:
             return None
-        job_work = pool_owner.book.jobs.get(job_id)
+        job_work = pool_owner.pool_state.jobs.get(job_id)
         return str(job_work.show_state()) if job_work is not None else None
 
     # Counts.
@@ -240,4 +240,4 @@
         pool_owner = self._pool_owners.get(pool)
         if pool_owner is None or not pool_owner.is_loaded:
             return None
-        return pool_owner.book.count_pending(queue)
+        return pool_owner.pool_state.count_pending(queue)
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -104,7 +104,7 @@
         """
         self.pool = owner_lease.pool
         self.epoch = owner_lease.epoch
-        self.book = work.PoolState(owner_lease.epoch)
+        self.pool_state = work.PoolState(owner_lease.epoch)
         self.is_loaded = False
         self.is_recovered = False
         self._owner_lease = owner_lease
@@ -114,10 +114,10 @@
         self._metrics = metrics
         self._may_renew = may_renew
         self._backlog = backlog.Backlog(
-            store, owner_lease.pool, self.book, clock, metrics, self.wake
+            store, owner_lease.pool, self.pool_state, clock, metrics, self.wake
         )
         self._journal = journals.Journal(
-            store, owner_lease, self.book, self._backlog.revisions
+            store, owner_lease, self.pool_state, self._backlog.revisions
         )
         self._links: dict[str, worker_links.WorkerLink] = {}
         # Keyed by worker id; outlives the links to the worker's incarnations.
@@ -129,19 +129,19 @@
         self._wake_event = trio.Event()
         self._nursery: trio.Nursery | None = None
         self._known_workers = known_workers.KnownWorkers(
-            store, owner_lease, self.book
+            store, owner_lease, self.pool_state
         )
         make_policy = platform.make_policy
         self._parked_jobs = parked_jobs.ParkedJobs(
             store,
             owner_lease,
-            self.book,
+            self.pool_state,
             self._journal.is_durable,
             clock.steady,
         )
         self._advisor = advisor.Advisor(
             make_policy() if make_policy is not None else None,
-            self.book,
+            self.pool_state,
             clock,
             self.wake,
         )
@@ -152,7 +152,7 @@
             ),
             store,
             owner_lease.pool,
-            self.book,
+            self.pool_state,
             clock,
             metrics,
             worker_listing.ListListeners(
@@ -162,7 +162,7 @@
 
     def set_config(self, config: queues.Config) -> None:
         """Apply the customers' guarantees of a configuration."""
-        self.book.guaranteed = {
+        self.pool_state.guaranteed = {
             customer.name: customer.guaranteed_accelerators
             for customer in config.customers.values()
         }
@@ -192,7 +192,7 @@
                 job_expiry.expire_jobs,
                 self._store,
                 self._owner_lease,
-                self.book,
+                self.pool_state,
                 self._clock.steady,
                 self._platform.keep_jobs_s,
             )
@@ -202,7 +202,7 @@
                 self._open_link(
                     worker_state.entry.id, worker_state.entry.address
                 )
-            for worker_state in list(self.book.workers.values()):
+            for worker_state in list(self.pool_state.workers.values()):
                 self._open_link(
                     worker_state.entry.id, worker_state.entry.address
                 )
@@ -233,15 +233,15 @@
             except client.StoreUnavailableError as error:
                 log("owner:load-failed", pool=self.pool, cause=str(error))
                 await trio.sleep(_LOAD_RETRY_S)
-        for job_id in parked_ids & self.book.jobs.keys():
-            self.book.jobs[job_id].parked = True
+        for job_id in parked_ids & self.pool_state.jobs.keys():
+            self.pool_state.jobs[job_id].parked = True
         log(
             "owner:loaded",
             pool=self.pool,
             epoch=self.epoch,
-            jobs=len(self.book.jobs),
+            jobs=len(self.pool_state.jobs),
             parked=len(parked_ids),
-            workers=len(self.book.workers),
+            workers=len(self.pool_state.workers),
         )
 
     # Workers.
@@ -256,7 +256,7 @@
         if self._nursery is None:
             # `run` opens the links to all loaded workers.
             return
-        worker_state = self.book.workers[incarnation]
+        worker_state = self.pool_state.workers[incarnation]
         if incarnation in self._links or worker_state.replaced:
             return
         open_connection = functools.partial(
@@ -266,7 +266,7 @@
             incarnation,
             connections.Connections(incarnation, open_connection),
             self.epoch,
-            self.book,
+            self.pool_state,
             self._clock,
             self._journal.settle,
             self._may_renew_leases,
@@ -291,17 +291,17 @@
         again.
         """
         if (
-            incarnation not in self.book.workers
-            or self.book.workers[incarnation].replaced
+            incarnation not in self.pool_state.workers
+            or self.pool_state.workers[incarnation].replaced
         ):
             return
         now = self._clock.steady()
         if successor is not None:
-            work.add_successor(self.book, incarnation, successor, now)
-        work.note_replaced(self.book, incarnation, now, successor, stops)
+            work.add_successor(self.pool_state, incarnation, successor, now)
+        work.note_replaced(self.pool_state, incarnation, now, successor, stops)
         if successor is not None:
             self._open_link(
-                successor, self.book.workers[successor].entry.address
+                successor, self.pool_state.workers[successor].entry.address
             )
 
     async def _run_link(
@@ -309,7 +309,7 @@
     ) -> None:
         await link.run()
         del self._links[incarnation]
-        worker_state = self.book.workers.get(incarnation)
+        worker_state = self.pool_state.workers.get(incarnation)
         if worker_state is None:
             return
         if worker_state.listed and not worker_state.replaced:
@@ -319,7 +319,7 @@
             self._forget_if_finished(incarnation)
 
     def _forget_if_finished(self, incarnation: str) -> None:
-        worker_state = self.book.workers.get(incarnation)
+        worker_state = self.pool_state.workers.get(incarnation)
         if (
             worker_state is None
             or worker_state.listed
@@ -327,7 +327,7 @@
             or incarnation in self._links
         ):
             return
-        self.book.forget_worker(incarnation)
+        self.pool_state.forget_worker(incarnation)
         if self._unanswered_starts[worker_state.entry.worker].is_settled(
             self._clock.steady()
         ):
@@ -364,7 +364,7 @@
             decision_s = self._clock.steady() - began_at
 
     def _decide(self, now: float, wall: float) -> None:
-        self.book.open_due_occurrences(wall, now)
+        self.pool_state.open_due_occurrences(wall, now)
         self._check_recovered(now)
         if self._owner_lease.is_valid() and not self._is_draining:
             if self._may_start_tasks(now):
@@ -378,14 +378,14 @@
         """Start steps that have room and stop runs that block guarantees."""
         self._start_reserved_steps(now)
         plan = work.plan(
-            self.book, now, wall, reserved=self._reservations.list_spots()
+            self.pool_state, now, wall, reserved=self._reservations.list_spots()
         )
         for placement in plan.placements:
             self._start_step(placement, now)
         for run, why in plan.stops:
-            self.book.stop_run(run, why, now)
+            self.pool_state.stop_run(run, why, now)
         if plan.contended:
-            self.book.note_contention(now)
+            self.pool_state.note_contention(now)
         for placement in plan.reservations:
             self._reservations.add(placement, now)
 
@@ -395,26 +395,26 @@
             return
         if any(
             worker_state.has_unknown_runs
-            for worker_state in self.book.workers.values()
+            for worker_state in self.pool_state.workers.values()
         ):
             return
         self.is_recovered = True
-        self.book.check_gangs(now)
+        self.pool_state.check_gangs(now)
         log(
             "owner:recovered",
             pool=self.pool,
             epoch=self.epoch,
-            runs=len(self.book.runs),
+            runs=len(self.pool_state.runs),
         )
 
     def _start_reserved_steps(self, now: float) -> None:
-        for placement in self._reservations.take_ready(self.book, now):
+        for placement in self._reservations.take_ready(self.pool_state, now):
             self._start_step(placement, now)
 
     def _start_step(self, placement: work.Placement, now: float) -> None:
         assert self._nursery is not None
-        job_work = self.book.jobs[placement.step.job]
-        step_work = self.book.find_tracked_step(
+        job_work = self.pool_state.jobs[placement.step.job]
+        step_work = self.pool_state.find_tracked_step(
             work.TaskKey(*placement.step, 0)
         )
         assert step_work is not None
@@ -429,7 +429,7 @@
                 else self._allocate_run_number()
             )
             key = work.TaskKey(*placement.step, index)
-            run = self.book.add_run(
+            run = self.pool_state.add_run(
                 key, run_number, incarnation, now, is_trial=placement.is_trial
             )
             ticket = step_work.permits.find_ticket(incarnation, now)
@@ -476,7 +476,7 @@
             return
         log("start:withdrawn", job=job_id, tasks=len(start_orders))
         for _, order in start_orders:
-            self.book.withdraw_run(order.key, order.run)
+            self.pool_state.withdraw_run(order.key, order.run)
         self.wake()
 
     def _allocate_run_number(self) -> int:
@@ -485,7 +485,7 @@
 
     def _send_stops(self) -> None:
         assert self._nursery is not None
-        stops, self.book.outbox = self.book.outbox, []
+        stops, self.pool_state.outbox = self.pool_state.outbox, []
         for incarnation, order in stops:
             link = self._links.get(incarnation)
             if link is not None:
@@ -493,7 +493,7 @@
 
     def _send_paces(self, now: float) -> None:
         assert self._nursery is not None
-        for run, percent in work.choose_paces(self.book, now):
+        for run, percent in work.choose_paces(self.pool_state, now):
             link = self._links.get(run.worker_id)
             if link is not None:
                 # Prevents another pace order until this one can have been
@@ -503,8 +503,8 @@
                 self._nursery.start_soon(link.pace, order)
 
     def _log_book_events(self) -> None:
-        while self.book.events:
-            event, fields = self.book.events.popleft()
+        while self.pool_state.events:
+            event, fields = self.pool_state.events.popleft()
             log(event, pool=self.pool, **fields)
             if event in _EVENT_METRICS:
                 self._metrics.count_event(_EVENT_METRICS[event])
--- a/crocusrouter/pools/tests/test_known_workers.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -76,7 +76,7 @@
         now = trio.current_time()
         usable = [
             state.may_start_tasks(now)
-            for state in pool_owner.book.workers.values()
+            for state in pool_owner.pool_state.workers.values()
         ]
         nursery.cancel_scope.cancel()
     assert usable == [True] * len(cluster.workers)
