--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -372,7 +372,7 @@
             self._send_paces(now)
         self._advisor.wake()
         self._send_stops()
-        self._log_book_events()
+        self._log_pool_state_events()
 
     def _run_plan(self, now: float, wall: float) -> None:
         """Start steps that have room and stop runs that block guarantees."""
@@ -502,7 +502,7 @@
                 order = worker_port.Pace(run.key, run.number, percent)
                 self._nursery.start_soon(link.pace, order)
 
-    def _log_book_events(self) -> None:
+    def _log_pool_state_events(self) -> None:
         while self.pool_state.events:
             event, fields = self.pool_state.events.popleft()
             log(event, pool=self.pool, **fields)
