--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -37,7 +37,7 @@
             on_change: Called when an answer has arrived.
         """
         self._policy = policy
-        self._book = book
+        self._pool_state = book
         self._clock = clock
         self._on_change = on_change
         self._wake_event = trio.Event()
@@ -51,7 +51,7 @@
         try:
             while True:
                 question = work.choose_question(
-                    self._book, self._clock.steady(), self._clock.wall()
+                    self._pool_state, self._clock.steady(), self._clock.wall()
                 )
                 if question is not None:
                     await self._ask(question)
@@ -88,7 +88,7 @@
             allowed=sorted(answer.tickets),
             valid_s=answer.valid_s,
         )
-        step_work = self._book.find_tracked_step(step)
+        step_work = self._pool_state.find_tracked_step(step)
         if step_work is None:
             return
         valid_until = self._clock.steady() + answer.valid_s
