--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         policy: worker_port.PolicyPort | None,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         clock: clocks.Clock,
         on_change: Callable[[], None],
     ) -> None:
@@ -37,7 +37,7 @@
             on_change: Called when an answer has arrived.
         """
         self._policy = policy
-        self._pool_state = book
+        self._pool_state = pool_state
         self._clock = clock
         self._on_change = on_change
         self._wake_event = trio.Event()
