--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -47,7 +47,7 @@
         self.revisions: dict[str, int] = {}
         self._store = store
         self._pool = pool
-        self._book = book
+        self._pool_state = book
         self._clock = clock
         self._metrics = metrics
         self._on_change = on_change
@@ -77,7 +77,7 @@
         now = self._clock.steady()
         for event in events:
             if isinstance(event, records.Removed):
-                self._book.forget_job(event.key.removeprefix(keys.JOBS))
+                self._pool_state.forget_job(event.key.removeprefix(keys.JOBS))
             else:
                 self._handle_record(event.record, now)
         self._on_change()
@@ -98,8 +98,8 @@
         if progress_record is not None:
             progress = work.parse_progress(progress_record.value)
             self.revisions[job.id] = progress_record.revision
-        is_known = job.id in self._book.jobs
-        self._book.put_job(job, progress, revision, now)
+        is_known = job.id in self._pool_state.jobs
+        self._pool_state.put_job(job, progress, revision, now)
         log(
             "job:seen",
             job=job.id,
