--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -26,7 +26,7 @@
         self,
         store: key_value.KeyValueStore,
         pool: str,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         clock: clocks.Clock,
         metrics: Metrics,
         on_change: Callable[[], None],
@@ -47,7 +47,7 @@
         self.revisions: dict[str, int] = {}
         self._store = store
         self._pool = pool
-        self._pool_state = book
+        self._pool_state = pool_state
         self._clock = clock
         self._metrics = metrics
         self._on_change = on_change
