--- a/crocusrouter/pools/job_expiry.py
+++ b/crocusrouter/pools/job_expiry.py
@@ -22,7 +22,7 @@
 async def expire_jobs(
     store: key_value.KeyValueStore,
     owner_lease: owner_leases.OwnerLease,
-    book: work.PoolState,
+    pool_state: work.PoolState,
     read_clock: Callable[[], float],
     keep_s: float,
 ) -> None:
@@ -37,7 +37,9 @@
     """
     while True:
         await trio.sleep(_INTERVAL_S)
-        expired_ids = book.list_ended_jobs(read_clock() - keep_s)[:_BATCH_JOBS]
+        expired_ids = pool_state.list_ended_jobs(read_clock() - keep_s)[
+            :_BATCH_JOBS
+        ]
         if not expired_ids:
             continue
         removed_keys = tuple(
