--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -47,7 +47,7 @@
         """
         self._store = store
         self._owner_lease = owner_lease
-        self._book = book
+        self._pool_state = book
         self._revisions = revisions
         self._wake_event = trio.Event()
         self._started_cycles = 0
@@ -57,19 +57,20 @@
 
     def wake(self) -> None:
         """Start a write if any job is dirty."""
-        if self._book.dirty:
+        if self._pool_state.dirty:
             self._wake_event.set()
 
     def is_durable(self, job_id: str) -> bool:
         """Return whether a successor would read all that is known of a job."""
         return (
-            job_id not in self._book.dirty and job_id not in self._writing_ids
+            job_id not in self._pool_state.dirty
+            and job_id not in self._writing_ids
         )
 
     async def settle(self) -> None:
         """Wait until all jobs that are dirty now have been written."""
         if (
-            not self._book.dirty
+            not self._pool_state.dirty
             and self._finished_cycles == self._started_cycles
         ):
             return
@@ -77,7 +78,8 @@
         self.wake()
         async with self._cycle_finished:
             while self._finished_cycles < wanted_cycle and (
-                self._book.dirty or self._finished_cycles < self._started_cycles
+                self._pool_state.dirty
+                or self._finished_cycles < self._started_cycles
             ):
                 await self._cycle_finished.wait()
 
@@ -89,7 +91,7 @@
             if not self._has_finished_job():
                 await trio.sleep(_BATCH_WINDOW_S)
             self._started_cycles += 1
-            while self._book.dirty:
+            while self._pool_state.dirty:
                 await self._write_batch()
             self._finished_cycles = self._started_cycles
             async with self._cycle_finished:
@@ -98,32 +100,32 @@
     def _has_finished_job(self) -> bool:
         return any(
             job_work.progress.final_state is not None
-            for job_id in self._book.dirty
-            if (job_work := self._book.jobs.get(job_id)) is not None
+            for job_id in self._pool_state.dirty
+            if (job_work := self._pool_state.jobs.get(job_id)) is not None
         )
 
     async def _write_batch(self) -> None:
-        job_ids = sorted(self._book.dirty)[:_BATCH_JOBS]
-        self._book.dirty -= set(job_ids)
+        job_ids = sorted(self._pool_state.dirty)[:_BATCH_JOBS]
+        self._pool_state.dirty -= set(job_ids)
         self._writing_ids = frozenset(job_ids)
         values = {
             job_id: work.dump_progress(job_work.progress)
             for job_id in job_ids
-            if (job_work := self._book.jobs.get(job_id)) is not None
+            if (job_work := self._pool_state.jobs.get(job_id)) is not None
         }
         finished_ids = [
             job_id
             for job_id in values
-            if self._book.jobs[job_id].progress.final_state is not None
+            if self._pool_state.jobs[job_id].progress.final_state is not None
         ]
         while values:
             outcome = await self._write(values)
             if isinstance(outcome, key_value.Written):
                 for job_id in values:
                     self._revisions[job_id] = outcome.revision
-                self._book.note_durable(finished_ids)
-                self._book.note_crashes_journaled(
-                    values.keys() - self._book.dirty
+                self._pool_state.note_durable(finished_ids)
+                self._pool_state.note_crashes_journaled(
+                    values.keys() - self._pool_state.dirty
                 )
                 break
             self._handle_failure(outcome)
