--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -34,7 +34,7 @@
         self,
         store: key_value.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         revisions: dict[str, int],
     ) -> None:
         """Open a journal.
@@ -47,7 +47,7 @@
         """
         self._store = store
         self._owner_lease = owner_lease
-        self._pool_state = book
+        self._pool_state = pool_state
         self._revisions = revisions
         self._wake_event = trio.Event()
         self._started_cycles = 0
