--- a/crocusrouter/pools/known_workers.py
+++ b/crocusrouter/pools/known_workers.py
@@ -32,7 +32,7 @@
     ) -> None:
         self._store = store
         self._owner_lease = owner_lease
-        self._book = book
+        self._pool_state = book
         self._key = keys.KNOWN_WORKERS + owner_lease.pool
         self._loaded_record: records.Record | None = None
 
@@ -50,15 +50,15 @@
             return []
         restored = []
         for incarnation, address, job_ids in _parse_rows(self._loaded_record):
-            if incarnation in self._book.workers:
-                worker_state = self._book.workers[incarnation]
+            if incarnation in self._pool_state.workers:
+                worker_state = self._pool_state.workers[incarnation]
             else:
-                self._book.set_worker(
+                self._pool_state.set_worker(
                     _make_entry(incarnation, self._owner_lease.pool, address),
                     now,
                 )
-                self._book.unlist_worker(incarnation)
-                worker_state = self._book.workers[incarnation]
+                self._pool_state.unlist_worker(incarnation)
+                worker_state = self._pool_state.workers[incarnation]
                 restored.append(worker_state)
             if job_ids is not None:
                 worker_state.was_draining = True
@@ -67,7 +67,9 @@
 
     def _encode(self) -> bytes:
         rows = []
-        for incarnation, worker_state in sorted(self._book.workers.items()):
+        for incarnation, worker_state in sorted(
+            self._pool_state.workers.items()
+        ):
             job_ids: list[str] | None = None
             if worker_state.was_draining:
                 job_ids = sorted({key.job for key in worker_state.runs})
