--- a/crocusrouter/pools/known_workers.py
+++ b/crocusrouter/pools/known_workers.py
@@ -28,11 +28,11 @@
         self,
         store: key_value.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.PoolState,
+        pool_state: work.PoolState,
     ) -> None:
         self._store = store
         self._owner_lease = owner_lease
-        self._pool_state = book
+        self._pool_state = pool_state
         self._key = keys.KNOWN_WORKERS + owner_lease.pool
         self._loaded_record: records.Record | None = None
 
