--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -58,7 +58,7 @@
         """
         self._store = store
         self._owner_lease = owner_lease
-        self._book = book
+        self._pool_state = book
         self._is_durable = is_durable
         self._read_clock = read_clock
         self._key = keys.PARKED + owner_lease.pool
@@ -129,7 +129,7 @@
         Finished jobs in the record do no harm.
         """
         return any(
-            _has_run(self._book.live_jobs.get(job_id))
+            _has_run(self._pool_state.live_jobs.get(job_id))
             for job_id in self._maybe_recorded
         )
 
@@ -139,12 +139,12 @@
         Their ended tasks must be durable, because a successor starts at once
         every task of a parked job that it does not know to have ended.
         """
-        blocked_ids = self._book.list_blocked_jobs()
+        blocked_ids = self._pool_state.list_blocked_jobs()
         return frozenset(
             job_id
-            for job_id, job_work in self._book.live_jobs.items()
+            for job_id, job_work in self._pool_state.live_jobs.items()
             if not job_work.is_final
-            and not self._book.may_run_unreported(job_work, blocked_ids)
+            and not self._pool_state.may_run_unreported(job_work, blocked_ids)
             and not _has_run(job_work)
             and (
                 job_id in self._maybe_recorded
