--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -42,7 +42,7 @@
         self,
         store: key_value.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         is_durable: Callable[[str], bool],
         read_clock: Callable[[], float],
     ) -> None:
@@ -58,7 +58,7 @@
         """
         self._store = store
         self._owner_lease = owner_lease
-        self._pool_state = book
+        self._pool_state = pool_state
         self._is_durable = is_durable
         self._read_clock = read_clock
         self._key = keys.PARKED + owner_lease.pool
