--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -35,24 +35,24 @@
             yield step_key, reservation.placement.spots
 
     def take_ready(
-        self, book: work.PoolState, now: float
+        self, pool_state: work.PoolState, now: float
     ) -> list[work.Placement]:
         """Remove and return the placements whose room is free now.
 
         Reservations that can't be kept any longer are dropped too.
         """
         ready = []
-        expected_stop_s = book.stop_durations.expected_s
+        expected_stop_s = pool_state.stop_durations.expected_s
         max_age_s = _STOP_FACTOR * expected_stop_s + _REPEATED_ORDER_S
         for step_key, reservation in list(self._reservations.items()):
             placement = reservation.placement
-            if not _is_still_waiting(book, placement):
+            if not _is_still_waiting(pool_state, placement):
                 del self._reservations[step_key]
-            elif _has_room(book, placement, now):
+            elif _has_room(pool_state, placement, now):
                 ready.append(placement)
                 del self._reservations[step_key]
             elif now > reservation.since + max_age_s:
-                book.note("reservation:dropped", step=step_key)
+                pool_state.note("reservation:dropped", step=step_key)
                 del self._reservations[step_key]
         return ready
 
