--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -57,9 +57,11 @@
         return ready
 
 
-def _is_still_waiting(book: work.PoolState, placement: work.Placement) -> bool:
-    job_work = book.live_jobs.get(placement.step.job)
-    step_work = book.find_tracked_step(placement.step)
+def _is_still_waiting(
+    pool_state: work.PoolState, placement: work.Placement
+) -> bool:
+    job_work = pool_state.live_jobs.get(placement.step.job)
+    step_work = pool_state.find_tracked_step(placement.step)
     if job_work is None or step_work is None:
         return False
     return set(placement.spots) <= step_work.waiting_indices
