--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -68,14 +68,14 @@
 
 
 def _has_room(
-    book: work.PoolState, placement: work.Placement, now: float
+    pool_state: work.PoolState, placement: work.Placement, now: float
 ) -> bool:
-    step_work = book.find_tracked_step(placement.step)
+    step_work = pool_state.find_tracked_step(placement.step)
     assert step_work is not None
     incarnations = list(placement.spots.values())
-    is_advised = book.jobs[placement.step.job].job.advised
+    is_advised = pool_state.jobs[placement.step.job].job.advised
     for incarnation in set(incarnations):
-        worker_state = book.workers.get(incarnation)
+        worker_state = pool_state.workers.get(incarnation)
         if worker_state is None or not worker_state.may_start_tasks(now):
             return False
         if is_advised and not step_work.permits.find_ticket(incarnation, now):
