--- a/crocusrouter/pools/tests/test_upkeep_controller.py
+++ b/crocusrouter/pools/tests/test_upkeep_controller.py
@@ -106,7 +106,7 @@
     store = stores.Store(1)
     vms_platform = _RestartingVms()
     controller = _make_controller(store, vms_platform)
-    book = controller._book
+    book = controller._pool_state
     book.set_worker(build.make_entry("w1@5"), 0.0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(controller.run)
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -106,7 +106,7 @@
         self._owner_lease = owner_lease
         self._holder = holder
         self._store = store
-        self._book = book
+        self._pool_state = book
         self._clock = clock
         self._waves = waves
         self._on_change = on_change
@@ -126,7 +126,7 @@
             await self._run_wave_loop(upkeep_platform)
         finally:
             # Allow new work on the workers that were being emptied.
-            self._book.set_evacuating(set())
+            self._pool_state.set_evacuating(set())
 
     async def _run_wave_loop(self, upkeep_platform: UpkeepPlatform) -> None:
         while not self._is_fenced:
@@ -137,7 +137,7 @@
                 if wave.number not in self._completed
             ]
             if not waves:
-                self._book.set_evacuating(set())
+                self._pool_state.set_evacuating(set())
                 continue
             await self._advance_waves(waves, upkeep_platform)
 
@@ -165,7 +165,7 @@
         self, listed_vms: tuple[vm_port.Vm, ...]
     ) -> tuple[vm_port.Vm, ...]:
         """Replace the worker id of each VM by the incarnation on it."""
-        incarnation_by_worker = work.map_incarnations(self._book)
+        incarnation_by_worker = work.map_incarnations(self._pool_state)
         return tuple(
             dataclasses.replace(
                 vm, worker=incarnation_by_worker.get(vm.worker, "")
@@ -190,7 +190,7 @@
         upkeep.mark_returned_vms(record, listed_vms)
         now = self._clock.steady()
         chosen_vm = upkeep.choose_vm(
-            self._book, pool, wave, record, listed_vms, now
+            self._pool_state, pool, wave, record, listed_vms, now
         )
         if chosen_vm is not None:
             record.started[chosen_vm.name] = chosen_vm.worker
@@ -225,12 +225,12 @@
             if vm is None or vm.state is not vm_port.VmState.UP:
                 continue
             emptying_since = self._emptying_since.setdefault(vm_name, now)
-            worker_state = self._book.workers.get(vm.worker)
+            worker_state = self._pool_state.workers.get(vm.worker)
             evacuate_by = emptying_since + upkeep.measure_evacuation_s(wave)
             for run, why in upkeep.list_evacuations(
-                self._book, vm.worker, now, evacuate_by
+                self._pool_state, vm.worker, now, evacuate_by
             ):
-                self._book.stop_run(run, why, now)
+                self._pool_state.stop_run(run, why, now)
                 self._on_change()
             if (
                 worker_state is None
@@ -275,7 +275,7 @@
             for record in self._records.values()
             for vm_name in record.started
         }
-        self._book.set_evacuating(
+        self._pool_state.set_evacuating(
             {vm.worker for vm in listed_vms if vm.name in begun_vms}
         )
         self._on_change()
