--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -87,7 +87,7 @@
         owner_lease: owner_leases.OwnerLease,
         holder: str,
         store: key_value.KeyValueStore,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         clock: clocks.Clock,
         waves: OpenWaves,
         on_change: Callable[[], None],
@@ -106,7 +106,7 @@
         self._owner_lease = owner_lease
         self._holder = holder
         self._store = store
-        self._pool_state = book
+        self._pool_state = pool_state
         self._clock = clock
         self._waves = waves
         self._on_change = on_change
