--- a/crocusrouter/pools/worker_links.py
+++ b/crocusrouter/pools/worker_links.py
@@ -72,7 +72,7 @@
         self.lease = worker_leases.WorkerLease(clock.steady())
         self._port = port
         self._epoch = epoch
-        self._book = book
+        self._pool_state = book
         self._clock = clock
         self._settle = settle
         self._may_renew = may_renew
@@ -98,7 +98,7 @@
             await self._poll(0.0)
             await self._stop_late_starts()
             while not self._is_abandoned:
-                worker_state = self._book.workers.get(self.incarnation)
+                worker_state = self._pool_state.workers.get(self.incarnation)
                 if worker_state is None:
                     return
                 is_idle = not worker_state.runs and not worker_state.stray_runs
@@ -115,7 +115,7 @@
 
     async def _poll(self, wait_s: float) -> None:
         now = self._clock.steady()
-        worker_state = self._book.workers[self.incarnation]
+        worker_state = self._pool_state.workers[self.incarnation]
         until_ms = None
         # A silent worker is polled without renewals. Each unanswered renewal
         # may have been carried out, so the end of its lease would be postponed
@@ -146,7 +146,9 @@
     ) -> None:
         now = self._clock.steady()
         self.lease.note(report.clock_ms, now)
-        work.apply_report(self._book, self.incarnation, report, sent_at, now)
+        work.apply_report(
+            self._pool_state, self.incarnation, report, sent_at, now
+        )
         self._on_change()
         if not report.ended:
             return
@@ -157,11 +159,11 @@
 
     async def _handle_silence(self) -> None:
         now = self._clock.steady()
-        work.note_silent(self._book, self.incarnation, now)
-        worker_state = self._book.workers[self.incarnation]
+        work.note_silent(self._pool_state, self.incarnation, now)
+        worker_state = self._pool_state.workers[self.incarnation]
         if not worker_state.all_runs_ended and self.lease.has_lapsed(now):
             why = "the worker's lease expired"
-            work.note_lapsed(self._book, self.incarnation, why, now)
+            work.note_lapsed(self._pool_state, self.incarnation, why, now)
             self._on_change()
             if not worker_state.listed:
                 self._is_abandoned = True
@@ -201,7 +203,7 @@
             match answer:
                 case worker_port.Accepted(clock_ms):
                     self.lease.note(clock_ms, now)
-                    self._book.note_started(order.key, order.run, now)
+                    self._pool_state.note_started(order.key, order.run, now)
                     self._note_if_draining(order)
                     self.wake()
                     self._on_change()
@@ -221,7 +223,9 @@
                 case worker_port.NoAnswer(cause, maybe_done):
                     maybe_begun = maybe_begun or maybe_done
                     if maybe_done:
-                        self._book.note_maybe_started(order.key, order.run)
+                        self._pool_state.note_maybe_started(
+                            order.key, order.run
+                        )
                         self._pending_starts.note(order, self.incarnation, now)
                     log(
                         "order:unanswered",
@@ -241,8 +245,8 @@
         is repeated for up to 2 s after the decision, which is later than the
         worker may get anything new.
         """
-        run = self._book.runs.get(order.key)
-        worker_state = self._book.workers.get(self.incarnation)
+        run = self._pool_state.runs.get(order.key)
+        worker_state = self._pool_state.workers.get(self.incarnation)
         return (
             run is not None
             and run.number == order.run
@@ -256,9 +260,9 @@
 
     def _note_if_draining(self, order: worker_port.Start) -> None:
         """Record a start that was accepted after its worker began to drain."""
-        worker_state = self._book.workers.get(self.incarnation)
+        worker_state = self._pool_state.workers.get(self.incarnation)
         if worker_state is not None and worker_state.was_draining:
-            self._book.note(
+            self._pool_state.note(
                 "run:on-leaving",
                 task=order.key,
                 run=order.run,
@@ -267,7 +271,7 @@
 
     def _note_rejected(self, order: worker_port.Start, why: str) -> None:
         now = self._clock.steady()
-        self._book.note_never_started(order.key, order.run, why, now)
+        self._pool_state.note_never_started(order.key, order.run, why, now)
         self._on_change()
 
     async def _resolve_unconfirmed_start(
@@ -278,7 +282,7 @@
         The worker may still carry it out. An answered stop prevents that; until
         then the task counts as running there.
         """
-        run = self._book.runs.get(order.key)
+        run = self._pool_state.runs.get(order.key)
         if run is None or run.number != order.run:
             return
         if not maybe_begun and run.phase is tracking.Phase.ORDERED:
@@ -286,16 +290,16 @@
             return
         if run.phase is tracking.Phase.ORDERED:
             now = self._clock.steady()
-            self._book.stop_run(run, "its start was not answered", now)
+            self._pool_state.stop_run(run, "its start was not answered", now)
             if run.tracked_step is not None and run.tracked_step.step.gang:
                 # The other members would wait for it and then end alone.
                 why = "a member's start was not answered"
-                self._book.stop_step(run.tracked_step, why, now)
+                self._pool_state.stop_step(run.tracked_step, why, now)
             self._on_change()
 
     async def _stop_late_starts(self) -> None:
         """Stop starts that were sent to the worker's earlier incarnations."""
-        worker_state = self._book.workers.get(self.incarnation)
+        worker_state = self._pool_state.workers.get(self.incarnation)
         if (
             self._is_abandoned
             or worker_state is None
@@ -307,7 +311,7 @@
             await self.stop(order)
 
     def _is_current_run(self, order: worker_port.Stop) -> bool:
-        run = self._book.runs.get(order.key)
+        run = self._pool_state.runs.get(order.key)
         return run is not None and run.number == order.run
 
     async def stop(self, order: worker_port.Stop) -> None:
@@ -354,7 +358,9 @@
         now = self._clock.steady()
         match answer:
             case worker_port.Accepted():
-                self._book.note_paced(order.key, order.run, order.percent, now)
+                self._pool_state.note_paced(
+                    order.key, order.run, order.percent, now
+                )
                 log("run:paced", task=order.key, percent=order.percent)
             case worker_port.Rejected(worker_port.RejectionReason.FENCED):
                 raise journals.DeposedError(f"fenced by {self.incarnation}")
@@ -364,9 +370,9 @@
     async def _handle_stopped(
         self, order: worker_port.Stop, now: float
     ) -> None:
-        run = self._book.runs.get(order.key)
+        run = self._pool_state.runs.get(order.key)
         is_current = run is not None and run.number == order.run
         if run is not None and is_current and run.confirmed_at is None:
-            self._book.note_stop_accepted(order.key, order.run, now)
+            self._pool_state.note_stop_accepted(order.key, order.run, now)
             await self._poll(0.0)
         self.wake()
