--- a/crocusrouter/pools/worker_links.py
+++ b/crocusrouter/pools/worker_links.py
@@ -42,7 +42,7 @@
         incarnation: str,
         port: worker_port.WorkerPort,
         epoch: int,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         clock: clocks.Clock,
         settle: Callable[[], Awaitable[None]],
         may_renew: Callable[[], bool],
@@ -72,7 +72,7 @@
         self.lease = worker_leases.WorkerLease(clock.steady())
         self._port = port
         self._epoch = epoch
-        self._pool_state = book
+        self._pool_state = pool_state
         self._clock = clock
         self._settle = settle
         self._may_renew = may_renew
