--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -79,7 +79,7 @@
         """
         self._source = source
         self._pool = pool
-        self._book = book
+        self._pool_state = book
         self._clock = clock
         self._metrics = metrics
         self._listeners = listeners
@@ -128,11 +128,11 @@
             # Another process has started under the worker's id.
             self._unlist(record.key)
         self._incarnations_by_key[record.key] = entry.id
-        worker_state = self._book.workers.get(entry.id)
+        worker_state = self._pool_state.workers.get(entry.id)
         starts_draining = entry.draining and not (
             worker_state is not None and worker_state.was_draining
         )
-        self._book.set_worker(entry, now)
+        self._pool_state.set_worker(entry, now)
         if starts_draining:
             self._log_draining(entry.id, record.revision)
         self._listeners.on_listed(entry.id, entry.address)
@@ -140,7 +140,7 @@
     def _unlist(self, key: str) -> None:
         incarnation = self._incarnations_by_key.pop(key, None)
         if incarnation is not None:
-            self._book.unlist_worker(incarnation)
+            self._pool_state.unlist_worker(incarnation)
             self._listeners.on_unlisted(incarnation)
 
     def _log_draining(self, incarnation: str, revision: int) -> None:
@@ -150,7 +150,7 @@
         to callers: a list that was not received, an order in flight or
         repeated, and a draining worker that was taken for a new one.
         """
-        worker_state = self._book.workers[incarnation]
+        worker_state = self._pool_state.workers[incarnation]
         log(
             "worker:leaves",
             pool=self._pool,
