--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -61,7 +61,7 @@
         source: ListSource,
         store: key_value.KeyValueStore,
         pool: str,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         clock: clocks.Clock,
         metrics: Metrics,
         listeners: ListListeners,
@@ -79,7 +79,7 @@
         """
         self._source = source
         self._pool = pool
-        self._pool_state = book
+        self._pool_state = pool_state
         self._clock = clock
         self._metrics = metrics
         self._listeners = listeners
