--- a/crocusrouter/pools/tests/test_advisor.py
+++ b/crocusrouter/pools/tests/test_advisor.py
@@ -29,14 +29,14 @@
 ):
     """A ticket is valid for one process; the worker's next one refused it."""
     job = build.make_job("j", build.make_step(1), advised=True)
-    book = build.make_pool_state(job, workers=("w0@5",))
+    pool_state = build.make_pool_state(job, workers=("w0@5",))
     clock = clocks.Clock(trio.current_time, lambda: build.WALL)
     policy = _Policy()
-    policy_advisor = advisor.Advisor(policy, book, clock, lambda: None)
+    policy_advisor = advisor.Advisor(policy, pool_state, clock, lambda: None)
     with trio.move_on_after(1.0):
         await policy_advisor.run()
     assert policy.asked[0] == ("w0",)
-    permits = book.find_tracked_step(work.StepKey("j", 0, 0)).permits
+    permits = pool_state.find_tracked_step(work.StepKey("j", 0, 0)).permits
     now = trio.current_time()
     assert permits.find_ticket("w0@5", now) == "for w0"
     assert not permits.find_ticket("w0@7", now)
