--- a/crocusrouter/pools/tests/test_journal.py
+++ b/crocusrouter/pools/tests/test_journal.py
@@ -20,9 +20,13 @@
         stores.StoreView(store, entry), "p", owner_leases.Holder(entry), _CLOCK
     )
     assert await owner_lease.acquire()
-    book = build.make_pool_state(build.make_job("j", build.make_step(3)))
+    pool_state = build.make_pool_state(build.make_job("j", build.make_step(3)))
     view = stores.StoreView(store, entry)
-    return owner_lease, book, journal.Journal(view, owner_lease, book, {})
+    return (
+        owner_lease,
+        pool_state,
+        journal.Journal(view, owner_lease, pool_state, {}),
+    )
 
 
 def _read_progress(store):
@@ -30,9 +34,9 @@
     return work.parse_progress(value)
 
 
-async def _end_task(book, opened_journal, index):
-    book.jobs["j"].progress.get(0, 0).done.add(index)
-    book.dirty.add("j")
+async def _end_task(pool_state, opened_journal, index):
+    pool_state.jobs["j"].progress.get(0, 0).done.add(index)
+    pool_state.dirty.add("j")
     opened_journal.wake()
     await opened_journal.settle()
 
@@ -52,11 +56,11 @@
     """
     store = stores.Store(seed)
     async with trio.open_nursery() as nursery:
-        _, book, opened_journal = await _open_journal(store)
+        _, pool_state, opened_journal = await _open_journal(store)
         store.fault = fault
         nursery.start_soon(opened_journal.run)
         for index in range(3):
-            await _end_task(book, opened_journal, index)
+            await _end_task(pool_state, opened_journal, index)
         await trio.sleep(20.0)
         nursery.cancel_scope.cancel()
     assert _read_progress(store).steps[0, 0].done == {0, 1, 2}
@@ -69,15 +73,15 @@
     resumes, its write fails because it names the owner key at its own epoch.
     """
     store = stores.Store(1)
-    owner_lease, book, opened_journal = await _open_journal(store)
+    owner_lease, pool_state, opened_journal = await _open_journal(store)
     store.remove(owner_lease.key)
     _, later_book, later_journal = await _open_journal(store, "e1")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(later_journal.run)
         await _end_task(later_book, later_journal, 2)
         nursery.cancel_scope.cancel()
-    book.jobs["j"].progress.get(0, 0).done.add(0)
-    book.dirty.add("j")
+    pool_state.jobs["j"].progress.get(0, 0).done.add(0)
+    pool_state.dirty.add("j")
     opened_journal.wake()
     with pytest.raises(journal.DeposedError):
         await opened_journal.run()
@@ -121,11 +125,11 @@
     """A successor restarts every task that it does not know to have ended."""
     store = stores.Store(1)
     async with trio.open_nursery() as nursery:
-        _, book, opened_journal = await _open_journal(store)
+        _, pool_state, opened_journal = await _open_journal(store)
         nursery.start_soon(opened_journal.run)
         assert opened_journal.is_durable("j")
         store.fault = emulator.StoreFault.BUSY
-        nursery.start_soon(_end_task, book, opened_journal, 0)
+        nursery.start_soon(_end_task, pool_state, opened_journal, 0)
         for _ in range(5):
             await trio.sleep(0.11)
             assert not opened_journal.is_durable("j")
