--- a/crocusrouter/pools/tests/test_journal.py
+++ b/crocusrouter/pools/tests/test_journal.py
@@ -75,10 +75,10 @@
     store = stores.Store(1)
     owner_lease, pool_state, opened_journal = await _open_journal(store)
     store.remove(owner_lease.key)
-    _, later_book, later_journal = await _open_journal(store, "e1")
+    _, later_pool_state, later_journal = await _open_journal(store, "e1")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(later_journal.run)
-        await _end_task(later_book, later_journal, 2)
+        await _end_task(later_pool_state, later_journal, 2)
         nursery.cancel_scope.cancel()
     pool_state.jobs["j"].progress.get(0, 0).done.add(0)
     pool_state.dirty.add("j")
