--- a/crocusrouter/pools/tests/test_known_workers.py
+++ b/crocusrouter/pools/tests/test_known_workers.py
@@ -29,16 +29,16 @@
     store = stores.Store(1)
     store.put(keys.KNOWN_WORKERS + "p", cbor2.dumps([["w0", "w0:1", jobs]]))
     view = stores.StoreView(store, "e0")
-    book = work.PoolState(1)
+    pool_state = work.PoolState(1)
     owner_lease = owner_leases.OwnerLease(
         view, "p", owner_leases.Holder("e0"), clocks.Clock()
     )
-    known = known_workers.KnownWorkers(view, owner_lease, book)
+    known = known_workers.KnownWorkers(view, owner_lease, pool_state)
     await known.load()
     [worker_state] = known.restore_unlisted(0.0)
     worker_state.reached = True
     assert not worker_state.may_start_tasks(0.0)
-    book.set_worker(build.make_entry("w0"), 1.0)
+    pool_state.set_worker(build.make_entry("w0"), 1.0)
     assert worker_state.may_start_tasks(1.0) is may_take
 
 
