--- a/crocusrouter/pools/tests/test_parked_jobs.py
+++ b/crocusrouter/pools/tests/test_parked_jobs.py
@@ -25,7 +25,7 @@
     steady = staticmethod(trio.current_time)
 
 
-async def _open_parked_jobs(store, book, is_durable=lambda job: True):
+async def _open_parked_jobs(store, pool_state, is_durable=lambda job: True):
     """Return parked jobs under an owner lease that has just begun."""
     view = stores.StoreView(store, "e0")
     owner_lease = owner_leases.OwnerLease(
@@ -33,7 +33,7 @@
     )
     assert await owner_lease.acquire()
     return parked_jobs.ParkedJobs(
-        view, owner_lease, book, is_durable, trio.current_time
+        view, owner_lease, pool_state, is_durable, trio.current_time
     )
 
 
@@ -99,9 +99,9 @@
 
 async def test_job_with_a_run_is_not_recorded(autojump_clock):
     store = stores.Store(1)
-    book = build.make_pool_state(build.make_job(_JOB, build.make_step(2)))
-    book.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 0.0)
-    parked_record = await _open_parked_jobs(store, book)
+    pool_state = build.make_pool_state(build.make_job(_JOB, build.make_step(2)))
+    pool_state.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 0.0)
+    parked_record = await _open_parked_jobs(store, pool_state)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(parked_record.run)
         await trio.sleep(2.0)
@@ -114,10 +114,10 @@
 ):
     """An earlier owner may have started it on a silent worker."""
     store = stores.Store(1)
-    book = _make_book()
-    book.epoch = 100
-    book.workers["w0"].reached = False
-    parked_record = await _open_parked_jobs(store, book)
+    pool_state = _make_book()
+    pool_state.epoch = 100
+    pool_state.workers["w0"].reached = False
+    parked_record = await _open_parked_jobs(store, pool_state)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(parked_record.run)
         await trio.sleep(2.0)
@@ -138,14 +138,14 @@
     """
     for seed in range(8):
         store = stores.Store(seed)
-        book = _make_book()
-        parked_record = await _open_parked_jobs(store, book)
+        pool_state = _make_book()
+        parked_record = await _open_parked_jobs(store, pool_state)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(parked_record.run)
             await trio.sleep(0.4)
             store.fault = fault
             await trio.sleep(0.8)
-            book.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 1.2)
+            pool_state.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 1.2)
             with trio.move_on_after(4.0) as wait_scope:
                 await parked_record.wait_until_removed(_JOB)
                 wait_scope.deadline = math.inf
@@ -162,13 +162,13 @@
     or a fault. The record must stop naming its job.
     """
     store = stores.Store(1)
-    book = _make_book()
-    parked_record = await _open_parked_jobs(store, book)
+    pool_state = _make_book()
+    parked_record = await _open_parked_jobs(store, pool_state)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(parked_record.run)
         await trio.sleep(2.5)
         assert _read_parked(store) == {_JOB}
-        book.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 2.5)
+        pool_state.add_run(work.TaskKey(_JOB, 0, 0, 0), 1, "w0", 2.5)
         await trio.sleep(1.5)
         nursery.cancel_scope.cancel()
     assert _read_parked(store) == set()
