--- a/crocusrouter/pools/tests/test_parked_jobs.py
+++ b/crocusrouter/pools/tests/test_parked_jobs.py
@@ -37,7 +37,7 @@
     )
 
 
-def _make_book():
+def _make_pool_state():
     """Return a book in which one job, created after epoch 1, waits for room."""
     return build.make_pool_state(build.make_job(_JOB, build.make_step()))
 
@@ -54,7 +54,7 @@
 async def test_invalid_record_names_no_job(value, autojump_clock):
     store = stores.Store(1)
     store.put(_KEY, value)
-    parked_record = await _open_parked_jobs(store, _make_book())
+    parked_record = await _open_parked_jobs(store, _make_pool_state())
     assert await parked_record.load() == frozenset()
 
 
@@ -66,7 +66,7 @@
 ):
     """A job that starts at once must cost no write."""
     store = stores.Store(1)
-    parked_record = await _open_parked_jobs(store, _make_book())
+    parked_record = await _open_parked_jobs(store, _make_pool_state())
     async with trio.open_nursery() as nursery:
         nursery.start_soon(parked_record.run)
         await trio.sleep(waited_s)
@@ -88,7 +88,7 @@
     """
     store = stores.Store(1)
     parked_record = await _open_parked_jobs(
-        store, _make_book(), lambda job: durable
+        store, _make_pool_state(), lambda job: durable
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(parked_record.run)
@@ -114,7 +114,7 @@
 ):
     """An earlier owner may have started it on a silent worker."""
     store = stores.Store(1)
-    pool_state = _make_book()
+    pool_state = _make_pool_state()
     pool_state.epoch = 100
     pool_state.workers["w0"].reached = False
     parked_record = await _open_parked_jobs(store, pool_state)
@@ -138,7 +138,7 @@
     """
     for seed in range(8):
         store = stores.Store(seed)
-        pool_state = _make_book()
+        pool_state = _make_pool_state()
         parked_record = await _open_parked_jobs(store, pool_state)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(parked_record.run)
@@ -162,7 +162,7 @@
     or a fault. The record must stop naming its job.
     """
     store = stores.Store(1)
-    pool_state = _make_book()
+    pool_state = _make_pool_state()
     parked_record = await _open_parked_jobs(store, pool_state)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(parked_record.run)
@@ -176,7 +176,7 @@
 
 async def test_deposed_owner_stops_writing(autojump_clock):
     store = stores.Store(1)
-    parked_record = await _open_parked_jobs(store, _make_book())
+    parked_record = await _open_parked_jobs(store, _make_pool_state())
     store.put(keys.build_owner_key("p"), b"e1")
     with pytest.RaisesGroup(journal.DeposedError):
         async with trio.open_nursery() as nursery:
