--- a/crocusrouter/pools/tests/test_reservations.py
+++ b/crocusrouter/pools/tests/test_reservations.py
@@ -14,12 +14,14 @@
 )
 def test_start_after_stops_needs_a_valid_ticket(advised, now, ready_count):
     job = build.make_job("j", build.make_step(1, gpu=8), advised=advised)
-    book = build.make_pool_state(job, workers=("w0",))
+    pool_state = build.make_pool_state(job, workers=("w0",))
     step = work.StepKey("j", 0, 0)
-    book.find_tracked_step(step).permits.note_answer(("w0",), {"w0": "t"}, 1.2)
+    pool_state.find_tracked_step(step).permits.note_answer(
+        ("w0",), {"w0": "t"}, 1.2
+    )
     reserved = reservations.Reservations()
     reserved.add(work.Placement(step, {0: "w0"}), 0.0)
-    assert len(reserved.take_ready(book, now)) == ready_count
+    assert len(reserved.take_ready(pool_state, now)) == ready_count
 
 
 # Victims end 0.9 s after the decision, and the last of them a little later. A
@@ -31,11 +33,11 @@
 )
 def test_reservation_outlasts_the_measured_stop_times(stop_s, now, is_kept):
     job = build.make_job("j", build.make_step(1, gpu=8))
-    book = build.make_pool_state(job, workers=("w0",))
+    pool_state = build.make_pool_state(job, workers=("w0",))
     for _ in range(60):
-        book.stop_durations.note(stop_s)
-    book.workers["w0"].used = work.Room(0, 0, 8)
+        pool_state.stop_durations.note(stop_s)
+    pool_state.workers["w0"].used = work.Room(0, 0, 8)
     reserved = reservations.Reservations()
     reserved.add(work.Placement(work.StepKey("j", 0, 0), {0: "w0"}), 0.0)
-    reserved.take_ready(book, now)
+    reserved.take_ready(pool_state, now)
     assert bool(list(reserved.list_spots())) is is_kept
