--- a/crocusrouter/pools/tests/test_upkeep_controller.py
+++ b/crocusrouter/pools/tests/test_upkeep_controller.py
@@ -106,15 +106,15 @@
     store = stores.Store(1)
     vms_platform = _RestartingVms()
     controller = _make_controller(store, vms_platform)
-    book = controller._pool_state
-    book.set_worker(build.make_entry("w1@5"), 0.0)
+    pool_state = controller._pool_state
+    pool_state.set_worker(build.make_entry("w1@5"), 0.0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(controller.run)
         await trio.sleep(6.0)
         assert vms_platform.order_calls == 1
         assert store.items["status/1"].value == b"False"
-        book.unlist_worker("w1@5")
-        book.set_worker(build.make_entry("w1@9"), 6.0)
+        pool_state.unlist_worker("w1@5")
+        pool_state.set_worker(build.make_entry("w1@9"), 6.0)
         await trio.sleep(2.0)
         nursery.cancel_scope.cancel()
     assert store.items["status/1"].value == b"True"
