--- a/crocusrouter/pools/tests/test_worker_links.py
+++ b/crocusrouter/pools/tests/test_worker_links.py
@@ -55,15 +55,15 @@
 
 
 def _make_link(port, may_start=_always):
-    book = work.PoolState(1)
-    book.set_worker(build.make_entry(_WORKER), 0.0)
-    book.workers[_WORKER].reached = True
+    pool_state = work.PoolState(1)
+    pool_state.set_worker(build.make_entry(_WORKER), 0.0)
+    pool_state.workers[_WORKER].reached = True
     clock = clocks.Clock(trio.current_time, lambda: 1e6 + trio.current_time())
     link = worker_links.WorkerLink(
         _WORKER,
         port,
         1,
-        book,
+        pool_state,
         clock,
         _settle,
         _always,
@@ -73,7 +73,7 @@
         unanswered_starts.UnansweredStarts(),
     )
     link.lease.note(500, trio.current_time())
-    return book, link
+    return pool_state, link
 
 
 @pytest.mark.parametrize("lost", [1, 3, 6])
@@ -115,21 +115,21 @@
     new may begin on a draining worker.
     """
     port = _Port(*[answer] * 50)
-    book, link = _make_link(port)
+    pool_state, link = _make_link(port)
     job = build.make_job("00000000000000aa", build.make_step(1))
-    book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due_occurrences(2e6, 0.0)
+    pool_state.put_job(job, work.Progress(), 1, 0.0)
+    pool_state.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
-    run = book.add_run(key, 7, _WORKER, 0.0)
+    run = pool_state.add_run(key, 7, _WORKER, 0.0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(link.start, worker_port.Start(key, 7, "", ""))
         await trio.sleep(0.025)
-        entry = book.workers[_WORKER].entry
-        book.set_worker(dataclasses.replace(entry, draining=True), 0.0)
+        entry = pool_state.workers[_WORKER].entry
+        pool_state.set_worker(dataclasses.replace(entry, draining=True), 0.0)
         sent_before = len(port.sent)
     assert len(port.sent) <= sent_before
     if waits_again:
-        assert book.find_tracked_step(key).waiting_indices == {0}
+        assert pool_state.find_tracked_step(key).waiting_indices == {0}
     else:
         assert run.stop_reason == "its start was not answered"
 
@@ -144,20 +144,22 @@
     announcement; the log line can.
     """
     port = _Port()
-    book, link = _make_link(port)
+    pool_state, link = _make_link(port)
     job = build.make_job("00000000000000aa", build.make_step(1))
-    book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due_occurrences(2e6, 0.0)
+    pool_state.put_job(job, work.Progress(), 1, 0.0)
+    pool_state.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
-    book.add_run(key, 7, _WORKER, 0.0)
+    pool_state.add_run(key, 7, _WORKER, 0.0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(link.start, worker_port.Start(key, 7, "", ""))
         await trio.sleep(0.005)
-        entry = book.workers[_WORKER].entry
-        book.set_worker(dataclasses.replace(entry, draining=drains), 0.0)
+        entry = pool_state.workers[_WORKER].entry
+        pool_state.set_worker(dataclasses.replace(entry, draining=drains), 0.0)
     assert len(port.sent) == 1
     noted = [
-        fields for event, fields in book.events if event == "run:on-leaving"
+        fields
+        for event, fields in pool_state.events
+        if event == "run:on-leaving"
     ]
     assert noted == (
         [{"task": key, "run": 7, "worker": _WORKER}] if drains else []
@@ -169,15 +171,15 @@
     sent.
     """
     port = _Port()
-    book, link = _make_link(port, may_start=lambda _: False)
+    pool_state, link = _make_link(port, may_start=lambda _: False)
     job = build.make_job("00000000000000aa", build.make_step(1))
-    book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due_occurrences(2e6, 0.0)
+    pool_state.put_job(job, work.Progress(), 1, 0.0)
+    pool_state.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
-    book.add_run(key, 7, _WORKER, 0.0)
+    pool_state.add_run(key, 7, _WORKER, 0.0)
     await link.start(worker_port.Start(key, 7, "", ""))
     assert port.sent == []
-    assert book.find_tracked_step(key).waiting_indices == {0}
+    assert pool_state.find_tracked_step(key).waiting_indices == {0}
 
 
 async def test_refused_connection_is_not_retried_at_once(autojump_clock):
@@ -185,16 +187,16 @@
     s.
     """
     port = _Port(*[_NOT_SENT] * 1000)
-    book, link = _make_link(port)
+    pool_state, link = _make_link(port)
     job = build.make_job("00000000000000aa", build.make_step(1))
-    book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due_occurrences(2e6, 0.0)
+    pool_state.put_job(job, work.Progress(), 1, 0.0)
+    pool_state.open_due_occurrences(2e6, 0.0)
     key = work.TaskKey(job.id, 0, 0, 0)
-    book.add_run(key, 7, _WORKER, 0.0)
+    pool_state.add_run(key, 7, _WORKER, 0.0)
     with trio.fail_after(5.0):
         await link.start(worker_port.Start(key, 7, "", ""))
     assert 2 <= len(port.sent) <= 10
-    assert book.find_tracked_step(key).waiting_indices == {0}
+    assert pool_state.find_tracked_step(key).waiting_indices == {0}
 
 
 async def test_whole_gang_is_stopped_when_a_member_is_given_up(autojump_clock):
@@ -202,15 +204,15 @@
     alone.
     """
     port = _Port(*[_SILENT, *[_NOT_SENT] * 20])
-    book, link = _make_link(port)
-    book.set_worker(build.make_entry("w1"), 0.0)
+    pool_state, link = _make_link(port)
+    pool_state.set_worker(build.make_entry("w1"), 0.0)
     job = build.make_job("00000000000000aa", build.make_step(2, gang=True))
-    book.put_job(job, work.Progress(), 1, 0.0)
-    book.open_due_occurrences(2e6, 0.0)
+    pool_state.put_job(job, work.Progress(), 1, 0.0)
+    pool_state.open_due_occurrences(2e6, 0.0)
     member = work.TaskKey(job.id, 0, 0, 0)
     other = work.TaskKey(job.id, 0, 0, 1)
-    book.add_run(member, 7, _WORKER, 0.0)
-    book.add_run(other, 7, "w1", 0.0)
-    book.note_started(other, 7, 0.0)
+    pool_state.add_run(member, 7, _WORKER, 0.0)
+    pool_state.add_run(other, 7, "w1", 0.0)
+    pool_state.note_started(other, 7, 0.0)
     await link.start(worker_port.Start(member, 7, "", ""))
-    assert book.runs[other].phase is tracking.Phase.STOPPING
+    assert pool_state.runs[other].phase is tracking.Phase.STOPPING
