--- a/crocusrouter/pools/tests/test_worker_listing.py
+++ b/crocusrouter/pools/tests/test_worker_listing.py
@@ -51,13 +51,13 @@
     return build.make_entry(name, draining=value == b"True")
 
 
-def _open_list(store, book=None):
+def _open_list(store, pool_state=None):
     metrics = Metrics()
     worker_list = worker_listing.WorkerList(
         worker_listing.ListSource("listed/", _parse),
         store,
         "p",
-        book or work.PoolState(1),
+        pool_state or work.PoolState(1),
         clocks.Clock(trio.current_time, trio.current_time),
         metrics,
         worker_listing.ListListeners(
@@ -117,19 +117,21 @@
     announcement that the worker drains arrives at once, or after lost answers.
     """
     job = build.make_job("0a", build.make_step(2))
-    book = build.make_pool_state(job, workers=("w0",))
-    book.open_due_occurrences(2e6, 0.0)
+    pool_state = build.make_pool_state(job, workers=("w0",))
+    pool_state.open_due_occurrences(2e6, 0.0)
     draining_change = records.Changed(
         _list_worker("w0", revision=9, draining=True)
     )
     worker_list, _ = _open_list(
-        _Store(*[_LOST_ANSWER] * lost_answers, draining_change), book
+        _Store(*[_LOST_ANSWER] * lost_answers, draining_change), pool_state
     )
     await worker_list.load()
     began_at = trio.current_time()
-    book.add_run(work.TaskKey("0a", 0, 0, 0), 1, "w0", began_at)
-    book.add_run(work.TaskKey("0a", 0, 0, 1), 2, "w0", began_at + second_at)
-    book.note_started(work.TaskKey("0a", 0, 0, 0), 1, began_at)
+    pool_state.add_run(work.TaskKey("0a", 0, 0, 0), 1, "w0", began_at)
+    pool_state.add_run(
+        work.TaskKey("0a", 0, 0, 1), 2, "w0", began_at + second_at
+    )
+    pool_state.note_started(work.TaskKey("0a", 0, 0, 0), 1, began_at)
     logger = eliot.testing.MemoryLogger()
     previous_logger = eliot.testing.swap_logger(logger)
     try:
@@ -170,7 +172,7 @@
         )
         for revision, name in enumerate(announced, 6)
     ]
-    book = work.PoolState(1)
+    pool_state = work.PoolState(1)
     unlisted = []
     worker_list = worker_listing.WorkerList(
         worker_listing.ListSource(
@@ -178,7 +180,7 @@
         ),
         _EmptyStore(*events),
         "p",
-        book,
+        pool_state,
         clocks.Clock(trio.current_time, trio.current_time),
         Metrics(),
         worker_listing.ListListeners(
@@ -190,7 +192,7 @@
         await worker_list.run()
     assert [
         name
-        for name, worker_state in book.workers.items()
+        for name, worker_state in pool_state.workers.items()
         if worker_state.listed
     ] == expected
     assert set(unlisted) == {name for name in announced if name} - set(expected)
