--- a/standins/emulator/tests/test_followers.py
+++ b/standins/emulator/tests/test_followers.py
@@ -48,7 +48,7 @@
 def _knows_job(cluster):
     owner = cluster.entries.get(cluster.find_owner() or "")
     return owner is not None and (
-        "00000000000000aa" in owner.pool_owners[clusters.POOL].book.jobs
+        "00000000000000aa" in owner.pool_owners[clusters.POOL].pool_state.jobs
     )
 
 
@@ -60,8 +60,10 @@
     owner = cluster.entries.get(cluster.find_owner() or "")
     if owner is None:
         return False
-    book = owner.pool_owners[clusters.POOL].book
-    found = book.workers.get(work.map_incarnations(book).get("w1", ""))
+    pool_state = owner.pool_owners[clusters.POOL].pool_state
+    found = pool_state.workers.get(
+        work.map_incarnations(pool_state).get("w1", "")
+    )
     return found is not None and found.was_draining
 
 
