--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,6 +1,6 @@
 """Replays a day's arrivals against policies of steps, side by side.
 
-No sockets and no store: the pool's own book and planner decide, and a model
+No sockets and no store: the pool's own state and planner decide, and a model
 of the workers carries the decisions out. A day takes some seconds, so that
 two policies can be compared over many drawn days.
 """
--- a/crocusrouter/controllers/owner.py
+++ b/crocusrouter/controllers/owner.py
@@ -1,7 +1,7 @@
 """The owner of one data centre, which schedules the data centre's jobs.
 
-It connects the book (the jobs' state in memory), the journal (their durable
-state in the key-value service) and the links to the workers.
+It connects the scheduler's state (the jobs' state in memory), the journal
+(their durable state in the key-value service) and the links to the workers.
 """
 
 from collections.abc import Callable
@@ -39,7 +39,7 @@
     they do.
 
     Attributes:
-        book: State of the data centre's jobs, gangs and workers.
+        scheduler_state: State of the data centre's jobs, gangs and workers.
         is_ready: Whether the journal is loaded and the owner takes calls.
     """
 
--- a/crocusrouter/pools/advisor.py
+++ b/crocusrouter/pools/advisor.py
@@ -32,7 +32,7 @@
 
         Args:
             policy: The policy service; None if the settings name none.
-            book: Keeps the answers.
+            pool_state: Keeps the answers.
             clock: Source of the current time.
             on_change: Called when an answer has arrived.
         """
--- a/crocusrouter/pools/backlog.py
+++ b/crocusrouter/pools/backlog.py
@@ -15,7 +15,7 @@
 
 
 class Backlog:
-    """Keeps the jobs of a book in line with the stored ones.
+    """Keeps the jobs of a pool's state in line with the stored ones.
 
     Attributes:
         freshness: How recently jobs were received.
@@ -36,7 +36,7 @@
         Args:
             store: The key-value service.
             pool: Name of the pool; jobs of other pools are ignored.
-            book: Updated with the jobs.
+            pool_state: Updated with the jobs.
             clock: Source of the current time.
             metrics: Counts unreadable jobs.
             on_change: Called when there may be something to schedule.
--- a/crocusrouter/pools/job_expiry.py
+++ b/crocusrouter/pools/job_expiry.py
@@ -31,7 +31,8 @@
     Args:
         store: The key-value service.
         owner_lease: This owner's lease; guards each removal.
-        book: Lists the finished jobs; its watch of the store forgets them.
+        pool_state: Lists the finished jobs; its watch of the store forgets
+            them.
         read_clock: Returns steady seconds.
         keep_s: Seconds for which the state of a finished job stays available.
     """
--- a/crocusrouter/pools/journal.py
+++ b/crocusrouter/pools/journal.py
@@ -28,7 +28,7 @@
 
 
 class Journal:
-    """Writes the progress of a book's dirty jobs."""
+    """Writes the progress of the dirty jobs in a pool's state."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         Args:
             store: The key-value service.
             owner_lease: This owner's lease.
-            book: The jobs of the pool and which of them are dirty.
+            pool_state: The jobs of the pool and which of them are dirty.
             revisions: Revision of each progress record, keyed by job.
         """
         self._store = store
--- a/crocusrouter/pools/known_workers.py
+++ b/crocusrouter/pools/known_workers.py
@@ -41,7 +41,7 @@
         self._loaded_record = await self._store.read(self._key)
 
     def restore_unlisted(self, now: float) -> list[tracking.Worker]:
-        """Add recorded workers to the book that the platform no longer lists.
+        """Add to the state recorded workers that the platform no longer lists.
 
         Returns:
             The added workers, none of which has reported its runs yet.
--- a/crocusrouter/pools/owner.py
+++ b/crocusrouter/pools/owner.py
@@ -44,7 +44,7 @@
 # persisted counter.
 _RUN_NUMBER_BITS = 20
 
-# Events of the book that are also counted as metrics.
+# Events of the pool's state that are also counted as metrics.
 _EVENT_METRICS = {
     "run:on-leaving": "start-on-leaving-worker",
     "run:lost": "run-lost-with-its-worker",
--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -51,7 +51,7 @@
         Args:
             store: The key-value service.
             owner_lease: This owner's lease; guards each write.
-            book: The jobs of the pool.
+            pool_state: The jobs of the pool.
             is_durable: Returns whether the journal holds all ended tasks of a
                 job.
             read_clock: Returns steady seconds.
@@ -89,7 +89,8 @@
     async def wait_until_removed(self, job_id: str) -> None:
         """Wait until the stored record certainly no longer names a job.
 
-        The book must already hold the run to be started; that removes the job.
+        The pool's state must already hold the run to be started; that removes
+        the job.
         """
         self._wake_event.set()
         async with self._record_changed:
--- a/crocusrouter/pools/tests/test_parked_jobs.py
+++ b/crocusrouter/pools/tests/test_parked_jobs.py
@@ -38,7 +38,7 @@
 
 
 def _make_pool_state():
-    """Return a book in which one job, created after epoch 1, waits for room."""
+    """Return a state whose one job, created after epoch 1, waits for room."""
     return build.make_pool_state(build.make_job(_JOB, build.make_step()))
 
 
--- a/crocusrouter/pools/tests/test_worker_links.py
+++ b/crocusrouter/pools/tests/test_worker_links.py
@@ -80,7 +80,7 @@
 async def test_stop_of_an_unknown_run_is_repeated_until_answered(
     lost, autojump_clock
 ):
-    """A run that the book does not know must be stopped despite lost answers.
+    """A run that the pool's state lacks must be stopped despite lost answers.
 
     A job was cancelled while its start was unanswered, and the worker carried
     the start out seconds later. The owner's next poll showed the run and a stop
--- a/crocusrouter/pools/upkeep_controller.py
+++ b/crocusrouter/pools/upkeep_controller.py
@@ -98,10 +98,10 @@
             owner_lease: The owner's lease and epoch.
             holder: Name under which orders are sent.
             store: The key-value service.
-            book: The pool's workers and runs.
+            pool_state: The pool's workers and runs.
             clock: Source of the current time.
             waves: The waves that operators requested.
-            on_change: Called when the book has changed.
+            on_change: Called when the pool's state has changed.
         """
         self._owner_lease = owner_lease
         self._holder = holder
--- a/crocusrouter/pools/worker_links.py
+++ b/crocusrouter/pools/worker_links.py
@@ -57,13 +57,13 @@
             incarnation: The incarnation of the worker.
             port: How to reach it.
             epoch: The owner's epoch.
-            book: Updated with everything that the worker reports.
+            pool_state: Updated with everything that the worker reports.
             clock: Source of the current time.
-            settle: Waits until the book's changes are durable.
+            settle: Waits until the changes of the pool's state are durable.
             may_renew: Returns whether leases may be renewed now.
             may_start: Returns whether, at a steady time, the owner's view of
                 cancelled jobs and draining workers is recent enough for starts.
-            on_change: Called when the book has changed.
+            on_change: Called when the pool's state has changed.
             on_replaced: Called when another incarnation answers.
             pending_starts: Unanswered starts; shared with the links to the
                 worker's other incarnations.
@@ -184,7 +184,7 @@
     # Orders.
 
     async def start(self, order: worker_port.Start) -> None:
-        """Deliver a start and record its outcome in the book.
+        """Deliver a start and record its outcome in the pool's state.
 
         Raises:
             DeposedError: The worker knows a later owner.
@@ -317,10 +317,10 @@
     async def stop(self, order: worker_port.Stop) -> None:
         """Deliver a stop, repeated until it is answered or pointless.
 
-        The book may not know the run, for example if a late order started a
-        task of a cancelled job. If the only stop of such a run were lost, the
-        run would go on until its lease ends, because an idle worker is not
-        polled.
+        The pool's state may not hold the run, for example if a late order
+        started a task of a cancelled job. If the only stop of such a run were
+        lost, the run would go on until its lease ends, because an idle worker
+        is not polled.
 
         Raises:
             DeposedError: The worker knows a later owner.
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -50,7 +50,7 @@
 
 
 class WorkerList:
-    """Keeps the workers of a book in line with the platform's list.
+    """Keeps the workers of a pool's state in line with the platform's list.
 
     Attributes:
         freshness: How recently the list was received.
@@ -72,10 +72,10 @@
             source: Location and format of the list.
             store: The key-value service.
             pool: Name of the pool; workers of other pools are ignored.
-            book: Updated with the workers.
+            pool_state: Updated with the workers.
             clock: Source of the current time.
             metrics: Counts unreadable entries.
-            listeners: Called for changes that the book can't act on.
+            listeners: Called for changes on which the pool's state can't act.
         """
         self._source = source
         self._pool = pool
