--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,6 +1,6 @@
 """Simulates days of jobs in a pool, to compare scheduling policies.
 
-The simulation needs no sockets and no store: the pool's own book and planner
+The simulation needs no sockets and no store: the pool's own state and planner
 decide, and a model of the workers carries out the decisions. A day takes a few
 seconds, so policies can be compared over many random days.
 """
--- a/crocusrouter/pools/known_workers.py
+++ b/crocusrouter/pools/known_workers.py
@@ -28,11 +28,11 @@
         self,
         store: key_value.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.PoolState,
+        pool_state: work.PoolState,
     ) -> None:
         self._store = store
         self._owner_lease = owner_lease
-        self._book = book
+        self._pool_state = pool_state
         self._key = keys.KNOWN_WORKERS + owner_lease.pool
         self._loaded_record: records.Record | None = None
 
@@ -41,7 +41,7 @@
         self._loaded_record = await self._store.read(self._key)
 
     def restore_unlisted(self, now: float) -> list[tracking.Worker]:
-        """Add recorded workers to the book that the platform no longer lists.
+        """Add to the state recorded workers that the platform no longer lists.
 
         Returns:
             The added workers, none of which has reported its runs yet.
@@ -50,15 +50,15 @@
             return []
         restored = []
         for incarnation, address, job_ids in _parse_rows(self._loaded_record):
-            if incarnation in self._book.workers:
-                worker_state = self._book.workers[incarnation]
+            if incarnation in self._pool_state.workers:
+                worker_state = self._pool_state.workers[incarnation]
             else:
-                self._book.set_worker(
+                self._pool_state.set_worker(
                     _make_entry(incarnation, self._owner_lease.pool, address),
                     now,
                 )
-                self._book.unlist_worker(incarnation)
-                worker_state = self._book.workers[incarnation]
+                self._pool_state.unlist_worker(incarnation)
+                worker_state = self._pool_state.workers[incarnation]
                 restored.append(worker_state)
             if job_ids is not None:
                 worker_state.was_draining = True
@@ -67,7 +67,9 @@
 
     def _encode(self) -> bytes:
         rows = []
-        for incarnation, worker_state in sorted(self._book.workers.items()):
+        for incarnation, worker_state in sorted(
+            self._pool_state.workers.items()
+        ):
             job_ids: list[str] | None = None
             if worker_state.was_draining:
                 job_ids = sorted({key.job for key in worker_state.runs})
--- a/crocusrouter/pools/parked_jobs.py
+++ b/crocusrouter/pools/parked_jobs.py
@@ -42,7 +42,7 @@
         self,
         store: key_value.KeyValueStore,
         owner_lease: owner_leases.OwnerLease,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         is_durable: Callable[[str], bool],
         read_clock: Callable[[], float],
     ) -> None:
@@ -51,14 +51,14 @@
         Args:
             store: The key-value service.
             owner_lease: This owner's lease; guards each write.
-            book: The jobs of the pool.
+            pool_state: The jobs of the pool.
             is_durable: Returns whether the journal holds all ended tasks of a
                 job.
             read_clock: Returns steady seconds.
         """
         self._store = store
         self._owner_lease = owner_lease
-        self._book = book
+        self._pool_state = pool_state
         self._is_durable = is_durable
         self._read_clock = read_clock
         self._key = keys.PARKED + owner_lease.pool
@@ -89,7 +89,8 @@
     async def wait_until_removed(self, job_id: str) -> None:
         """Wait until the stored record certainly no longer names a job.
 
-        The book must already hold the run to be started; that removes the job.
+        The pool's state must already hold the run to be started; that removes
+        the job.
         """
         self._wake_event.set()
         async with self._record_changed:
@@ -129,7 +130,7 @@
         Finished jobs in the record do no harm.
         """
         return any(
-            _has_run(self._book.live_jobs.get(job_id))
+            _has_run(self._pool_state.live_jobs.get(job_id))
             for job_id in self._maybe_recorded
         )
 
@@ -139,12 +140,12 @@
         Their ended tasks must be durable, because a successor starts at once
         every task of a parked job that it does not know to have ended.
         """
-        blocked_ids = self._book.list_blocked_jobs()
+        blocked_ids = self._pool_state.list_blocked_jobs()
         return frozenset(
             job_id
-            for job_id, job_work in self._book.live_jobs.items()
+            for job_id, job_work in self._pool_state.live_jobs.items()
             if not job_work.is_final
-            and not self._book.may_run_unreported(job_work, blocked_ids)
+            and not self._pool_state.may_run_unreported(job_work, blocked_ids)
             and not _has_run(job_work)
             and (
                 job_id in self._maybe_recorded
--- a/crocusrouter/pools/reservations.py
+++ b/crocusrouter/pools/reservations.py
@@ -35,45 +35,47 @@
             yield step_key, reservation.placement.spots
 
     def take_ready(
-        self, book: work.PoolState, now: float
+        self, pool_state: work.PoolState, now: float
     ) -> list[work.Placement]:
         """Remove and return the placements whose room is free now.
 
         Reservations that can't be kept any longer are dropped too.
         """
         ready = []
-        expected_stop_s = book.stop_durations.expected_s
+        expected_stop_s = pool_state.stop_durations.expected_s
         max_age_s = _STOP_FACTOR * expected_stop_s + _REPEATED_ORDER_S
         for step_key, reservation in list(self._reservations.items()):
             placement = reservation.placement
-            if not _is_still_waiting(book, placement):
+            if not _is_still_waiting(pool_state, placement):
                 del self._reservations[step_key]
-            elif _has_room(book, placement, now):
+            elif _has_room(pool_state, placement, now):
                 ready.append(placement)
                 del self._reservations[step_key]
             elif now > reservation.since + max_age_s:
-                book.note("reservation:dropped", step=step_key)
+                pool_state.note("reservation:dropped", step=step_key)
                 del self._reservations[step_key]
         return ready
 
 
-def _is_still_waiting(book: work.PoolState, placement: work.Placement) -> bool:
-    job_work = book.live_jobs.get(placement.step.job)
-    step_work = book.find_tracked_step(placement.step)
+def _is_still_waiting(
+    pool_state: work.PoolState, placement: work.Placement
+) -> bool:
+    job_work = pool_state.live_jobs.get(placement.step.job)
+    step_work = pool_state.find_tracked_step(placement.step)
     if job_work is None or step_work is None:
         return False
     return set(placement.spots) <= step_work.waiting_indices
 
 
 def _has_room(
-    book: work.PoolState, placement: work.Placement, now: float
+    pool_state: work.PoolState, placement: work.Placement, now: float
 ) -> bool:
-    step_work = book.find_tracked_step(placement.step)
+    step_work = pool_state.find_tracked_step(placement.step)
     assert step_work is not None
     incarnations = list(placement.spots.values())
-    is_advised = book.jobs[placement.step.job].job.advised
+    is_advised = pool_state.jobs[placement.step.job].job.advised
     for incarnation in set(incarnations):
-        worker_state = book.workers.get(incarnation)
+        worker_state = pool_state.workers.get(incarnation)
         if worker_state is None or not worker_state.may_start_tasks(now):
             return False
         if is_advised and not step_work.permits.find_ticket(incarnation, now):
--- a/crocusrouter/pools/worker_listing.py
+++ b/crocusrouter/pools/worker_listing.py
@@ -50,7 +50,7 @@
 
 
 class WorkerList:
-    """Keeps the workers of a book in line with the platform's list.
+    """Keeps the workers of a pool's state in line with the platform's list.
 
     Attributes:
         freshness: How recently the list was received.
@@ -61,7 +61,7 @@
         source: ListSource,
         store: key_value.KeyValueStore,
         pool: str,
-        book: work.PoolState,
+        pool_state: work.PoolState,
         clock: clocks.Clock,
         metrics: Metrics,
         listeners: ListListeners,
@@ -72,14 +72,14 @@
             source: Location and format of the list.
             store: The key-value service.
             pool: Name of the pool; workers of other pools are ignored.
-            book: Updated with the workers.
+            pool_state: Updated with the workers.
             clock: Source of the current time.
             metrics: Counts unreadable entries.
-            listeners: Called for changes that the book can't act on.
+            listeners: Called for changes on which the pool's state can't act.
         """
         self._source = source
         self._pool = pool
-        self._book = book
+        self._pool_state = pool_state
         self._clock = clock
         self._metrics = metrics
         self._listeners = listeners
@@ -128,11 +128,11 @@
             # Another process has started under the worker's id.
             self._unlist(record.key)
         self._incarnations_by_key[record.key] = entry.id
-        worker_state = self._book.workers.get(entry.id)
+        worker_state = self._pool_state.workers.get(entry.id)
         starts_draining = entry.draining and not (
             worker_state is not None and worker_state.was_draining
         )
-        self._book.set_worker(entry, now)
+        self._pool_state.set_worker(entry, now)
         if starts_draining:
             self._log_draining(entry.id, record.revision)
         self._listeners.on_listed(entry.id, entry.address)
@@ -140,7 +140,7 @@
     def _unlist(self, key: str) -> None:
         incarnation = self._incarnations_by_key.pop(key, None)
         if incarnation is not None:
-            self._book.unlist_worker(incarnation)
+            self._pool_state.unlist_worker(incarnation)
             self._listeners.on_unlisted(incarnation)
 
     def _log_draining(self, incarnation: str, revision: int) -> None:
@@ -150,7 +150,7 @@
         to callers: a list that was not received, an order in flight or
         repeated, and a draining worker that was taken for a new one.
         """
-        worker_state = self._book.workers[incarnation]
+        worker_state = self._pool_state.workers[incarnation]
         log(
             "worker:leaves",
             pool=self._pool,
